--- a/src/evd.c
+++ b/src/evd.c
@@ -4,15 +4,22 @@
 
 #include "wkr.h"
 
-/* A worker's clock may be slow by 1 in 50; one more for our own. */
-#define EVD_CLOCK_SLACK(ms) ((ms) + (ms) / 33 + 200)
 /*
- * A leader that was cut off may give leases until it steps down; its patience
- * is 600 ms, and a call may be on its way.
+ * Longest that a lease of ms may last by the leader's clock, in ms: the
+ * worker's clock may be slow by 1 in 50; the rest of the margin allows for the
+ * leader's own clock.
+ */
+#define EVD_LEASE_MAX_MS(ms) ((ms) + (ms) / 33 + 200)
+/*
+ * A partitioned leader may grant leases until it steps down; its step-down
+ * timeout is 600 ms, and a call may still be in flight.
  */
 #define EVD_OLD_LEADER_MS 1000
-/* A list may lack a VM that has just been switched on, or is read page by page. */
-#define EVD_LISTS_WITHOUT 2
+/*
+ * Consecutive lists that must lack a worker: one list may lack a VM that has
+ * just been switched on, or change while it is read page by page.
+ */
+#define EVD_MIN_ABSENT_LISTS 2
 
 static const char *const evd_names[EVD_KINDS] = {
 	[EVD_NONE] = "earlier-leader",	  [EVD_UNSENT] = "never-sent",
@@ -22,19 +29,25 @@
 	[EVD_VM_ORDER] = "vm-ordered",	  [EVD_LEFT] = "left",
 };
 
-/* A kind of evidence as log lines name it. */
+/* Returns the name of a kind of evidence in log lines. */
 const char *evd_name(enum evd_why why)
 {
 	return evd_names[why];
 }
 
-/* Whether evidence says that a worker's lifetime is over, not just its leases. */
+/*
+ * Whether the evidence proves that the worker process has ended for good, not
+ * only that its leases have expired.
+ */
 bool evd_for_good(const struct evd *e)
 {
 	return e->why >= EVD_LIFE;
 }
 
-/* A worker answered, and may have told its clock (0: it hasn't). */
+/*
+ * Records an answer of a worker. clock_ms is the worker's clock, or 0 if the
+ * answer did not report it.
+ */
 void evd_heard(struct evd_worker *w, int64_t clock_ms, int64_t now_ms)
 {
 	w->ok_ms = now_ms;
@@ -46,27 +59,29 @@
 }
 
 /*
- * End of a lease given now, on the worker's clock; never later than the lease
- * is long, as the clock may be slow by 1 in 50. 0: the clock isn't known.
+ * Returns the expiry, on the worker's clock, of a lease of lease_ms granted
+ * now; 0 if the worker's clock is not known. The lease never lasts longer than
+ * lease_ms, as the worker's clock may be slow by 1 in 50.
  *
- * It is counted from when we last knew that we lead. A leader that stood still
- * while another took its place would else, awake again and before it learns
- * so, start work that the other has given out anew. Wherever it stood still,
- * what it sends then is over by the worker's own clock; the next leader waits
+ * sure_ms is when this leader's leadership was last confirmed, and the lease is
+ * counted from there. Otherwise a leader whose process paused while another one
+ * took over could, after it resumes and before it learns of that, start work
+ * that the new leader has assigned elsewhere. Wherever the pause occurs, what
+ * it sends has expired by the worker's clock; the next leader waits
  * EVD_OLD_LEADER_MS longer than the lease for what was sent before.
  */
 int64_t evd_until(const struct evd_worker *w, int64_t sure_ms, int64_t lease_ms)
 {
-	int64_t passed = sure_ms - w->clock_at;
+	int64_t elapsed = sure_ms - w->clock_at;
 
 	if (!w->clock_at)
 		return 0;
-	return w->clock_ms + passed - MAX(0, passed) / 50 + lease_ms;
+	return w->clock_ms + elapsed - MAX(0, elapsed) / 50 + lease_ms;
 }
 
 /*
- * Whether no start of a run can be on its worker or on the way there: none was
- * sent, or the worker's answer to each was that it did nothing.
+ * Whether no start request of a run can have reached its worker or be in
+ * flight: none was sent, or the worker answered each one that it did nothing.
  */
 bool evd_unsent(const struct jtb_run *run, const struct evd_moment *m,
 		struct evd *out)
@@ -78,9 +93,10 @@
 }
 
 /*
- * Whether a list that was asked for at asked_ms, and has a run neither as running
- * nor as ended, tells that it is over: the worker had it, or had been told to
- * take it never, before it was asked.
+ * Whether a worker's list of runs, requested at asked_ms and without this run
+ * among the running and the ended ones, proves that the run is over: the worker
+ * had the run, or had been told never to start it, before the list was
+ * requested.
  */
 bool evd_unlisted(const struct jtb_run *run, int64_t asked_ms,
 		  const struct evd_moment *m, struct evd *out)
@@ -93,10 +109,11 @@
 }
 
 /*
- * Whether a start of a run that is given up with its worker's leases may still
- * arrive there: we sent one, and neither has the worker been seen to have it, nor
- * has it answered a stop. Starts of an earlier leader don't count: the worker
- * turns them away as soon as it gets anything from us.
+ * Whether a start request of a run that is abandoned with its worker's leases
+ * may still arrive there: this leader sent one, the worker has not been seen
+ * with the run, and it has not answered a stop. Starts sent by an earlier
+ * leader don't count: the worker rejects them once it has received anything
+ * from this leader.
  */
 bool evd_may_arrive(const struct jtb_run *run)
 {
@@ -106,46 +123,51 @@
 }
 
 /*
- * Whether all leases of a worker that doesn't answer are over for sure, also
- * those that a leader before us may have given.
+ * Whether all leases of an unreachable worker have certainly expired, including
+ * those that a previous leader may have granted.
  */
 bool evd_lease_over(const struct evd_worker *w, int64_t lease_ms,
 		    const struct evd_moment *m, struct evd *out)
 {
-	int64_t given = MAX(w->granted_at, m->led_since_ms + EVD_OLD_LEADER_MS);
+	int64_t last_grant =
+		MAX(w->granted_at, m->led_since_ms + EVD_OLD_LEADER_MS);
 
-	if (!w->failed_since || m->now_ms <= given + EVD_CLOCK_SLACK(lease_ms))
+	if (!w->failed_since ||
+	    m->now_ms <= last_grant + EVD_LEASE_MAX_MS(lease_ms))
 		return false;
-	evd_of(EVD_LEASE, given, m, out);
+	evd_of(EVD_LEASE, last_grant, m, out);
 	return true;
 }
 
 /*
- * Whether the list of VMs tells that a worker that doesn't answer is over. Only a
- * list that was asked for since it fell silent does; one that was only cut off is
- * listed as before. That it isn't on the list is no evidence by itself: its row may
- * be missing for a moment, or not tell what is on the VM, and its work would run
- * twice while it is cut off.
+ * Whether the list of VMs proves that an unreachable worker is over. Only a
+ * list requested after the worker became unreachable counts; a worker that is
+ * only partitioned is listed as before. Absence from the list alone is no
+ * proof: the row may be missing for a moment, or may not name the worker on the
+ * VM, and the work of a worker that is only partitioned would run twice.
  */
-bool evd_vm_over(const struct evd_vm *vm, int64_t silent_since,
+bool evd_vm_over(const struct evd_vm *vm, int64_t unreachable_since,
 		 const struct evd_moment *m, struct evd *out)
 {
 	enum evd_why why = EVD_NONE;
 
-	if (!silent_since || silent_since >= vm->asked_ms)
+	if (!unreachable_since || unreachable_since >= vm->asked_ms)
 		return false;
 	if (vm->listed && !vm->up)
 		why = EVD_VM_DOWN;
 	else if (vm->other)
 		why = EVD_VM_OTHER;
-	else if (!vm->listed && !vm->unread && vm->without >= EVD_LISTS_WITHOUT)
+	else if (!vm->listed && !vm->unread &&
+		 vm->without >= EVD_MIN_ABSENT_LISTS)
 		why = EVD_VM_NONE;
 	if (why)
 		evd_of(why, vm->asked_ms, m, out);
 	return why != EVD_NONE;
 }
 
-/* Evidence that its finder has by itself, as of a moment. */
+/*
+ * Fills in evidence of a kind that the caller has established, as of as_of_ms.
+ */
 void evd_of(enum evd_why why, int64_t as_of_ms, const struct evd_moment *m,
 	    struct evd *out)
 {
--- a/tests/unit/evd_test.c
+++ b/tests/unit/evd_test.c
@@ -16,8 +16,8 @@
 	.led_since_ms = NOW_MS - 60000,
 };
 
-/* Each kind of evidence has a name of its own in the logs. */
-static void kinds_have_names(void **state)
+/* Each kind of evidence has a distinct name in the logs. */
+static void every_kind_has_a_distinct_name(void **state)
 {
 	int i;
 	int j;
@@ -29,8 +29,11 @@
 	}
 }
 
-/* A worker that was silent for long may be back; only its leases are over. */
-static void a_lease_that_is_over_is_not_for_good(void **state)
+/*
+ * A worker that was unreachable for long may return: only its leases have
+ * expired, and the evidence is not permanent.
+ */
+static void expired_lease_is_not_permanent_evidence(void **state)
 {
 	struct evd_worker w = {.granted_at = NOW_MS - 2 * LEASE_MS,
 			       .failed_since = NOW_MS - LEASE_MS};
@@ -42,8 +45,11 @@
 	assert_false(evd_for_good(&e));
 }
 
-/* Guards against a task run twice: its worker is cut off, and its row missing. */
-static void a_worker_missing_on_one_list_is_not_over(void **state)
+/*
+ * Guards against a task that runs twice: its worker is partitioned while one
+ * list of VMs lacks the worker's row.
+ */
+static void absence_from_one_list_is_not_evidence(void **state)
 {
 	struct evd_vm vm = {.asked_ms = NOW_MS - 10, .without = 1};
 	struct evd e;
@@ -55,8 +61,11 @@
 	assert_true(evd_for_good(&e));
 }
 
-/* Guards against the same where the row doesn't tell what is on the VM. */
-static void a_list_that_tells_no_worker_is_no_evidence(void **state)
+/*
+ * Guards against a task that runs twice: its worker is partitioned while the
+ * list does not name the worker on a VM that is up.
+ */
+static void list_without_worker_names_is_not_evidence(void **state)
 {
 	struct evd_vm vm = {
 		.asked_ms = NOW_MS - 10, .without = 9, .unread = true};
@@ -65,8 +74,11 @@
 	assert_false(evd_vm_over(&vm, NOW_MS - 500, &now, &e));
 }
 
-/* What a list of before its silence says of a worker is over. */
-static void an_older_list_says_nothing_of_a_worker(void **state)
+/*
+ * A list requested before the worker became unreachable is no evidence; a later
+ * one that has its VM as not up is.
+ */
+static void list_from_before_the_failure_is_not_evidence(void **state)
 {
 	struct evd_vm vm = {.asked_ms = NOW_MS - 600, .listed = true};
 	struct evd e;
@@ -79,8 +91,11 @@
 	assert_false(evd_vm_over(&vm, NOW_MS - 700, &now, &e));
 }
 
-/* A list that has its VM up tells nothing of a worker that it doesn't name. */
-static void a_vm_that_is_up_may_have_its_worker_on_it(void **state)
+/*
+ * A list that has the worker's VM up is no evidence, even if it does not name
+ * the worker.
+ */
+static void listed_vm_that_is_up_is_not_evidence(void **state)
 {
 	struct evd_vm vm = {
 		.asked_ms = NOW_MS - 10, .listed = true, .up = true};
@@ -90,8 +105,8 @@
 	assert_false(evd_vm_over(&vm, NOW_MS - 500, &now, &e));
 }
 
-/* Its VM has another worker on it. */
-static void another_worker_on_its_vm_ends_a_worker(void **state)
+/* A worker is over once its VM is listed with another worker. */
+static void another_worker_on_the_vm_is_evidence(void **state)
 {
 	struct evd_vm vm = {.asked_ms = NOW_MS - 10,
 			    .listed = true,
@@ -106,13 +121,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(kinds_have_names),
-		cmocka_unit_test(a_lease_that_is_over_is_not_for_good),
-		cmocka_unit_test(a_worker_missing_on_one_list_is_not_over),
-		cmocka_unit_test(a_list_that_tells_no_worker_is_no_evidence),
-		cmocka_unit_test(an_older_list_says_nothing_of_a_worker),
-		cmocka_unit_test(a_vm_that_is_up_may_have_its_worker_on_it),
-		cmocka_unit_test(another_worker_on_its_vm_ends_a_worker),
+		cmocka_unit_test(every_kind_has_a_distinct_name),
+		cmocka_unit_test(expired_lease_is_not_permanent_evidence),
+		cmocka_unit_test(absence_from_one_list_is_not_evidence),
+		cmocka_unit_test(list_without_worker_names_is_not_evidence),
+		cmocka_unit_test(list_from_before_the_failure_is_not_evidence),
+		cmocka_unit_test(listed_vm_that_is_up_is_not_evidence),
+		cmocka_unit_test(another_worker_on_the_vm_is_evidence),
 	};
 
 	return cmocka_run_group_tests_name("evd", tests, NULL, NULL);
