--- a/src/hld.c
+++ b/src/hld.c
@@ -189,7 +189,7 @@
 	if (s->flags & JTB_GANG && part &&
 	    part->n_runs + part->n_planned + part->n_done)
 		return HLD_GANG;
-	if (task && v->sch->now_ms - task->free_ms < SCH_AGAIN_MS)
+	if (task && v->sch->now_ms - task->free_ms < SCH_RETRY_DELAY_MS)
 		return HLD_JUST_ENDED;
 	return HLD_NONE;
 }
@@ -224,8 +224,8 @@
 	guint i;
 
 	p->sch.queue = jtb_queue(jtb_config(v->sch->jtb), job->spec.queue);
-	sch_tickets(&p->sch, job, turn, step);
-	sch_count_same(&p->sch, job, turn, step);
+	sch_apply_tickets(&p->sch, job, turn, step);
+	sch_count_step_tasks(&p->sch, job, turn, step);
 	for (i = 0; i < p->all->len && best != HLD_NONE; i++) {
 		enum hld_reason why =
 			hld_worker(v, p, job, s, g_ptr_array_index(p->all, i));
@@ -235,7 +235,7 @@
 	if (best != HLD_NONE || !(s->flags & JTB_GANG))
 		return best;
 	places = g_ptr_array_new();
-	if (!sch_places(&p->sch, job, turn, step, NULL, places))
+	if (!sch_place_gang(&p->sch, job, turn, step, NULL, places))
 		best = HLD_GANG_ROOM;
 	else if (s->flags & JTB_ONE_RACK && job->rack_ms)
 		best = HLD_RACK;
@@ -257,7 +257,7 @@
 		return HLD_TOO_LARGE;
 	if (!sch_usable(v->sch, w))
 		return hld_barred(v, w);
-	if (sch_shunned(&p->sch, w, s, false))
+	if (sch_is_backed_off(&p->sch, w, s, false))
 		return HLD_SHUNNED;
 	if (w->barred)
 		return HLD_TICKET;
@@ -267,7 +267,7 @@
 		return HLD_NO_ROOM;
 	if (hld_kept(v, job, w))
 		return HLD_KEPT;
-	return sch_reserved(&p->sch, w, job) ? HLD_RESERVED : HLD_NONE;
+	return sch_is_trial_reserved(&p->sch, w, job) ? HLD_RESERVED : HLD_NONE;
 }
 
 /* Why a worker may not be given work. */
@@ -311,7 +311,7 @@
 {
 	struct hld_pool *p = arg;
 
-	sch_pool_done(&p->sch);
+	sch_pool_clear(&p->sch);
 	g_ptr_array_free(p->all, TRUE);
 	g_free(p);
 }
--- a/src/sch.c
+++ b/src/sch.c
@@ -2,40 +2,43 @@
 
 #include <stdlib.h>
 
-/* Between the urgencies of two ranks: more than there are ever jobs. */
+/*
+ * Distance between the urgencies of two ranks: more than the number of jobs
+ * there can ever be.
+ */
 #define SCH_RANK_STEP 1e12
 
-/* Which jobs go before which. */
+/* Priority classes of jobs, highest first. */
 enum sch_rank {
-	SCH_RANK_LASTS,
-	SCH_RANK_BEGUN,
+	SCH_RANK_LONG_RUNNING,
+	SCH_RANK_STARTED,
 	SCH_RANK_NEW,
 	SCH_RANK_LATE,
-	SCH_RANK_HOPELESS,
+	SCH_RANK_WORTHLESS,
 };
 
-/* A job that could go on, and how much it matters. */
-struct sch_cand {
+/* A live job of the pool with its place in the planning order. */
+struct sch_candidate {
 	struct jtb_job *job;
 	const struct jtb_queue *queue;
 	enum sch_rank rank;
 	double value; /* higher goes first within a rank */
 };
 
-static void sch_nobody(struct sch_pool *p);
-static bool sch_lasts_waiting(const struct jtb_job *job, int64_t wall_ms);
-static GArray *sch_cands(struct sch_pool *p);
-static void sch_rank(int64_t wall_ms, struct sch_cand *c);
-static int sch_order(gconstpointer a, gconstpointer b);
-static void sch_job(struct sch_pool *p, struct sch_cand *c);
-static void sch_part(struct sch_pool *p, struct jtb_job *job, uint32_t turn,
-		     uint32_t step);
-static void sch_gang(struct sch_pool *p, struct jtb_job *job, uint32_t turn,
-		     uint32_t step);
+static void sch_report_waiting(struct sch_pool *p);
+static bool sch_long_running_waits(const struct jtb_job *job, int64_t wall_ms);
+static GArray *sch_collect_candidates(struct sch_pool *p);
+static void sch_rank(int64_t wall_ms, struct sch_candidate *c);
+static int sch_compare(gconstpointer a, gconstpointer b);
+static void sch_plan_job(struct sch_pool *p, struct sch_candidate *c);
+static void sch_plan_step(struct sch_pool *p, struct jtb_job *job,
+			  uint32_t turn, uint32_t step);
+static void sch_plan_gang(struct sch_pool *p, struct jtb_job *job,
+			  uint32_t turn, uint32_t step);
 
 /*
- * Starts what a pool has room for, best first. Returns how many starts were
- * given out.
+ * Starts the tasks of a pool for which there is free capacity, by priority.
+ * Returns how many starts were made.
  */
 uint32_t sch_plan(const struct sch_view *v, const char *pool)
 {
@@ -45,25 +48,26 @@
 
 	sch_pool_init(&p, v, pool);
 	if (p.workers->len) {
-		cands = sch_cands(&p);
-		g_array_sort(cands, sch_order);
+		cands = sch_collect_candidates(&p);
+		g_array_sort(cands, sch_compare);
 		for (i = 0; i < cands->len; i++)
-			sch_job(&p, &g_array_index(cands, struct sch_cand, i));
+			sch_plan_job(&p,
+				     &g_array_index(cands, struct sch_candidate,
+						    i));
 		g_array_free(cands, TRUE);
 	} else {
-		sch_nobody(&p);
+		sch_report_waiting(&p);
 	}
-	sch_pool_done(&p);
+	sch_pool_clear(&p);
 	return p.started;
 }
 
 /*
- * A pool without a worker that may be given work starts nothing, and still
- * says that work that lasts waits in it: where all its workers are closed and
- * what runs on them may not be stopped before that work runs again, another
- * VM is the only way on.
+ * A pool without a usable worker starts nothing, but still reports a waiting
+ * long-running task: if all its workers are closed and cannot be drained before
+ * that task runs again, another VM is the only way for it to start.
  */
-static void sch_nobody(struct sch_pool *p)
+static void sch_report_waiting(struct sch_pool *p)
 {
 	GPtrArray *live = jtb_live(p->v->jtb);
 	guint i;
@@ -73,15 +77,18 @@
 		const char *pool = jtb_pool_of(p->v->jtb, job);
 
 		if (jtb_ended(job) || !pool || strcmp(pool, p->name) != 0 ||
-		    !sch_lasts_waiting(job, p->v->wall_ms))
+		    !sch_long_running_waits(job, p->v->wall_ms))
 			continue;
 		p->v->starved(p->v->arg, p->name);
 		return;
 	}
 }
 
-/* Whether work that lasts is due and has no run on its way. */
-static bool sch_lasts_waiting(const struct jtb_job *job, int64_t wall_ms)
+/*
+ * Whether a long-running task of a job is due and has neither a run nor a
+ * proposed start.
+ */
+static bool sch_long_running_waits(const struct jtb_job *job, int64_t wall_ms)
 {
 	uint32_t t;
 	uint32_t s;
@@ -99,16 +106,16 @@
 	return false;
 }
 
-/* The jobs of a pool that aren't over. */
-static GArray *sch_cands(struct sch_pool *p)
+/* Returns the live jobs of a pool, each with its rank. */
+static GArray *sch_collect_candidates(struct sch_pool *p)
 {
 	const struct jtb_config *config = jtb_config(p->v->jtb);
 	GPtrArray *live = jtb_live(p->v->jtb);
-	GArray *cands = g_array_new(FALSE, FALSE, sizeof(struct sch_cand));
+	GArray *cands = g_array_new(FALSE, FALSE, sizeof(struct sch_candidate));
 	guint i;
 
 	for (i = 0; i < live->len; i++) {
-		struct sch_cand c = {.job = g_ptr_array_index(live, i)};
+		struct sch_candidate c = {.job = g_ptr_array_index(live, i)};
 
 		if (jtb_ended(c.job))
 			continue;
@@ -122,44 +129,46 @@
 }
 
 /*
- * Made for bursts of several times the room. Work that lasts goes first: each
- * moment without it is lost for good. Then what is begun and can be in time,
- * so that few jobs are half done; then what can be in time, newest first: it
- * has the most time left for guesses that were wrong, and large and small jobs
- * fare alike, where the cheapest first would shut out the large for the whole
- * of a burst. What can't be in time any more waits behind all that can.
+ * Sets the rank of a job, and its value within the rank, for bursts of several
+ * times the pool's capacity. Long-running tasks go first, as any time without a
+ * run is lost for good. Next come started jobs that can still meet their
+ * objective, so that few jobs stay half done; then new jobs that can meet it,
+ * newest first: these have the most time left to absorb wrong estimates, and
+ * large and small jobs fare alike, whereas cheapest first would shut out large
+ * jobs for a whole burst. Jobs that can no longer meet their objective come
+ * after all that can.
  */
-static void sch_rank(int64_t wall_ms, struct sch_cand *c)
+static void sch_rank(int64_t wall_ms, struct sch_candidate *c)
 {
 	const struct jtb_job *job = c->job;
 	enum sch_chance chance = sch_chance(c->queue, job, wall_ms);
 
 	if (sch_lasts(job))
-		c->rank = SCH_RANK_LASTS;
+		c->rank = SCH_RANK_LONG_RUNNING;
 	else if (job->spec.repeats || chance == SCH_IN_TIME)
-		c->rank = job->started ? SCH_RANK_BEGUN : SCH_RANK_NEW;
+		c->rank = job->started ? SCH_RANK_STARTED : SCH_RANK_NEW;
 	else
 		c->rank =
-			chance == SCH_LATE ? SCH_RANK_LATE : SCH_RANK_HOPELESS;
+			chance == SCH_LATE ? SCH_RANK_LATE : SCH_RANK_WORTHLESS;
 	c->value =
 		c->rank == SCH_RANK_NEW ? (double)job->seq : -(double)job->seq;
 }
 
-/* Where a job stands in a plan's order: what is higher goes first. */
+/* Returns the position of a job in the planning order; higher goes first. */
 double sch_urgency(const struct jtb_queue *q, const struct jtb_job *job,
 		   int64_t wall_ms)
 {
-	struct sch_cand c = {.job = (struct jtb_job *)job, .queue = q};
+	struct sch_candidate c = {.job = (struct jtb_job *)job, .queue = q};
 
 	sch_rank(wall_ms, &c);
 	return c.value - c.rank * SCH_RANK_STEP;
 }
 
-/* Compares jobs by which goes first. */
-static int sch_order(gconstpointer a, gconstpointer b)
+/* Compares candidates in planning order. */
+static int sch_compare(gconstpointer a, gconstpointer b)
 {
-	const struct sch_cand *x = a;
-	const struct sch_cand *y = b;
+	const struct sch_candidate *x = a;
+	const struct sch_candidate *y = b;
 
 	if (x->rank != y->rank)
 		return x->rank < y->rank ? -1 : 1;
@@ -168,8 +177,8 @@
 	return (x->job->seq > y->job->seq) - (x->job->seq < y->job->seq);
 }
 
-/* Starts what can be of a job. */
-static void sch_job(struct sch_pool *p, struct sch_cand *c)
+/* Starts the tasks of a job that are due and fit. */
+static void sch_plan_job(struct sch_pool *p, struct sch_candidate *c)
 {
 	struct jtb_job *job = c->job;
 	uint32_t t;
@@ -185,19 +194,19 @@
 				continue;
 			if (!(job->spec.steps[s].flags & JTB_LASTS) &&
 			    !jtb_crashes(job) &&
-			    sch_missed(p, &job->spec.steps[s]))
+			    sch_is_no_fit(p, &job->spec.steps[s]))
 				continue;
 			if (job->spec.steps[s].flags & JTB_GANG)
-				sch_gang(p, job, t, s);
+				sch_plan_gang(p, job, t, s);
 			else
-				sch_part(p, job, t, s);
+				sch_plan_step(p, job, t, s);
 		}
 	}
 }
 
-/* Plans the tasks of one step that wait. */
-static void sch_part(struct sch_pool *p, struct jtb_job *job, uint32_t turn,
-		     uint32_t step)
+/* Plans the waiting tasks of a step, each by itself. */
+static void sch_plan_step(struct sch_pool *p, struct jtb_job *job,
+			  uint32_t turn, uint32_t step)
 {
 	const struct jtb_part *part = jtb_part(job, turn, step);
 	uint32_t count = job->spec.steps[step].count;
@@ -206,10 +215,10 @@
 
 	if (part && part->n_done + part->n_runs + part->n_planned >= count)
 		return;
-	if (!sch_tickets(p, job, turn, step))
+	if (!sch_apply_tickets(p, job, turn, step))
 		return;
 	g_strlcpy(n.id, job->spec.id, sizeof(n.id));
-	sch_count_same(p, job, turn, step);
+	sch_count_step_tasks(p, job, turn, step);
 	for (n.index = 0; n.index < count; n.index++) {
 		const struct jtb_task *task = NULL;
 
@@ -217,12 +226,15 @@
 		if (part)
 			task = &part->tasks[n.index];
 		if (task && (task->done || task->run || task->planned ||
-			     p->v->now_ms - task->free_ms < SCH_AGAIN_MS))
+			     p->v->now_ms - task->free_ms < SCH_RETRY_DELAY_MS))
 			continue;
 		if (sch_suspected(job, step, n.index)) {
-			w = sch_trial(p, job, &job->spec.steps[step],
-				      task && task->fails);
-			/* it waits, and says nothing of the pool's room */
+			w = sch_trial_place(p, job, &job->spec.steps[step],
+					    task && task->fails);
+			/*
+			 * A suspect task that waits for its isolated retry does
+			 * not show that the pool is full.
+			 */
 			if (!w) {
 				if (job->spec.steps[step].flags & JTB_LASTS)
 					p->v->starved(p->v->arg, p->name);
@@ -233,10 +245,10 @@
 		}
 		if (!w && job->spec.steps[step].flags & JTB_LASTS) {
 			p->v->starved(p->v->arg, p->name);
-			sch_keep(p, job, step);
+			sch_reserve_worker(p, job, step);
 		}
 		if (!w) {
-			sch_miss(p, &job->spec.steps[step]);
+			sch_record_no_fit(p, &job->spec.steps[step]);
 			return;
 		}
 		p->started++;
@@ -246,53 +258,55 @@
 	}
 }
 
-/* All of a gang in one go, with one number, or none of it. */
-static void sch_gang(struct sch_pool *p, struct jtb_job *job, uint32_t turn,
-		     uint32_t step)
+/*
+ * Plans a gang: starts all its tasks at once, with one attempt number, or none.
+ */
+static void sch_plan_gang(struct sch_pool *p, struct jtb_job *job,
+			  uint32_t turn, uint32_t step)
 {
 	const struct jtb_part *part = jtb_part(job, turn, step);
 	uint32_t count = job->spec.steps[step].count;
 	struct jtb_name n = {.turn = turn, .step = step};
-	bool trial = sch_suspected(job, step, 0);
+	bool suspected = sch_suspected(job, step, 0);
 	struct jtb_worker *w;
 	GPtrArray *places;
 	uint32_t attempt = 0;
-	bool room;
+	bool placed;
 	uint32_t i;
 
 	if (part && part->n_runs + part->n_planned + part->n_done)
 		return;
 	for (i = 0; part && i < count; i++) {
 		attempt = MAX(attempt, part->tasks[i].attempt);
-		if (p->v->now_ms - part->tasks[i].free_ms < SCH_AGAIN_MS)
+		if (p->v->now_ms - part->tasks[i].free_ms < SCH_RETRY_DELAY_MS)
 			return;
 	}
-	if (!sch_tickets(p, job, turn, step))
+	if (!sch_apply_tickets(p, job, turn, step))
 		return;
-	if (trial)
-		sch_trial_bar(p, job);
+	if (suspected)
+		sch_trial_exclude_busy(p, job);
 	places = g_ptr_array_new();
-	room = sch_one_rack(p, job, turn, step, places);
-	if (!room && sch_waits_for_rack(p, job, step)) {
+	placed = sch_place_on_one_rack(p, job, turn, step, places);
+	if (!placed && sch_waits_for_rack(p, job, step)) {
 		g_ptr_array_free(places, TRUE);
 		return;
 	}
-	if (!room)
-		room = sch_places(p, job, turn, step, NULL, places);
+	if (!placed)
+		placed = sch_place_gang(p, job, turn, step, NULL, places);
 	g_strlcpy(n.id, job->spec.id, sizeof(n.id));
-	for (n.index = 0; room && n.index < count; n.index++) {
+	for (n.index = 0; placed && n.index < count; n.index++) {
 		w = g_ptr_array_index(places, n.index);
-		if (trial)
-			sch_trial_begin(p, w, job);
+		if (suspected)
+			sch_trial_start(p, w, job);
 		p->started++;
 		p->v->start(p->v->arg, job, &n, attempt + 1, w);
 	}
-	if (room)
+	if (placed)
 		job->rack_ms = 0;
 	g_ptr_array_free(places, TRUE);
-	if (room || trial)
+	if (placed || suspected)
 		return;
 	if (job->spec.steps[step].flags & JTB_LASTS)
 		p->v->starved(p->v->arg, p->name);
-	sch_miss(p, &job->spec.steps[step]);
+	sch_record_no_fit(p, &job->spec.steps[step]);
 }
--- a/src/sch.h
+++ b/src/sch.h
@@ -1,56 +1,63 @@
 #ifndef SCH_H
 #define SCH_H
 
+/* Scheduler: decides which tasks of a pool start next and on which workers. */
+
 #include <stdbool.h>
 #include <stdint.h>
 
 #include "jtb.h"
 
 /*
- * What runs next and where: decisions on the job table alone, without input
- * or output. Each pool is planned by itself.
+ * What a plan is made from, and the functions it calls. Decisions depend on the
+ * job table alone and do no input or output. Each pool is planned separately.
  */
 struct sch_view {
 	const struct jtb *jtb;
-	GHashTable *closed; /* ids of workers that are being emptied */
+	/* ids of workers being drained for a move or upkeep */
+	GHashTable *closed;
 	int64_t now_ms; /* monotonic */
 	int64_t wall_ms; /* since 1970 */
 	void *arg;
-	/* whether new work may be given to a worker */
+	/* Whether new work may be assigned to a worker. */
 	bool (*usable)(void *arg, const struct jtb_worker *w);
-	/* a worker's VM is due for upkeep: work that lasts goes elsewhere */
+	/*
+	 * Whether a worker's VM is due for upkeep; long-running tasks are then
+	 * placed elsewhere if possible.
+	 */
 	bool (*leaving)(void *arg, const struct jtb_worker *w);
 	/*
-	 * Whether there is a ticket for a step of a queue with advice on a
-	 * worker; NULL: all have one.
+	 * Whether a worker has a ticket for a step of a queue that requires
+	 * advice; NULL: every worker has one.
 	 */
 	bool (*ticketed)(void *arg, const struct jtb_job *job, uint32_t turn,
 			 uint32_t step, const struct jtb_worker *w);
-	/* start this task there; called while planning */
+	/* Starts a task on a worker; called while planning. */
 	void (*start)(void *arg, struct jtb_job *job, const struct jtb_name *n,
 		      uint32_t attempt, struct jtb_worker *w);
-	/* work that lasts found no worker in this pool */
+	/* Reports that no worker of a pool could take a long-running task. */
 	void (*starved)(void *arg, const char *pool);
 };
 
 /*
- * A run that its worker has listed for less than that has just begun, ms: should
- * the worker crash, it may be the reason.
+ * A run that its worker has listed for less than this time counts as just
+ * started, ms: should the worker crash, this run may be the cause.
  */
 #define SCH_FRESH_MS 200
 
-/* What is known of a run that hasn't been seen at work. */
+/* Values of sch_seen_ms for a run without an observed running time. */
 enum sch_seen {
 	SCH_UNSEEN = -1, /* its worker has never listed it */
-	SCH_NOT_SENT = -2, /* it was never told of it, or is through with it */
-	SCH_UNKNOWN = -3, /* an earlier leader started it, nobody knows when */
+	/* the worker was never sent it, or has finished with it */
+	SCH_NOT_SENT = -2,
+	SCH_UNKNOWN = -3, /* an earlier leader started it at an unknown time */
 };
 
-/* What a job can still reach, best first. */
+/* What a job can still achieve, best first. */
 enum sch_chance {
 	SCH_IN_TIME,
-	SCH_LATE, /* not all it can be worth */
-	SCH_HOPELESS, /* so late that it is worth nothing */
+	SCH_LATE, /* past its objective, worth less than its full value */
+	SCH_HOPELESS, /* so late that its result has no value */
 };
 
 uint32_t sch_plan(const struct sch_view *v, const char *pool);
--- a/src/sch_job.c
+++ b/src/sch_job.c
@@ -1,40 +1,48 @@
 #include "sch.h"
 
-/* What a job needs, and what it can still reach, by its caller's guesses. */
+/*
+ * What a job needs, and what it can still achieve, by its caller's estimates.
+ */
 
-/* A job that takes longer than so many times its objective is worth nothing. */
-#define SCH_LATE_FACTOR 3
+/* A job that takes longer than this many times its objective has no value. */
+#define SCH_WORTHLESS_FACTOR 3
 
-/* How much longer a job's work takes than its caller guessed. */
-static double sch_scale(const struct jtb_job *job)
+/*
+ * Returns the ratio of a job's expected task times to its caller's estimates.
+ */
+static double sch_time_scale(const struct jtb_job *job)
 {
 	return job->scale > 0 ? job->scale : 1;
 }
 
-/* How long a job may take to be worth all it can be, ms. */
+/* Returns the time within which a job must complete for its full value, ms. */
 int64_t sch_objective_ms(const struct jtb_queue *q, const struct jtb_job *job)
 {
-	return (int64_t)(q->stretch * job->chain_ms * sch_scale(job)) +
+	return (int64_t)(q->stretch * job->chain_ms * sch_time_scale(job)) +
 	       q->slack_ms;
 }
 
-/* What a job can still reach if it gets all the room it wants from now on. */
+/*
+ * Returns what a job can still achieve if it gets all the capacity it can use
+ * from now on.
+ */
 enum sch_chance sch_chance(const struct jtb_queue *q, const struct jtb_job *job,
 			   int64_t wall_ms)
 {
 	double left = job->work > 0 ? sch_undone(job, wall_ms) / job->work : 1;
 	int64_t age = wall_ms - job->accepted_ms;
 	int64_t limit = sch_objective_ms(q, job);
-	int64_t need = (int64_t)(job->chain_ms * sch_scale(job) * left);
+	int64_t need = (int64_t)(job->chain_ms * sch_time_scale(job) * left);
 
 	if (age + need <= limit)
 		return SCH_IN_TIME;
-	return age + need <= SCH_LATE_FACTOR * limit ? SCH_LATE : SCH_HOPELESS;
+	return age + need <= SCH_WORTHLESS_FACTOR * limit ? SCH_LATE
+							  : SCH_HOPELESS;
 }
 
 /*
- * Core-seconds of a job that are not done, by its guesses, of all times that
- * it is due.
+ * Returns the core-seconds of a job that are not done, by its estimates, over
+ * all turns that are due.
  */
 double sch_undone(const struct jtb_job *job, int64_t wall_ms)
 {
@@ -58,9 +66,9 @@
 }
 
 /*
- * Workers that the tasks of a job's steps need which must be kept apart, in
- * any of the times that are due: a gang of a later one is placed whole or not
- * at all, as that of the first.
+ * Returns the least number of workers that a job needs for its steps with a
+ * limit of tasks per worker, in any turn that is due: a gang of a later turn is
+ * placed whole or not at all, like that of the first.
  */
 uint32_t sch_apart(const struct jtb_job *job, int64_t wall_ms)
 {
@@ -87,9 +95,9 @@
 }
 
 /*
- * Cores that a job could use now: what runs of it, and what is due to. Tasks
- * that need much memory take the cores beside it with them; core_mb is the
- * memory that a worker has for each core.
+ * Returns the number of cores that a job could use now, for running tasks and
+ * those that are due. Tasks that need much memory also occupy the cores that
+ * belong to it; core_mb is a worker's memory per core.
  */
 double sch_usable_cores(const struct jtb_job *job, int64_t wall_ms,
 			double core_mb)
@@ -116,7 +124,7 @@
 	return cores;
 }
 
-/* Whether work of a job runs until it is cancelled. */
+/* Whether a job has a step that runs until it is cancelled. */
 bool sch_lasts(const struct jtb_job *job)
 {
 	uint32_t s;
@@ -127,7 +135,7 @@
 	return false;
 }
 
-/* Whether work that lasts runs on a worker. */
+/* Whether a long-running task runs on a worker. */
 bool sch_has_lasting(const struct jtb_worker *w)
 {
 	guint i;
@@ -142,8 +150,9 @@
 }
 
 /*
- * Whether a run that ended tells how long its task takes, from its order on.
- * led_ms: since when we lead; when an earlier leader ordered a run isn't known.
+ * Whether the time from the order to the end of a run is a valid sample of its
+ * task's duration. led_ms is when this leader's term began: when an earlier
+ * leader ordered a run isn't known.
  */
 bool sch_tells_time(const struct jtb_run *run, enum jtb_end how, int64_t led_ms)
 {
@@ -151,6 +160,8 @@
 
 	if (how != JTB_DONE || flags & (JTB_LASTS | JTB_GANG | JTB_FILLS))
 		return false;
-	/* a later try may go on from saved progress, and take only the rest */
+	/*
+	 * A later attempt may resume from saved progress and run only the rest.
+	 */
 	return run->attempt == 1 && run->ordered_ms > led_ms;
 }
--- a/src/sch_place.c
+++ b/src/sch_place.c
@@ -1,38 +1,41 @@
 #include "sch_int.h"
 
-/* Where a task may run: the workers of a pool, their room, and which is best. */
-
-/* Different jobs that fail on a worker in a row until it is suspect. */
-#define SCH_SUSPECT 3
-/* A suspect worker is tried with one task after so long, ms, */
-#define SCH_TRY_MS 5000
-/* and is suspect no more if nothing has failed on it for so long, ms. */
-#define SCH_TRUST_MS 60000
-
-static void sch_workers(struct sch_pool *p);
-static void sch_suspects(struct sch_pool *p);
-static bool sch_could_fit(const struct jtb_worker *w, const struct jtb_step *s);
+/*
+ * Where a task may run: the workers of a pool, their free capacity and score.
+ */
+
+/* Different jobs that must fail on a worker in a row to make it suspect. */
+#define SCH_SUSPECT_FAILS 3
+/* Delay until a suspect worker is tried with one task, ms. */
+#define SCH_SUSPECT_RETRY_MS 5000
+/* Time without a failure after which a worker is no longer suspect, ms. */
+#define SCH_SUSPECT_EXPIRE_MS 60000
+
+static void sch_collect_workers(struct sch_pool *p);
+static void sch_update_suspects(struct sch_pool *p);
+static bool sch_fits_beside_long_running(const struct jtb_worker *w,
+					 const struct jtb_step *s);
 static double sch_score(struct sch_pool *p, const struct jtb_worker *w,
 			const struct jtb_step *s);
 
-/* Begins to look at a pool: its workers that may be given work. */
+/* Initialises the state of a pool with its usable workers. */
 void sch_pool_init(struct sch_pool *p, const struct sch_view *v,
 		   const char *name)
 {
 	*p = (struct sch_pool){.v = v, .name = name};
-	p->kept = g_ptr_array_new();
-	sch_workers(p);
+	p->reserved = g_ptr_array_new();
+	sch_collect_workers(p);
 }
 
-/* Ends it. */
-void sch_pool_done(struct sch_pool *p)
+/* Frees the state of a pool. */
+void sch_pool_clear(struct sch_pool *p)
 {
 	g_ptr_array_free(p->workers, TRUE);
-	g_ptr_array_free(p->kept, TRUE);
+	g_ptr_array_free(p->reserved, TRUE);
 }
 
-/* The workers of a pool that may be given work. */
-static void sch_workers(struct sch_pool *p)
+/* Collects the workers of a pool that may be assigned work. */
+static void sch_collect_workers(struct sch_pool *p)
 {
 	GHashTableIter it;
 	struct jtb_worker *w;
@@ -42,19 +45,20 @@
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w))
 		if (strcmp(w->info.pool, p->name) == 0 && sch_usable(p->v, w)) {
 			w->barred = false;
-			sch_trial_look(p, w);
+			sch_trial_update(p, w);
 			g_ptr_array_add(p->workers, w);
 		}
-	sch_suspects(p);
+	sch_update_suspects(p);
 }
 
 /*
- * Made for the worker that fails whatever it starts: it is always free first,
- * draws in all that waits, and half of the jobs failed for good on it. Were
- * more than half of the workers suspect, the jobs would rather be at fault, and
- * none is shunned.
+ * Determines which workers are suspect. This handles a worker that fails every
+ * task it starts: it always has the most free capacity and attracts all waiting
+ * tasks, and without this check half of the jobs failed permanently on it. If
+ * half of the workers or more are suspect, the jobs are the more likely cause,
+ * and no worker is avoided.
  */
-static void sch_suspects(struct sch_pool *p)
+static void sch_update_suspects(struct sch_pool *p)
 {
 	guint n = 0;
 	guint i;
@@ -67,43 +71,51 @@
 		w->fails_seen = w->fails;
 		n += sch_suspect(w, p->v->now_ms);
 	}
-	p->suspects = n && 2 * n < p->workers->len;
+	p->avoid_suspects = n && 2 * n < p->workers->len;
 }
 
-/* Whether different jobs failed on a worker lately, and none was done since. */
+/*
+ * Whether several different jobs failed on a worker recently and none has
+ * completed there since.
+ */
 bool sch_suspect(const struct jtb_worker *w, int64_t now_ms)
 {
-	return w->fails >= SCH_SUSPECT && now_ms - w->failed_ms < SCH_TRUST_MS;
+	return w->fails >= SCH_SUSPECT_FAILS &&
+	       now_ms - w->failed_ms < SCH_SUSPECT_EXPIRE_MS;
 }
 
 /*
- * Whether a worker gets nothing of a step now as it is suspect. It is tried with
- * one task at a time, never one that has failed before; one that is done clears
- * it. What lasts is never done, and each moment without it is lost: it only
- * waits out the pause, which is shorter than it may be without a run.
+ * Whether a worker is not to get a task of a step now as it is suspect. It is
+ * tried with one task at a time, never with one that has failed before; a task
+ * that completes clears it. A long-running task never completes, and any time
+ * without a run is lost: it only waits for the pause to pass, which is shorter
+ * than the time that it may be without a run.
  */
-bool sch_shunned(const struct sch_pool *p, const struct jtb_worker *w,
-		 const struct jtb_step *s, bool again)
+bool sch_is_backed_off(const struct sch_pool *p, const struct jtb_worker *w,
+		       const struct jtb_step *s, bool failed_before)
 {
-	bool pause = p->v->now_ms - w->failed_ms < SCH_TRY_MS;
+	bool in_pause = p->v->now_ms - w->failed_ms < SCH_SUSPECT_RETRY_MS;
 
-	if (!p->suspects || !sch_suspect(w, p->v->now_ms))
+	if (!p->avoid_suspects || !sch_suspect(w, p->v->now_ms))
 		return false;
 	if (s->flags & JTB_LASTS)
-		return pause;
-	return again || pause || w->runs->len || w->plan_cpu;
+		return in_pause;
+	return failed_before || in_pause || w->runs->len || w->plan_cpu;
 }
 
-/* Whether new work may be given to a worker. */
+/* Whether new work may be assigned to a worker. */
 bool sch_usable(const struct sch_view *v, const struct jtb_worker *w)
 {
 	return !g_hash_table_contains(v->closed, w->info.id) &&
 	       v->usable(v->arg, w);
 }
 
-/* The best worker for a task of the step, or NULL. again: it has failed. */
+/*
+ * Returns the best worker for a task of a step, or NULL. failed_before: an
+ * earlier attempt of the task failed.
+ */
 struct jtb_worker *sch_place(struct sch_pool *p, const struct jtb_job *job,
-			     uint32_t step, bool again)
+			     uint32_t step, bool failed_before)
 {
 	const struct jtb_step *s = &job->spec.steps[step];
 	struct jtb_worker *best = NULL;
@@ -115,8 +127,8 @@
 		double score;
 
 		if (!sch_fits(w, s) || !sch_allowed(w, s) ||
-		    sch_shunned(p, w, s, again) || sch_is_kept(p, w) ||
-		    sch_reserved(p, w, job) ||
+		    sch_is_backed_off(p, w, s, failed_before) ||
+		    sch_is_reserved(p, w) || sch_is_trial_reserved(p, w, job) ||
 		    (p->rack && g_strcmp0(sch_rack_of(w), p->rack) != 0))
 			continue;
 		score = sch_score(p, w, s);
@@ -131,12 +143,13 @@
 }
 
 /*
- * Workers for all tasks of a step at once, one each in places, on one rack or,
- * for NULL, on any; false: not all of them have room. Room is taken while the
- * others are looked for.
+ * Finds workers for all tasks of a step at once, on one rack or, if rack is
+ * NULL, on any, and fills places with one worker per task. Returns false if not
+ * all of them fit. Capacity is reserved only while the search lasts.
  */
-bool sch_places(struct sch_pool *p, const struct jtb_job *job, uint32_t turn,
-		uint32_t step, const char *rack, GPtrArray *places)
+bool sch_place_gang(struct sch_pool *p, const struct jtb_job *job,
+		    uint32_t turn, uint32_t step, const char *rack,
+		    GPtrArray *places)
 {
 	const struct jtb_step *s = &job->spec.steps[step];
 	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
@@ -145,7 +158,7 @@
 
 	g_ptr_array_set_size(places, 0);
 	p->rack = rack;
-	sch_count_same(p, job, turn, step);
+	sch_count_step_tasks(p, job, turn, step);
 	while (places->len < s->count && (w = sch_place(p, job, step, true))) {
 		w->plan_cpu += cpu;
 		w->plan_mem += s->mem_mb;
@@ -164,61 +177,64 @@
 }
 
 /*
- * Work that lasts found no room: one worker gets nothing else until it fits,
- * the same in every plan. Short work that fills each gap as soon as it opens
- * would else keep out for good what needs two cores at once. Other work that
- * lasts never makes room: a worker kept free beside too much of it would stay
- * so for good, and have no room for what does fit.
+ * Reserves a worker for a long-running task that did not fit: the worker gets
+ * nothing else until the task fits, and is the same one in every plan.
+ * Otherwise short tasks, which fill each gap as soon as it opens, would for
+ * ever keep out a task that needs two cores at once. Other long-running tasks
+ * never give up their capacity: a worker reserved while they occupy too much of
+ * it would stay reserved for ever, and be lost to tasks that do fit.
  */
-void sch_keep(struct sch_pool *p, const struct jtb_job *job, uint32_t step)
+void sch_reserve_worker(struct sch_pool *p, const struct jtb_job *job,
+			uint32_t step)
 {
 	const struct jtb_step *s = &job->spec.steps[step];
 	struct jtb_worker *best = NULL;
-	double best_room = 0;
+	double best_free = 0;
 	guint i;
 
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
-		double room = (double)w->info.cpu - w->used_cpu - w->plan_cpu;
+		double free_cpu =
+			(double)w->info.cpu - w->used_cpu - w->plan_cpu;
 
-		if (!sch_could_fit(w, s) || !sch_allowed(w, s) ||
-		    sch_shunned(p, w, s, true) || sch_is_kept(p, w) ||
-		    sch_reserved(p, w, job))
+		if (!sch_fits_beside_long_running(w, s) || !sch_allowed(w, s) ||
+		    sch_is_backed_off(p, w, s, true) || sch_is_reserved(p, w) ||
+		    sch_is_trial_reserved(p, w, job))
 			continue;
 		if (w->kept_for == job->seq + 1)
-			room += w->info.cpu;
-		if (best && room <= best_room)
+			free_cpu += w->info.cpu;
+		if (best && free_cpu <= best_free)
 			continue;
 		best = w;
-		best_room = room;
+		best_free = free_cpu;
 	}
 	if (!best)
 		return;
 	best->kept_for = job->seq + 1;
 	best->kept_ms = p->v->now_ms;
-	g_ptr_array_add(p->kept, best);
+	g_ptr_array_add(p->reserved, best);
 }
 
-/* Whether a worker is kept free for work that lasts in this plan. */
-bool sch_is_kept(const struct sch_pool *p, const struct jtb_worker *w)
+/* Whether a worker is reserved for a long-running task in this plan. */
+bool sch_is_reserved(const struct sch_pool *p, const struct jtb_worker *w)
 {
-	return g_ptr_array_find(p->kept, w, NULL);
+	return g_ptr_array_find(p->reserved, w, NULL);
 }
 
 /*
- * Bars the workers that have no ticket for a step of a queue with advice: a
- * start without one is refused. False: none has one. The step then waits for
- * advice, which says nothing of the pool's room; it must neither end the plan
- * as full nor have VMs come.
+ * Excludes the workers that have no ticket for a step of a queue that requires
+ * advice, as they would refuse a start without one. Returns false if no worker
+ * has one. The step then waits for advice, which does not show that the pool is
+ * full: it must neither end the plan nor make the pool ask for VMs.
  */
-bool sch_tickets(struct sch_pool *p, const struct jtb_job *job, uint32_t turn,
-		 uint32_t step)
+bool sch_apply_tickets(struct sch_pool *p, const struct jtb_job *job,
+		       uint32_t turn, uint32_t step)
 {
 	bool advised = p->queue->advised && p->v->ticketed;
 	bool any = !advised;
 	guint i;
 
-	if (!advised && !p->barred)
+	if (!advised && !p->excluded)
 		return true;
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
@@ -227,11 +243,11 @@
 			    !p->v->ticketed(p->v->arg, job, turn, step, w);
 		any = any || !w->barred;
 	}
-	p->barred = advised;
+	p->excluded = advised;
 	return any;
 }
 
-/* Whether a worker may run the step at all, room or not. */
+/* Whether a worker may run a step, regardless of its free capacity. */
 bool sch_allowed(const struct jtb_worker *w, const struct jtb_step *s)
 {
 	if (w->barred || (s->label && !sch_has_label(w, s->label)))
@@ -239,7 +255,7 @@
 	return !s->per_worker || w->same_step < s->per_worker;
 }
 
-/* Whether a task fits into what a worker has left. */
+/* Whether a task fits into a worker's free capacity. */
 bool sch_fits(const struct jtb_worker *w, const struct jtb_step *s)
 {
 	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
@@ -249,8 +265,11 @@
 	       w->used_gpus + w->plan_gpus + s->gpus <= w->info.gpus;
 }
 
-/* Whether a task fits beside what runs on a worker until it is cancelled. */
-static bool sch_could_fit(const struct jtb_worker *w, const struct jtb_step *s)
+/*
+ * Whether a task would fit on a worker with only its long-running tasks left.
+ */
+static bool sch_fits_beside_long_running(const struct jtb_worker *w,
+					 const struct jtb_step *s)
 {
 	uint64_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
 	uint64_t mem_mb = s->mem_mb;
@@ -272,11 +291,12 @@
 }
 
 /*
- * Packs: the fullest worker that has room. Where tasks are spread, each VM of a
- * pool whose burst is over has a last task on it for as long as tasks take, and
- * the next burst waits for all of these; packed, the others are empty at once. A
- * worker that fails takes more with it, and as many fewer have anything to
- * lose. Where the data is counts for more than that.
+ * Scores a worker for a task; the highest score wins. Tasks are packed: the
+ * fullest worker that fits goes first. If tasks were spread, after a burst each
+ * VM of a pool would keep a last task for as long as tasks take, and the next
+ * burst would wait for all of them; with packing the other VMs are empty at
+ * once. A packed worker that fails takes more tasks with it, and as many fewer
+ * workers have any to lose. The rack of the data counts for more than packing.
  */
 static double sch_score(struct sch_pool *p, const struct jtb_worker *w,
 			const struct jtb_step *s)
@@ -290,14 +310,17 @@
 	if (s->flags & JTB_LASTS && p->v->leaving(p->v->arg, w))
 		score -= 20;
 	/*
-	 * Work that lasts keeps together, so that most VMs are free of it and
-	 * can follow the load to other pools.
+	 * Long-running tasks are kept together, so that most VMs are free of
+	 * them and can follow the load to other pools.
 	 */
 	if (s->flags & JTB_LASTS && sch_has_lasting(w))
 		score += 3;
 	if (!(s->flags & JTB_FILLS) && !s->tail_ms)
 		return score;
-	/* What fills idle processors disturbs what serves beside it. */
+	/*
+	 * Tasks that use idle processors disturb serving tasks on the same
+	 * worker.
+	 */
 	for (i = 0; i < w->runs->len; i++) {
 		const struct jtb_run *r = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *other = &r->job->spec.steps[r->step];
@@ -319,12 +342,12 @@
 }
 
 /*
- * Counts for each worker how many tasks of a step it runs or is about to run:
- * once before the step's tasks are placed, since to count for each task and
- * worker held the loop up with a large step.
+ * Counts for each worker the tasks of a step that it runs or is about to run.
+ * This is done once before the step's tasks are placed: counting anew for each
+ * task and worker blocked the event loop with a large step.
  */
-void sch_count_same(struct sch_pool *p, const struct jtb_job *job,
-		    uint32_t turn, uint32_t step)
+void sch_count_step_tasks(struct sch_pool *p, const struct jtb_job *job,
+			  uint32_t turn, uint32_t step)
 {
 	const struct jtb_part *part = jtb_part(job, turn, step);
 	uint32_t i;
@@ -347,39 +370,43 @@
 }
 
 /*
- * Whether tasks of that size have found no room in this plan: rooms only
- * shrink while it goes on, so that no larger one needs to be tried. Made for
- * bursts in which hundreds of jobs wait for a full pool. To end the plan after
- * so many of them instead left those behind unlooked at for good where the
- * first ones can never be placed, and it is the late ones that come first.
+ * Whether a task of this size or smaller has not fitted on any worker in this
+ * plan: free capacity only shrinks during a plan, so a larger task need not be
+ * tried. This makes plans fast in bursts in which hundreds of jobs wait for a
+ * full pool. Ending the plan after a number of failed placements instead left
+ * the jobs behind them unplanned for ever where the first ones can never be
+ * placed, and late jobs come first.
  */
-bool sch_missed(const struct sch_pool *p, const struct jtb_step *s)
+bool sch_is_no_fit(const struct sch_pool *p, const struct jtb_step *s)
 {
 	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
 	uint32_t i;
 
-	for (i = 0; i < p->n_misses; i++)
-		if (cpu >= p->misses[i].cpu &&
-		    s->mem_mb >= p->misses[i].mem_mb &&
-		    s->gpus >= p->misses[i].gpus)
+	for (i = 0; i < p->n_no_fits; i++)
+		if (cpu >= p->no_fits[i].cpu &&
+		    s->mem_mb >= p->no_fits[i].mem_mb &&
+		    s->gpus >= p->no_fits[i].gpus)
 			return true;
 	return false;
 }
 
-/* Remembers that a task found no place, if it was for want of room alone. */
-void sch_miss(struct sch_pool *p, const struct jtb_step *s)
+/*
+ * Records that a task did not fit on any worker, if lack of free capacity is
+ * the only reason.
+ */
+void sch_record_no_fit(struct sch_pool *p, const struct jtb_step *s)
 {
 	guint i;
 
-	if (p->n_misses == SCH_MISSES_MAX || sch_missed(p, s))
+	if (p->n_no_fits == SCH_NO_FIT_MAX || sch_is_no_fit(p, s))
 		return;
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		if (sch_fits(w, s) && !sch_is_kept(p, w) && !w->trial_for)
+		if (sch_fits(w, s) && !sch_is_reserved(p, w) && !w->trial_for)
 			return;
 	}
-	p->misses[p->n_misses++] = (struct sch_miss){
+	p->no_fits[p->n_no_fits++] = (struct sch_no_fit){
 		.cpu = s->flags & JTB_FILLS ? 0 : s->cpu,
 		.mem_mb = s->mem_mb,
 		.gpus = s->gpus,
--- a/src/sch_rack.c
+++ b/src/sch_rack.c
@@ -2,92 +2,95 @@
 
 #include <stdlib.h>
 
-/* Where a gang may run that is slow on more than one rack. */
+/* Where a gang that runs slowly on more than one rack may run. */
 
 /*
- * A gang that is slow on more than one rack takes about so many times as long
- * there: what the users' sites say.
+ * A gang that runs slowly on more than one rack takes about this many times as
+ * long when it is spread, as the users' sites report.
  */
-#define SCH_SPREAD_FACTOR 3
-/* Longest that it waits for one rack, ms. */
+#define SCH_SPREAD_SLOWDOWN 3
+/* Longest time that a gang waits for enough capacity on one rack, ms. */
 #define SCH_RACK_WAIT_MS 1500
 
-/* A rack, and how many tasks of a step fit there. */
+/* A rack, and how many tasks of a step fit on its workers. */
 struct sch_rack {
 	const char *name;
 	uint32_t fits;
 	bool data; /* the step's data is there */
 };
 
-static GArray *sch_racks(struct sch_pool *p, const struct jtb_step *s,
-			 bool now);
-static uint32_t sch_fit_count(const struct jtb_worker *w,
-			      const struct jtb_step *s, bool now);
-static int sch_rack_order(gconstpointer a, gconstpointer b);
+static GArray *sch_list_racks(struct sch_pool *p, const struct jtb_step *s,
+			      bool now);
+static uint32_t sch_count_fits(const struct jtb_worker *w,
+			       const struct jtb_step *s, bool now);
+static int sch_compare_racks(gconstpointer a, gconstpointer b);
 
 /*
- * Places for a gang that is slow on more than one rack: on the rack of its
- * data, or else on the one with the most room that has enough.
+ * Finds workers on one rack for a gang that runs slowly on more than one: on
+ * the rack of its data, or else on the rack with the most free capacity that
+ * holds it. Returns false if no rack holds it or the step is not of this kind.
  */
-bool sch_one_rack(struct sch_pool *p, const struct jtb_job *job, uint32_t turn,
-		  uint32_t step, GPtrArray *places)
+bool sch_place_on_one_rack(struct sch_pool *p, const struct jtb_job *job,
+			   uint32_t turn, uint32_t step, GPtrArray *places)
 {
 	const struct jtb_step *s = &job->spec.steps[step];
 	GArray *racks;
-	bool room = false;
+	bool placed = false;
 	guint i;
 
 	if (!(s->flags & JTB_ONE_RACK))
 		return false;
-	racks = sch_racks(p, s, true);
-	for (i = 0; i < racks->len && !room; i++) {
+	racks = sch_list_racks(p, s, true);
+	for (i = 0; i < racks->len && !placed; i++) {
 		const struct sch_rack *r =
 			&g_array_index(racks, struct sch_rack, i);
 
 		if (r->fits < s->count)
 			continue;
-		room = sch_places(p, job, turn, step, r->name, places);
+		placed = sch_place_gang(p, job, turn, step, r->name, places);
 	}
 	g_array_free(racks, TRUE);
-	return room;
+	return placed;
 }
 
 /*
- * Whether a gang that found room on no single rack waits for it. Spread over
- * several it takes about three times as long: two times its guess more. So it
- * waits as long as that at most, and comes out no worse than twice what would
- * have been best, whenever a rack gets free; and for no longer than 1.5 s, as
- * its caller sees a job that stands still beside free room. Where no rack
- * could hold it even when empty, there is nothing to wait for.
+ * Whether a gang that fits on no single rack now waits for one. Spread over
+ * several racks it takes about three times as long, that is, two times its
+ * estimate more. It therefore waits at most that long, and takes at most twice
+ * the best possible time whenever a rack gets free; but no longer than 1.5 s,
+ * as its caller sees a job that does not start beside free capacity. Where no
+ * rack could hold the gang even when empty, it does not wait.
  */
 bool sch_waits_for_rack(struct sch_pool *p, struct jtb_job *job, uint32_t step)
 {
 	const struct jtb_step *s = &job->spec.steps[step];
-	int64_t patience = MIN((int64_t)s->guess_ms * (SCH_SPREAD_FACTOR - 1),
-			       SCH_RACK_WAIT_MS);
+	int64_t timeout = MIN((int64_t)s->guess_ms * (SCH_SPREAD_SLOWDOWN - 1),
+			      SCH_RACK_WAIT_MS);
 	GArray *racks;
-	bool ever = false;
+	bool possible = false;
 	guint i;
 
 	if (!(s->flags & JTB_ONE_RACK))
 		return false;
-	racks = sch_racks(p, s, false);
-	for (i = 0; i < racks->len && !ever; i++)
-		ever = g_array_index(racks, struct sch_rack, i).fits >=
-		       s->count;
+	racks = sch_list_racks(p, s, false);
+	for (i = 0; i < racks->len && !possible; i++)
+		possible = g_array_index(racks, struct sch_rack, i).fits >=
+			   s->count;
 	g_array_free(racks, TRUE);
-	if (!ever)
+	if (!possible)
 		return false;
 	if (!job->rack_ms)
 		job->rack_ms = p->v->now_ms;
-	return p->v->now_ms - job->rack_ms < patience;
+	return p->v->now_ms - job->rack_ms < timeout;
 }
 
 /*
- * The racks of a pool with how many tasks of a step fit there, now or when
- * empty; that of its data first, then those with the most room.
+ * Returns the racks of a pool with the number of tasks of a step that fit
+ * there, now or when empty: the rack of the step's data first, then by that
+ * number.
  */
-static GArray *sch_racks(struct sch_pool *p, const struct jtb_step *s, bool now)
+static GArray *sch_list_racks(struct sch_pool *p, const struct jtb_step *s,
+			      bool now)
 {
 	GArray *racks = g_array_new(FALSE, TRUE, sizeof(struct sch_rack));
 	guint i;
@@ -110,15 +113,15 @@
 		if (r == racks->len)
 			g_array_append_val(racks, rack);
 		g_array_index(racks, struct sch_rack, r).fits +=
-			sch_fit_count(w, s, now);
+			sch_count_fits(w, s, now);
 	}
-	g_array_sort(racks, sch_rack_order);
+	g_array_sort(racks, sch_compare_racks);
 	return racks;
 }
 
-/* How many tasks of a step fit into a worker, now or when it is empty. */
-static uint32_t sch_fit_count(const struct jtb_worker *w,
-			      const struct jtb_step *s, bool now)
+/* Returns how many tasks of a step fit on a worker, now or when it is empty. */
+static uint32_t sch_count_fits(const struct jtb_worker *w,
+			       const struct jtb_step *s, bool now)
 {
 	uint32_t n = s->per_worker ? s->per_worker : JTB_TASKS_MAX;
 	uint32_t cpu = now ? w->used_cpu + w->plan_cpu : 0;
@@ -135,8 +138,8 @@
 	return n;
 }
 
-/* Orders racks: where they have enough, that of the data first. */
-static int sch_rack_order(gconstpointer a, gconstpointer b)
+/* Compares racks: the rack of the data first, then by how many tasks fit. */
+static int sch_compare_racks(gconstpointer a, gconstpointer b)
 {
 	const struct sch_rack *x = a;
 	const struct sch_rack *y = b;
@@ -148,7 +151,7 @@
 	return strcmp(x->name, y->name);
 }
 
-/* The rack that a worker is in, or NULL. */
+/* Returns the rack that a worker is in, or NULL. */
 const char *sch_rack_of(const struct jtb_worker *w)
 {
 	char **labels = w->info.labels;
--- a/src/sch_trial.c
+++ b/src/sch_trial.c
@@ -1,26 +1,35 @@
 #include "sch_int.h"
 
 /*
- * Tasks under which a worker may have crashed are tried alone: on a worker on
- * which nothing else has just begun, and which gets nothing else until they have
- * been seen at work. If it crashes as well they are guilty, if not they are
- * cleared, and what runs beside them is nobody's suspect in either case.
+ * Isolated retries. A task that may have crashed its worker is retried alone:
+ * on a worker where no other job's task has just started, and which gets
+ * nothing else until the task has been observed running. If that worker crashes
+ * as well, the task is to blame, otherwise it is cleared; tasks that run beside
+ * it become suspects in neither case.
  */
 
-/* A worker is kept for a trial so long after the last plan that wanted it, ms. */
-#define SCH_TRIAL_MS 500
+/*
+ * How long a worker stays reserved for an isolated retry after the last plan
+ * that asked for it, ms.
+ */
+#define SCH_TRIAL_RESERVE_MS 500
 
-/* One in so many workers of a pool is kept for trials at most. */
-#define SCH_TRIAL_SHARE 4
+/*
+ * At most one in this many workers of a pool is reserved for isolated retries.
+ */
+#define SCH_TRIAL_WORKERS_SHARE 4
 
-static bool sch_fresh(const struct jtb_run *run);
-static guint sch_fresh_others(const struct jtb_worker *w,
-			      const struct jtb_job *job);
-static bool sch_calm(const struct jtb_worker *w, const struct jtb_job *job);
-static void sch_reserve(struct sch_pool *p, const struct jtb_job *job,
-			const struct jtb_step *s, bool again);
+static bool sch_just_started(const struct jtb_run *run);
+static guint sch_count_just_started(const struct jtb_worker *w,
+				    const struct jtb_job *job);
+static bool sch_is_quiet(const struct jtb_worker *w, const struct jtb_job *job);
+static void sch_trial_reserve(struct sch_pool *p, const struct jtb_job *job,
+			      const struct jtb_step *s, bool failed_before);
 
-/* Whether a worker may have crashed under a task of a step; any of a gang. */
+/*
+ * Whether a task is suspected of having crashed a worker; for a gang, whether
+ * any of its members is.
+ */
 bool sch_suspected(const struct jtb_job *job, uint32_t step, uint32_t index)
 {
 	bool gang = job->spec.steps[step].flags & JTB_GANG;
@@ -30,7 +39,10 @@
 		const struct jtb_suspect *s =
 			&g_array_index(job->suspects, struct jtb_suspect, i);
 
-		/* one rack that lost its power is nobody's fault */
+		/*
+		 * A single crash shared with other workers, such as a rack that
+		 * lost its power, does not make a task suspect.
+		 */
 		if (s->step == step && (gang || s->index == index) &&
 		    (s->crashes > s->shared || s->crashes > 1))
 			return true;
@@ -38,7 +50,10 @@
 	return false;
 }
 
-/* For how long a run has been seen at work, ms, or one of enum sch_seen. */
+/*
+ * Returns for how long a run has been observed running, ms, or a value of enum
+ * sch_seen.
+ */
 int64_t sch_seen_ms(const struct jtb_run *run)
 {
 	int64_t seen = run->seen_ms - run->began_ms;
@@ -48,17 +63,19 @@
 	return run->began_ms ? seen : SCH_UNSEEN;
 }
 
-/* Whether a run has just begun, or isn't known to have. */
-static bool sch_fresh(const struct jtb_run *run)
+/* Whether a run has just started, or has not been observed running yet. */
+static bool sch_just_started(const struct jtb_run *run)
 {
 	int64_t seen = sch_seen_ms(run);
 
 	return seen != SCH_UNKNOWN && seen < SCH_FRESH_MS;
 }
 
-/* Runs of other jobs on a worker that have just begun. */
-static guint sch_fresh_others(const struct jtb_worker *w,
-			      const struct jtb_job *job)
+/*
+ * Returns the number of runs of other jobs on a worker that have just started.
+ */
+static guint sch_count_just_started(const struct jtb_worker *w,
+				    const struct jtb_job *job)
 {
 	guint n = 0;
 	guint i;
@@ -66,56 +83,63 @@
 	for (i = 0; i < w->runs->len; i++) {
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-		n += run->job != job && sch_fresh(run);
+		n += run->job != job && sch_just_started(run);
 	}
 	return n;
 }
 
-/* Whether nothing of other jobs begins on a worker. */
-static bool sch_calm(const struct jtb_worker *w, const struct jtb_job *job)
+/*
+ * Whether no other job has a run just started, or a start proposed, on a
+ * worker.
+ */
+static bool sch_is_quiet(const struct jtb_worker *w, const struct jtb_job *job)
 {
 	bool own = w->trial_for == job->seq + 1 && w->trial_begun;
 	bool planned = w->plan_cpu || w->plan_mem || w->plan_gpus;
 
-	return (own || !planned) && !sch_fresh_others(w, job);
+	return (own || !planned) && !sch_count_just_started(w, job);
 }
 
 /*
- * Goes on with a trial on a worker, or ends it: once all that was tried is over,
- * or has been at work for long enough.
+ * Continues or ends an isolated retry on a worker: it ends once all runs of the
+ * job there are over or have been observed running for long enough.
  */
-void sch_trial_look(const struct sch_pool *p, struct jtb_worker *w)
+void sch_trial_update(const struct sch_pool *p, struct jtb_worker *w)
 {
-	bool goes_on = w->plan_cpu || w->plan_mem || w->plan_gpus;
+	bool active = w->plan_cpu || w->plan_mem || w->plan_gpus;
 	guint i;
 
 	if (!w->trial_for || !w->trial_begun)
 		return;
-	for (i = 0; i < w->runs->len && !goes_on; i++) {
+	for (i = 0; i < w->runs->len && !active; i++) {
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-		goes_on = run->job->seq + 1 == w->trial_for && sch_fresh(run);
+		active = run->job->seq + 1 == w->trial_for &&
+			 sch_just_started(run);
 	}
-	if (goes_on)
+	if (active)
 		w->trial_ms = p->v->now_ms;
 	else
 		w->trial_for = 0;
 }
 
-/* Whether a worker is kept for the trial of another job. */
-bool sch_reserved(const struct sch_pool *p, const struct jtb_worker *w,
-		  const struct jtb_job *job)
+/* Whether a worker is reserved for an isolated retry of another job. */
+bool sch_is_trial_reserved(const struct sch_pool *p, const struct jtb_worker *w,
+			   const struct jtb_job *job)
 {
 	return w->trial_for && w->trial_for != job->seq + 1 &&
-	       p->v->now_ms - w->trial_ms < SCH_TRIAL_MS;
+	       p->v->now_ms - w->trial_ms < SCH_TRIAL_RESERVE_MS;
 }
 
 /*
- * A worker for a task that is to be tried alone: of those that are calm the one
- * on which least would be lost, or NULL. Then one is kept until it is calm.
+ * Returns the worker for the isolated retry of a task: of those without recent
+ * starts, the one whose loss would cost least. Returns NULL if there is none; a
+ * worker is then reserved until its recent starts have been observed running.
+ * failed_before: an earlier attempt of the task failed.
  */
-struct jtb_worker *sch_trial(struct sch_pool *p, const struct jtb_job *job,
-			     const struct jtb_step *s, bool again)
+struct jtb_worker *sch_trial_place(struct sch_pool *p,
+				   const struct jtb_job *job,
+				   const struct jtb_step *s, bool failed_before)
 {
 	struct jtb_worker *best = NULL;
 	double best_score = 0;
@@ -126,8 +150,9 @@
 		double score = -(double)w->used_cpu / MAX(1, w->info.cpu);
 
 		if (!sch_fits(w, s) || !sch_allowed(w, s) ||
-		    sch_shunned(p, w, s, again) || sch_is_kept(p, w) ||
-		    sch_reserved(p, w, job) || !sch_calm(w, job))
+		    sch_is_backed_off(p, w, s, failed_before) ||
+		    sch_is_reserved(p, w) || sch_is_trial_reserved(p, w, job) ||
+		    !sch_is_quiet(w, job))
 			continue;
 		if (sch_has_lasting(w))
 			score -= 2;
@@ -139,14 +164,17 @@
 		best_score = score;
 	}
 	if (best)
-		sch_trial_begin(p, best, job);
+		sch_trial_start(p, best, job);
 	else
-		sch_reserve(p, job, s, again);
+		sch_trial_reserve(p, job, s, failed_before);
 	return best;
 }
 
-/* A worker is kept for a job of which something is started on it now. */
-void sch_trial_begin(const struct sch_pool *p, struct jtb_worker *w,
+/*
+ * Marks a worker as reserved for the isolated retry of a job that starts there
+ * now.
+ */
+void sch_trial_start(const struct sch_pool *p, struct jtb_worker *w,
 		     const struct jtb_job *job)
 {
 	w->trial_for = job->seq + 1;
@@ -154,53 +182,58 @@
 	w->trial_begun = true;
 }
 
-/* For a gang that is tried: bars the workers on which something else begins. */
-void sch_trial_bar(struct sch_pool *p, const struct jtb_job *job)
+/*
+ * Excludes the workers with recent starts of other jobs, for the isolated retry
+ * of a gang.
+ */
+void sch_trial_exclude_busy(struct sch_pool *p, const struct jtb_job *job)
 {
 	guint i;
 
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		w->barred = w->barred || !sch_calm(w, job);
+		w->barred = w->barred || !sch_is_quiet(w, job);
 	}
-	/* has the next step's bars worked out anew */
-	p->barred = true;
+	/* makes the next step determine its excluded workers anew */
+	p->excluded = true;
 }
 
 /*
- * Keeps the worker on which least begins, so that it gets calm: at full load new
- * work would else begin on each at every moment.
+ * Reserves the worker with the fewest recent starts, so that no more are added:
+ * at full load new tasks would otherwise start on every worker all the time.
  */
-static void sch_reserve(struct sch_pool *p, const struct jtb_job *job,
-			const struct jtb_step *s, bool again)
+static void sch_trial_reserve(struct sch_pool *p, const struct jtb_job *job,
+			      const struct jtb_step *s, bool failed_before)
 {
 	struct jtb_worker *best = NULL;
-	guint best_fresh = 0;
-	guint kept = 0;
+	guint best_starts = 0;
+	guint reserved = 0;
 	guint i;
 
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
-		guint fresh = sch_fresh_others(w, job);
+		guint starts = sch_count_just_started(w, job);
 
-		if (sch_reserved(p, w, job)) {
-			kept++;
+		if (sch_is_trial_reserved(p, w, job)) {
+			reserved++;
 			continue;
 		}
 		if (!sch_fits(w, s) || !sch_allowed(w, s) ||
-		    sch_shunned(p, w, s, again) || sch_is_kept(p, w))
+		    sch_is_backed_off(p, w, s, failed_before) ||
+		    sch_is_reserved(p, w))
 			continue;
 		if (w->trial_for == job->seq + 1) {
 			w->trial_ms = p->v->now_ms;
 			return;
 		}
-		if (best && fresh >= best_fresh)
+		if (best && starts >= best_starts)
 			continue;
 		best = w;
-		best_fresh = fresh;
+		best_starts = starts;
 	}
-	if (!best || kept >= MAX(1, p->workers->len / SCH_TRIAL_SHARE))
+	if (!best ||
+	    reserved >= MAX(1, p->workers->len / SCH_TRIAL_WORKERS_SHARE))
 		return;
 	best->trial_for = job->seq + 1;
 	best->trial_ms = p->v->now_ms;
--- a/tests/prop/sch_prop.cc
+++ b/tests/prop/sch_prop.cc
@@ -19,11 +19,14 @@
 const int64_t START_MS = 100000;
 const uint32_t ATTEMPTS = 3;
 const uint32_t CPU = 8000;
-/* Steps a calm world is given to come to an end. */
-const int CALM = 3000;
-
-/* Over the whole range in every case; by itself inRange begins with the least. */
-int roll(int from, int to)
+/* Steps within which all jobs must end once there are no faults. */
+const int RECOVERY_STEPS = 3000;
+
+/*
+ * Returns a random number over the whole range in every case; without the
+ * resize inRange begins with the smallest numbers.
+ */
+int randomInt(int from, int to)
 {
 	return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(from, to));
 }
@@ -33,11 +36,11 @@
 	struct jtb_name name;
 	uint32_t attempt;
 	std::string worker;
-	int64_t ends; /* -1: lasts */
+	int64_t ends; /* -1: long-running */
 	bool stopped;
 };
 
-/* A start that is on its way to the log. */
+/* A start that is proposed and not committed. */
 struct Start {
 	struct jtb_name name;
 	uint32_t attempt;
@@ -47,12 +50,12 @@
 
 struct Worker {
 	std::string id;
-	bool bad = false; /* fails everything */
+	bool failing = false; /* fails everything */
 	bool draining = false;
-	bool silent = false; /* gets nothing, and nothing is heard of it */
+	bool unreachable = false; /* gets no start and reports no end */
 };
 
-struct Rig {
+struct Fixture {
 	struct jtb_watch watch = {};
 	struct jtb *jtb;
 	GHashTable *closed = g_hash_table_new(g_str_hash, g_str_equal);
@@ -61,16 +64,17 @@
 	std::vector<Run> runs;
 	std::vector<Start> starts;
 	std::set<std::string> accepted;
-	std::set<std::string> never; /* of these, those that fit nowhere */
-	std::set<std::string> lasting;
-	std::set<std::string> badJobs;
+	std::set<std::string> unplaceable; /* accepted, fit on no worker */
+	std::set<std::string> longRunning;
+	std::set<std::string> failingJobs;
 	std::set<std::string> done; /* tasks that ended as done */
 	std::map<std::string, enum jtb_job_state> outcome;
-	int slow = roll(0, 3); /* steps until a start is in the log, at most */
+	/* Most steps until a start is committed. */
+	int maxCommitSteps = randomInt(0, 3);
 	uint64_t nextId = 1;
 	uint64_t nextEnd = 1;
 
-	Rig()
+	Fixture()
 	{
 		watch.run_began = [](void *, struct jtb_run *) {};
 		watch.run_ends = [](void *, struct jtb_run *, enum jtb_end) {};
@@ -84,21 +88,21 @@
 		watch.config_changed = [](void *) {};
 		jtb = jtb_new(&watch, this);
 		jobs_config(jtb, 1, "p", ATTEMPTS);
-		workers.resize((size_t)roll(1, 8));
+		workers.resize((size_t)randomInt(1, 8));
 		for (auto &w : workers)
-			up(w);
+			addWorker(w);
 	}
-	~Rig()
+	~Fixture()
 	{
 		jtb_free(jtb);
 		g_hash_table_destroy(closed);
 	}
 
-	void up(Worker &w)
+	void addWorker(Worker &w)
 	{
 		w.id = "w" + std::to_string(nextId++);
 		w.draining = false;
-		w.silent = false;
+		w.unreachable = false;
 		jobs_worker(jtb, w.id.c_str(), CPU, false);
 	}
 
@@ -110,10 +114,10 @@
 		return nullptr;
 	}
 
-	/* A job has one outcome, which never changes. */
+	/* Checks that a job has one outcome, which never changes. */
 	static void onJob(void *arg, struct jtb_job *job)
 	{
-		Rig *r = static_cast<Rig *>(arg);
+		Fixture *r = static_cast<Fixture *>(arg);
 
 		if (jtb_ended(job) && !r->outcome.count(job->spec.id))
 			r->outcome[job->spec.id] = job->state;
@@ -125,37 +129,40 @@
 	{
 		struct jtb_step s[3] = {};
 		std::string id = "j" + std::to_string(nextId++);
-		uint32_t n = (uint32_t)roll(1, 4);
-		bool lasts = fits && roll(0, 8) == 0;
-		static char nobody[] = "nobody-has-it";
+		uint32_t n = (uint32_t)randomInt(1, 4);
+		bool lasts = fits && randomInt(0, 8) == 0;
+		static char absentLabel[] = "absent-label";
 
 		for (uint32_t i = 0; i < n; i++) {
-			s[i].count = (uint32_t)roll(1, 6);
-			s[i].cpu = (uint32_t)roll(1, 9) * 1000;
+			s[i].count = (uint32_t)randomInt(1, 6);
+			s[i].cpu = (uint32_t)randomInt(1, 9) * 1000;
 			s[i].mem_mb = 100;
-			s[i].guess_ms = (uint32_t)roll(1, 20) * 100;
-			s[i].after = i && roll(0, 2) ? 1ULL << (i - 1) : 0;
+			s[i].guess_ms = (uint32_t)randomInt(1, 20) * 100;
+			s[i].after = i && randomInt(0, 2) ? 1ULL << (i - 1) : 0;
 			if (lasts)
 				s[i].flags = JTB_LASTS;
-			else if (roll(0, 6) == 0)
-				gang(&s[i]);
+			else if (randomInt(0, 6) == 0)
+				makeGang(&s[i]);
 		}
-		if (!fits && roll(0, 2))
-			s[0].label = nobody;
+		if (!fits && randomInt(0, 2))
+			s[0].label = absentLabel;
 		else if (!fits)
 			s[0].cpu = CPU + 1;
 		jobs_job(jtb, id.c_str(), s, n, wall());
 		accepted.insert(id);
 		if (!fits)
-			never.insert(id);
+			unplaceable.insert(id);
 		if (lasts)
-			lasting.insert(id);
-		if (fits && !lasts && roll(0, 15) == 0)
-			badJobs.insert(id);
+			longRunning.insert(id);
+		if (fits && !lasts && randomInt(0, 15) == 0)
+			failingJobs.insert(id);
 	}
 
-	/* One that fits into a single worker, so that it can always run. */
-	static void gang(struct jtb_step *s)
+	/*
+	 * Makes a step a gang that fits on a single worker, so that it can
+	 * always run.
+	 */
+	static void makeGang(struct jtb_step *s)
 	{
 		s->flags = JTB_GANG;
 		s->cpu = 1000;
@@ -168,9 +175,9 @@
 
 	static bool onUsable(void *arg, const struct jtb_worker *w)
 	{
-		Worker *is = static_cast<Rig *>(arg)->workerOf(w->info.id);
+		Worker *is = static_cast<Fixture *>(arg)->workerOf(w->info.id);
 
-		return is && !is->silent && !w->info.draining;
+		return is && !is->unreachable && !w->info.draining;
 	}
 
 	static bool onLeaving(void *arg, const struct jtb_worker *w)
@@ -178,7 +185,7 @@
 		return false;
 	}
 
-	static void onStarved(void *arg, const char *pool)
+	static void onUnschedulable(void *arg, const char *pool)
 	{
 	}
 
@@ -186,24 +193,28 @@
 			    const struct jtb_name *n, uint32_t attempt,
 			    struct jtb_worker *w)
 	{
-		static_cast<Rig *>(arg)->start(job, n, attempt, w);
+		static_cast<Fixture *>(arg)->start(job, n, attempt, w);
 	}
 
-	/* What is proposed fits, counted with all else that is on its way. */
+	/*
+	 * Checks that a proposed start fits beside the runs and all other
+	 * proposed starts.
+	 */
 	void start(struct jtb_job *job, const struct jtb_name *n,
 		   uint32_t attempt, struct jtb_worker *w)
 	{
 		const struct jtb_step *s = &job->spec.steps[n->step];
 
 		RC_ASSERT(!jtb_ended(job));
-		RC_ASSERT(never.count(n->id) == 0u || n->step);
+		RC_ASSERT(unplaceable.count(n->id) == 0u || n->step);
 		RC_ASSERT(!s->label);
 		RC_ASSERT(jtb_step_due(job, n->turn, n->step, wall()));
 		RC_ASSERT(!w->info.draining);
 		RC_ASSERT(w->used_cpu + w->plan_cpu + s->cpu <= w->info.cpu);
 		jtb_plan(job, n, w);
-		starts.push_back({*n, attempt, w->info.id,
-				  now + roll(0, slow + 1) * STEP_MS});
+		starts.push_back(
+			{*n, attempt, w->info.id,
+			 now + randomInt(0, maxCommitSteps + 1) * STEP_MS});
 	}
 
 	void plan()
@@ -218,12 +229,12 @@
 		v.usable = onUsable;
 		v.leaving = onLeaving;
 		v.start = onStart;
-		v.starved = onStarved;
+		v.starved = onUnschedulable;
 		sch_plan(&v, "p");
 	}
 
-	/* Starts come out of the log; those that count are begun. */
-	void log()
+	/* Commits the starts that are due; those that are still valid begin. */
+	void commitStarts()
 	{
 		for (size_t i = 0; i < starts.size();) {
 			Start s = starts[i];
@@ -256,23 +267,24 @@
 				  .parts[s.name.step]
 				  .tasks[s.name.index]
 				  .fails < ATTEMPTS);
-		r.ends = lasting.count(s.name.id) ? -1
-						  : now + roll(1, 15) * STEP_MS;
+		r.ends = longRunning.count(s.name.id)
+				 ? -1
+				 : now + randomInt(1, 15) * STEP_MS;
 		runs.push_back(r);
 	}
 
-	/* Runs end by themselves, or since their job was cancelled. */
-	void work()
+	/* Ends the runs whose time is over or whose job was cancelled. */
+	void endRuns()
 	{
 		for (size_t i = runs.size(); i > 0; i--) {
 			Run r = runs[i - 1];
 			Worker *w = workerOf(r.worker);
 
-			if (w->silent || r.ends < 0 || now < r.ends)
+			if (w->unreachable || r.ends < 0 || now < r.ends)
 				continue;
 			runs.erase(runs.begin() + (long)i - 1);
 			end(r, r.stopped ? JTB_STOPPED
-			       : w->bad || badJobs.count(r.name.id)
+			       : w->failing || failingJobs.count(r.name.id)
 				       ? JTB_FAILED_RUN
 				       : JTB_DONE);
 		}
@@ -282,12 +294,12 @@
 	{
 		char text[JTB_ID_MAX + 40];
 		struct pk_out o;
-		int times = roll(1, 3);
+		int times = randomInt(1, 3);
 
 		jtb_name_text(&r.name, text, sizeof(text));
 		if (how == JTB_DONE)
 			done.insert(text);
-		/* told again it changes nothing */
+		/* An end that is reported again changes nothing. */
 		while (times-- > 0) {
 			pk_out_init(&o);
 			jtb_put_end(&o, r.worker.c_str(), nextEnd, &r.name,
@@ -297,7 +309,10 @@
 		nextEnd++;
 		if (how == JTB_DONE)
 			return;
-		/* one end of a gang is all of it: what is over isn't at work */
+		/*
+		 * The end of one member ends the whole gang; drop the runs that
+		 * are over.
+		 */
 		for (size_t i = runs.size(); i > 0; i--)
 			if (!jtb_find_run(jtb, &runs[i - 1].name,
 					  runs[i - 1].attempt,
@@ -305,8 +320,8 @@
 				runs.erase(runs.begin() + (long)i - 1);
 	}
 
-	/* A worker is over with all it runs, and another comes up. */
-	void lose(Worker &w)
+	/* Removes a worker with all its runs, and starts another one. */
+	void removeWorker(Worker &w)
 	{
 		for (size_t i = runs.size(); i > 0; i--)
 			if (runs[i - 1].worker == w.id)
@@ -317,7 +332,7 @@
 					  runs[i - 1].attempt,
 					  runs[i - 1].worker.c_str()))
 				runs.erase(runs.begin() + (long)i - 1);
-		up(w);
+		addWorker(w);
 	}
 
 	void cancel(const std::string &id)
@@ -330,21 +345,21 @@
 			}
 	}
 
-	/* All that was ever taken, in one flood. */
+	/* Cancels all accepted jobs at once. */
 	void cancelAll()
 	{
 		for (auto &id : accepted)
 			cancel(id);
 	}
 
-	/* Another leader: it has what is in the log, no more. */
+	/* Changes the leader: the new one has only what is committed. */
 	void newLeader()
 	{
 		struct pk_out a;
 		struct pk_out b;
 
 		for (auto &s : starts)
-			if (roll(0, 2))
+			if (randomInt(0, 2))
 				begin(s);
 		starts.clear();
 		pk_out_init(&a);
@@ -358,7 +373,7 @@
 		jtb_unplan_all(jtb);
 	}
 
-	/* The same in any order: tables of hashes have none. */
+	/* Compares ignoring the order, as hash tables have none. */
 	static bool sameBytes(struct lstr a, struct lstr b)
 	{
 		std::string x(a.p, a.len);
@@ -375,8 +390,11 @@
 		jobs_worker(jtb, w.id.c_str(), CPU, true);
 	}
 
-	/* What the table counts is what runs, and no worker is overrun. */
-	void counts()
+	/*
+	 * Checks that the job table counts what runs, and that no worker
+	 * exceeds its capacity.
+	 */
+	void checkCounts()
 	{
 		for (auto &w : workers) {
 			const struct jtb_worker *known =
@@ -402,28 +420,28 @@
 	void step()
 	{
 		now += STEP_MS;
-		work();
-		log();
+		endRuns();
+		commitStarts();
 		plan();
-		counts();
+		checkCounts();
 	}
 
-	void worldActs()
+	void injectEvent()
 	{
-		Worker &w = workers[(size_t)roll(0, (int)workers.size())];
+		Worker &w = workers[(size_t)randomInt(0, (int)workers.size())];
 
-		switch (roll(0, 20)) {
+		switch (randomInt(0, 20)) {
 		case 0:
 			newLeader();
 			break;
 		case 1:
-			lose(w);
+			removeWorker(w);
 			break;
 		case 2:
-			w.bad = roll(0, 2);
+			w.failing = randomInt(0, 2);
 			break;
 		case 3:
-			w.silent = roll(0, 2);
+			w.unreachable = randomInt(0, 2);
 			break;
 		case 4:
 			drain(w);
@@ -431,15 +449,15 @@
 		case 5:
 		case 6:
 			if (!accepted.empty())
-				cancel("j" +
-				       std::to_string(roll(1, (int)nextId)));
+				cancel("j" + std::to_string(randomInt(
+						     1, (int)nextId)));
 			break;
 		case 7:
-			if (roll(0, 4) == 0)
+			if (randomInt(0, 4) == 0)
 				cancelAll();
 			break;
 		case 8:
-			for (int i = roll(0, 20); i > 0; i--)
+			for (int i = randomInt(0, 20); i > 0; i--)
 				submit(false);
 			break;
 		default:
@@ -448,23 +466,26 @@
 	}
 
 	/* Whether a job that can run has no outcome yet. */
-	bool waits() const
+	bool anyPending() const
 	{
 		for (auto &id : accepted)
-			if (!never.count(id) && !outcome.count(id))
+			if (!unplaceable.count(id) && !outcome.count(id))
 				return true;
 		return false;
 	}
 
-	/* All workers are well; what lasts is cancelled in the end. */
-	void calm()
+	/*
+	 * Removes all faults: replaces all workers, and cancels the
+	 * long-running jobs.
+	 */
+	void removeFaults()
 	{
-		badJobs.clear();
-		for (auto &id : lasting)
+		failingJobs.clear();
+		for (auto &id : longRunning)
 			cancel(id);
 		for (auto &w : workers) {
-			w.bad = false;
-			lose(w);
+			w.failing = false;
+			removeWorker(w);
 		}
 	}
 };
@@ -474,37 +495,38 @@
 int main()
 {
 	bool ok = rc::check("every accepted job has one outcome", [] {
-		Rig r;
+		Fixture r;
 
-		for (int t = roll(5, 120); t > 0; t--) {
-			r.worldActs();
+		for (int t = randomInt(5, 120); t > 0; t--) {
+			r.injectEvent();
 			r.step();
 		}
-		r.calm();
-		for (int t = 0; t < CALM && r.waits(); t++)
+		r.removeFaults();
+		for (int t = 0; t < RECOVERY_STEPS && r.anyPending(); t++)
 			r.step();
 		for (auto &id : r.accepted) {
 			const struct jtb_job *job = jtb_job(r.jtb, id.c_str());
 
 			RC_ASSERT((job != nullptr));
-			RC_ASSERT(jtb_ended(job) || r.never.count(id) == 1u);
+			RC_ASSERT(jtb_ended(job) ||
+				  r.unplaceable.count(id) == 1u);
 		}
 	});
 
-	ok &= rc::check("what can never run holds nobody", [] {
-		Rig r;
-		for (int i = roll(1, 200); i > 0; i--)
+	ok &= rc::check("unplaceable jobs delay no other job", [] {
+		Fixture r;
+		for (int i = randomInt(1, 200); i > 0; i--)
 			r.submit(false);
-		for (int i = roll(1, 20); i > 0; i--)
+		for (int i = randomInt(1, 20); i > 0; i--)
 			r.submit(true);
-		for (int i = roll(1, 200); i > 0; i--)
+		for (int i = randomInt(1, 200); i > 0; i--)
 			r.submit(false);
-		for (auto &id : r.lasting)
+		for (auto &id : r.longRunning)
 			r.cancel(id);
-		for (int t = 0; t < CALM && r.waits(); t++)
+		for (int t = 0; t < RECOVERY_STEPS && r.anyPending(); t++)
 			r.step();
 		for (auto &id : r.accepted)
-			if (!r.never.count(id))
+			if (!r.unplaceable.count(id))
 				RC_ASSERT(
 					jtb_ended(jtb_job(r.jtb, id.c_str())));
 	});
--- a/tests/unit/sch_test.c
+++ b/tests/unit/sch_test.c
@@ -9,452 +9,472 @@
 
 #define PLAN_MS 100000
 
-struct bed {
+struct fixture {
 	struct jtb *jtb;
 	GHashTable *closed;
 	GString *log; /* JOB.STEP.INDEX@WORKER of each start, in order */
-	int starved;
+	int unschedulable;
 	int64_t wall;
-	const char *leaving;
-	bool proposes; /* starts stay on their way to the log */
-	int64_t later_ms; /* since the first plan */
-	const char *tickets; /* JOB@WORKER of each that there is */
+	const char *upkeep_due;
+	bool keep_proposed; /* proposed starts are not committed */
+	int64_t elapsed_ms; /* time since the first plan */
+	const char *tickets; /* JOB@WORKER of each existing ticket */
 };
 
-static bool bed_usable(void *arg, const struct jtb_worker *w)
+static bool on_usable(void *arg, const struct jtb_worker *w)
 {
 	return !w->info.draining;
 }
 
-static bool bed_leaving(void *arg, const struct jtb_worker *w)
+static bool on_leaving(void *arg, const struct jtb_worker *w)
 {
-	const struct bed *b = arg;
+	const struct fixture *f = arg;
 
-	return b->leaving && strcmp(b->leaving, w->info.id) == 0;
+	return f->upkeep_due && strcmp(f->upkeep_due, w->info.id) == 0;
 }
 
-static bool bed_ticketed(void *arg, const struct jtb_job *job, uint32_t turn,
-			 uint32_t step, const struct jtb_worker *w)
+static bool on_ticketed(void *arg, const struct jtb_job *job, uint32_t turn,
+			uint32_t step, const struct jtb_worker *w)
 {
-	const struct bed *b = arg;
+	const struct fixture *f = arg;
 	char *one = g_strdup_printf("%s@%s", job->spec.id, w->info.id);
-	bool found = strstr(b->tickets, one) != NULL;
+	bool found = strstr(f->tickets, one) != NULL;
 
 	g_free(one);
 	return found;
 }
 
-static void bed_start(void *arg, struct jtb_job *job, const struct jtb_name *n,
-		      uint32_t attempt, struct jtb_worker *w)
+static void on_start(void *arg, struct jtb_job *job, const struct jtb_name *n,
+		     uint32_t attempt, struct jtb_worker *w)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	g_string_append_printf(b->log, "%s.%u.%u@%s ", n->id, n->step, n->index,
+	g_string_append_printf(f->log, "%s.%u.%u@%s ", n->id, n->step, n->index,
 			       w->info.id);
-	if (b->proposes)
+	if (f->keep_proposed)
 		jtb_plan(job, n, w);
 	else
-		jobs_start(b->jtb, n->id, n->step, n->index, attempt,
+		jobs_start(f->jtb, n->id, n->step, n->index, attempt,
 			   w->info.id);
 }
 
-static void bed_starved(void *arg, const char *pool)
+static void on_starved(void *arg, const char *pool)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->starved++;
+	f->unschedulable++;
 }
 
-static void plan(struct bed *b)
+static void run_plan(struct fixture *f)
 {
 	struct sch_view v = {
-		.jtb = b->jtb,
-		.closed = b->closed,
-		.now_ms = PLAN_MS + b->later_ms,
-		.wall_ms = b->wall,
-		.arg = b,
-		.usable = bed_usable,
-		.leaving = bed_leaving,
-		.ticketed = bed_ticketed,
-		.start = bed_start,
-		.starved = bed_starved,
+		.jtb = f->jtb,
+		.closed = f->closed,
+		.now_ms = PLAN_MS + f->elapsed_ms,
+		.wall_ms = f->wall,
+		.arg = f,
+		.usable = on_usable,
+		.leaving = on_leaving,
+		.ticketed = on_ticketed,
+		.start = on_start,
+		.starved = on_starved,
 	};
 
-	g_string_truncate(b->log, 0);
+	g_string_truncate(f->log, 0);
 	sch_plan(&v, "p");
 }
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
-
-	b->jtb = jtb_new(NULL, NULL);
-	b->closed = g_hash_table_new(g_str_hash, g_str_equal);
-	b->log = g_string_new(NULL);
-	b->wall = JOBS_WALL_MS;
-	jobs_config(b->jtb, 1, "p", 3);
-	*state = b;
+	struct fixture *f = g_new0(struct fixture, 1);
+
+	f->jtb = jtb_new(NULL, NULL);
+	f->closed = g_hash_table_new(g_str_hash, g_str_equal);
+	f->log = g_string_new(NULL);
+	f->wall = JOBS_WALL_MS;
+	jobs_config(f->jtb, 1, "p", 3);
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	jtb_free(b->jtb);
-	g_hash_table_destroy(b->closed);
-	g_string_free(b->log, TRUE);
-	g_free(b);
+	jtb_free(f->jtb);
+	g_hash_table_destroy(f->closed);
+	g_string_free(f->log, TRUE);
+	g_free(f);
 	return 0;
 }
 
-static void job(struct bed *b, const char *id, uint32_t count, uint32_t cpu,
-		uint32_t guess_ms, uint32_t flags, int64_t age_ms)
+static void submit(struct fixture *f, const char *id, uint32_t count,
+		   uint32_t cpu, uint32_t guess_ms, uint32_t flags,
+		   int64_t age_ms)
 {
 	struct jtb_step s = {.count = count,
 			     .cpu = cpu,
 			     .guess_ms = guess_ms,
 			     .flags = flags};
 
-	jobs_job(b->jtb, id, &s, 1, b->wall - age_ms);
+	jobs_job(f->jtb, id, &s, 1, f->wall - age_ms);
 }
 
-/* Job N of one task fails on a worker. */
-static void fail_on(struct bed *b, int n, const char *worker)
+/* Runs a job of one task that fails on a worker. */
+static void fail_on(struct fixture *f, int n, const char *worker)
 {
 	char id[16];
 
 	g_snprintf(id, sizeof(id), "f%d", n);
-	job(b, id, 1, 1000, 500, 0, 0);
-	jobs_start(b->jtb, id, 0, 0, 1, worker);
-	jobs_end(b->jtb, id, 0, 0, 1, worker, JTB_FAILED_RUN);
-	jobs_cancel(b->jtb, id);
+	submit(f, id, 1, 1000, 500, 0, 0);
+	jobs_start(f->jtb, id, 0, 0, 1, worker);
+	jobs_end(f->jtb, id, 0, 0, 1, worker, JTB_FAILED_RUN);
+	jobs_cancel(f->jtb, id);
 }
 
-/* Where one more job is put; three workers, the first is the fullest. */
-static char *place_one(struct bed *b)
+/* Returns the worker on which one more job is placed, or an empty string. */
+static char *place_one(struct fixture *f)
 {
 	char *at;
 
-	job(b, "next", 1, 1000, 500, 0, 0);
-	plan(b);
-	at = strchr(b->log->str, '@');
-	return at ? g_strstrip(at + 1) : b->log->str;
+	submit(f, "next", 1, 1000, 500, 0, 0);
+	run_plan(f);
+	at = strchr(f->log->str, '@');
+	return at ? g_strstrip(at + 1) : f->log->str;
 }
 
-static void three_workers(struct bed *b)
+static void add_three_workers(struct fixture *f)
 {
-	jobs_worker(b->jtb, "w1", 16000, false);
-	jobs_worker(b->jtb, "w2", 3000, false);
-	jobs_worker(b->jtb, "w3", 3000, false);
-	job(b, "a", 2, 1000, 100000, 0, 0);
-	jobs_start(b->jtb, "a", 0, 0, 1, "w2");
-	jobs_start(b->jtb, "a", 0, 1, 1, "w3");
-	job(b, "b", 1, 7000, 100000, 0, 0);
-	jobs_start(b->jtb, "b", 0, 0, 1, "w1");
+	jobs_worker(f->jtb, "w1", 16000, false);
+	jobs_worker(f->jtb, "w2", 3000, false);
+	jobs_worker(f->jtb, "w3", 3000, false);
+	submit(f, "a", 2, 1000, 100000, 0, 0);
+	jobs_start(f->jtb, "a", 0, 0, 1, "w2");
+	jobs_start(f->jtb, "a", 0, 1, 1, "w3");
+	submit(f, "b", 1, 7000, 100000, 0, 0);
+	jobs_start(f->jtb, "b", 0, 0, 1, "w1");
 }
 
-/* A worker on which three jobs in a row failed gets no fourth for a while. */
-static void a_worker_that_fails_all_is_shunned(void **state)
+/*
+ * Guards against a worker that fails every task and attracts all waiting jobs:
+ * after three jobs in a row failed on it, it gets no fourth for a while.
+ */
+static void worker_that_fails_every_job_is_backed_off(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	three_workers(b);
-	fail_on(b, 1, "w1");
-	fail_on(b, 2, "w1");
-	fail_on(b, 3, "w1");
-	assert_string_not_equal(place_one(b), "w1");
+	add_three_workers(f);
+	fail_on(f, 1, "w1");
+	fail_on(f, 2, "w1");
+	fail_on(f, 3, "w1");
+	assert_string_not_equal(place_one(f), "w1");
 }
 
-/* Now and then a job fails, with others done between: no black hole. */
-static void what_is_done_clears_a_worker(void **state)
+/*
+ * A worker on which jobs fail now and then, with completed ones in between, is
+ * not backed off from.
+ */
+static void completed_job_clears_a_worker(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int i;
 
-	three_workers(b);
+	add_three_workers(f);
 	for (i = 0; i < 12; i += 2) {
 		char id[16];
 
-		fail_on(b, i, "w1");
-		fail_on(b, i + 1, "w1");
+		fail_on(f, i, "w1");
+		fail_on(f, i + 1, "w1");
 		g_snprintf(id, sizeof(id), "d%d", i);
-		job(b, id, 1, 1000, 500, 0, 0);
-		jobs_start(b->jtb, id, 0, 0, 1, "w1");
-		jobs_end(b->jtb, id, 0, 0, 1, "w1", JTB_DONE);
+		submit(f, id, 1, 1000, 500, 0, 0);
+		jobs_start(f->jtb, id, 0, 0, 1, "w1");
+		jobs_end(f->jtb, id, 0, 0, 1, "w1", JTB_DONE);
 	}
-	assert_string_equal(place_one(b), "w1");
+	assert_string_equal(place_one(f), "w1");
 }
 
 /*
- * Work that lasts is without a run though a worker has room: a job that fails
- * at once wherever it runs had all workers of its pool shunned in turn. What
- * lasts only waits out the pause of one that fails everything.
+ * Guards against a long-running task without a run beside free capacity: a job
+ * that fails at once wherever it runs made all workers of its pool suspect in
+ * turn. A long-running task only waits out the pause of such a worker.
  */
-static void what_lasts_waits_no_longer_than_a_pause(void **state)
+static void long_running_task_waits_only_for_the_pause(void **state)
 {
-	struct bed *b = *state;
-
-	three_workers(b);
-	fail_on(b, 1, "w1");
-	fail_on(b, 2, "w1");
-	fail_on(b, 3, "w1");
-	job(b, "l", 1, 8000, 0, JTB_LASTS, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	/* it has failed before, and something runs there */
-	jobs_start(b->jtb, "l", 0, 0, 1, "w2");
-	jobs_end(b->jtb, "l", 0, 0, 1, "w2", JTB_FAILED_RUN);
-	job(b, "m", 1, 100, 0, JTB_LASTS, 0);
-	jobs_start(b->jtb, "m", 0, 0, 1, "w1");
-	b->later_ms = 5000;
-	plan(b);
-	assert_string_equal(b->log->str, "l.0.0@w1 ");
+	struct fixture *f = *state;
+
+	add_three_workers(f);
+	fail_on(f, 1, "w1");
+	fail_on(f, 2, "w1");
+	fail_on(f, 3, "w1");
+	submit(f, "l", 1, 8000, 0, JTB_LASTS, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	/* The task has failed before, and another one runs on the worker. */
+	jobs_start(f->jtb, "l", 0, 0, 1, "w2");
+	jobs_end(f->jtb, "l", 0, 0, 1, "w2", JTB_FAILED_RUN);
+	submit(f, "m", 1, 100, 0, JTB_LASTS, 0);
+	jobs_start(f->jtb, "m", 0, 0, 1, "w1");
+	f->elapsed_ms = 5000;
+	run_plan(f);
+	assert_string_equal(f->log->str, "l.0.0@w1 ");
 }
 
 /*
- * Bad jobs fail wherever they run. Were the workers taken for black holes, the
- * whole pool would stand still.
+ * Guards against a pool that stops: jobs that fail wherever they run make all
+ * its workers look faulty.
  */
-static void bad_jobs_shun_no_worker(void **state)
+static void failing_jobs_make_no_worker_backed_off(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	const char *const workers[] = {"w1", "w2", "w3"};
 	char id[16];
 	int i;
 	int w;
 
-	three_workers(b);
-	/* each blames one worker at most, where it failed first */
+	add_three_workers(f);
+	/*
+	 * Each job counts against one worker at most, the one where it failed
+	 * first.
+	 */
 	for (i = 0; i < 9; i++) {
 		g_snprintf(id, sizeof(id), "bad%d", i);
-		job(b, id, 1, 1000, 500, 0, 0);
+		submit(f, id, 1, 1000, 500, 0, 0);
 		for (w = 0; w < 3; w++) {
-			jobs_start(b->jtb, id, 0, 0, (uint32_t)w + 1,
+			jobs_start(f->jtb, id, 0, 0, (uint32_t)w + 1,
 				   workers[(i + w) % 3]);
-			jobs_end(b->jtb, id, 0, 0, (uint32_t)w + 1,
+			jobs_end(f->jtb, id, 0, 0, (uint32_t)w + 1,
 				 workers[(i + w) % 3], JTB_FAILED_RUN);
 		}
-		assert_int_equal(jtb_job(b->jtb, id)->state, JTB_FAILED);
+		assert_int_equal(jtb_job(f->jtb, id)->state, JTB_FAILED);
 	}
-	assert_string_equal(place_one(b), "w1");
+	assert_string_equal(place_one(f), "w1");
 }
 
-/* Tasks that run on a worker. */
-static guint runs_on(struct bed *b, const char *worker)
+/* Returns the number of runs on a worker. */
+static guint runs_on(struct fixture *f, const char *worker)
 {
-	return jtb_worker(b->jtb, worker)->runs->len;
+	return jtb_worker(f->jtb, worker)->runs->len;
 }
 
-/* One task of four cores comes and is started; the one before last ends. */
-static void pass(struct bed *b, int n)
+/*
+ * Starts a job of one task of four cores and completes the job before the
+ * previous one.
+ */
+static void run_passing_job(struct fixture *f, int n)
 {
 	char id[16];
 	const struct jtb_job *old;
 
 	g_snprintf(id, sizeof(id), "p%d", n);
-	job(b, id, 1, 4000, 500, 0, 0);
-	plan(b);
+	submit(f, id, 1, 4000, 500, 0, 0);
+	run_plan(f);
 	g_snprintf(id, sizeof(id), "p%d", n - 2);
-	old = jtb_job(b->jtb, id);
+	old = jtb_job(f->jtb, id);
 	if (old)
-		jobs_end(b->jtb, id, 0, 0, 1,
+		jobs_end(f->jtb, id, 0, 0, 1,
 			 jtb_part(old, 0, 0)->tasks[0].run->worker->info.id,
 			 JTB_DONE);
 }
 
 /*
- * A burst is over and a trickle goes on: callers of the next pool's burst wait
- * for VMs. Spread over all four workers of this pool the trickle would keep
- * each of them from being empty; it keeps one, and three can go.
+ * Guards against VMs that stay occupied after a burst: a trickle of jobs spread
+ * over all four workers would keep each of them busy, while the next pool's
+ * burst waits for VMs. Packed on one worker, it leaves three empty.
  */
-static void what_is_left_of_a_burst_frees_workers(void **state)
+static void remainder_of_a_burst_is_packed(void **state)
 {
 	static const char *const workers[] = {"w1", "w2", "w3", "w4"};
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	guint empty = 0;
 	size_t w;
 	int i;
 
 	for (w = 0; w < G_N_ELEMENTS(workers); w++)
-		jobs_worker(b->jtb, workers[w], 16000, false);
-	job(b, "burst", 12, 4000, 500, 0, 0);
-	plan(b);
+		jobs_worker(f->jtb, workers[w], 16000, false);
+	submit(f, "burst", 12, 4000, 500, 0, 0);
+	run_plan(f);
 	for (i = 0; i < 12; i++) {
 		const struct jtb_part *part =
-			jtb_part(jtb_job(b->jtb, "burst"), 0, 0);
+			jtb_part(jtb_job(f->jtb, "burst"), 0, 0);
 
-		pass(b, i);
-		jobs_end(b->jtb, "burst", 0, (uint32_t)i, 1,
+		run_passing_job(f, i);
+		jobs_end(f->jtb, "burst", 0, (uint32_t)i, 1,
 			 part->tasks[i].run->worker->info.id, JTB_DONE);
 	}
 	for (i = 12; i < 24; i++)
-		pass(b, i);
+		run_passing_job(f, i);
 	for (w = 0; w < G_N_ELEMENTS(workers); w++)
-		empty += !runs_on(b, workers[w]);
+		empty += !runs_on(f, workers[w]);
 	assert_int_equal(empty, 3);
 }
 
 /*
- * 10,000 jobs are cancelled while others come in between: one of these starts
- * with the very next plan, and each cancelled job has its one outcome.
+ * 10,000 jobs are cancelled while another one is submitted: that one starts
+ * with the next plan, and each cancelled job has exactly one outcome.
  */
-static void a_flood_of_cancels_delays_nothing(void **state)
+static void mass_cancellation_delays_no_start(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	char id[16];
 	int i;
 
-	jobs_worker(b->jtb, "w1", 16000, false);
+	jobs_worker(f->jtb, "w1", 16000, false);
 	for (i = 0; i < 10000; i++) {
 		g_snprintf(id, sizeof(id), "j%d", i);
-		job(b, id, 1, 4000, 1000, 0, 0);
+		submit(f, id, 1, 4000, 1000, 0, 0);
 	}
-	plan(b);
+	run_plan(f);
 	for (i = 0; i < 10000; i++) {
 		g_snprintf(id, sizeof(id), "j%d", i);
-		jobs_cancel(b->jtb, id);
+		jobs_cancel(f->jtb, id);
 		if (i == 5000)
-			job(b, "urgent", 1, 4000, 1000, 0, 0);
+			submit(f, "urgent", 1, 4000, 1000, 0, 0);
 	}
 	for (i = 0; i < 10000; i++) {
 		const struct jtb_job *j;
 
 		g_snprintf(id, sizeof(id), "j%d", i);
-		j = jtb_job(b->jtb, id);
+		j = jtb_job(f->jtb, id);
 		assert_int_equal(j->state, JTB_CANCELLED);
 		if (j->n_runs)
-			jobs_end(b->jtb, id, 0, 0, 1, "w1", JTB_STOPPED);
+			jobs_end(f->jtb, id, 0, 0, 1, "w1", JTB_STOPPED);
 		assert_int_equal(j->state, JTB_CANCELLED);
 	}
-	plan(b);
-	assert_string_equal(b->log->str, "urgent.0.0@w1 ");
+	run_plan(f);
+	assert_string_equal(f->log->str, "urgent.0.0@w1 ");
 }
 
 /*
- * A pool stands idle beside work that it has room for: forty jobs that no
- * worker can ever take come before it, and a plan ended after so many that
- * found no room. The same if the only worker that could take them leaves.
+ * Guards against an idle pool with waiting jobs: many jobs that no worker can
+ * ever run, or only a draining one, rank first, and a plan ended after forty
+ * failed placements.
  */
-static void what_can_never_run_holds_nobody(void **state)
+static void unplaceable_long_running_jobs_delay_no_job(void **state)
 {
 	static char nobody[] = "nobody-has-it";
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 1, .cpu = 1000, .flags = JTB_LASTS, .label = nobody};
 	char id[16];
 	int i;
 
-	jobs_worker(b->jtb, "w1", 4000, false);
-	jobs_worker(b->jtb, "w2", 64000, true);
+	jobs_worker(f->jtb, "w1", 4000, false);
+	jobs_worker(f->jtb, "w2", 64000, true);
 	for (i = 0; i < 100; i++) {
 		g_snprintf(id, sizeof(id), "never%d", i);
-		jobs_job(b->jtb, id, &s, 1, b->wall);
+		jobs_job(f->jtb, id, &s, 1, f->wall);
 		g_snprintf(id, sizeof(id), "large%d", i);
-		job(b, id, 1, 32000 + (uint32_t)i, 1000, JTB_LASTS, 0);
+		submit(f, id, 1, 32000 + (uint32_t)i, 1000, JTB_LASTS, 0);
 	}
-	job(b, "a", 1, 1000, 1000, 0, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "a.0.0@w1 ");
+	submit(f, "a", 1, 1000, 1000, 0, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "a.0.0@w1 ");
 }
 
 /*
- * Room goes to a job that is late already, while one beside it could be in
- * time: its guess is twice too high, as are all of its queue, so that it is due
- * earlier than it looks.
+ * Guards against capacity given to a job that is late already while another
+ * could meet its objective: the estimates of its queue are twice too high, so
+ * its objective is earlier than it looks.
  */
-static void a_job_with_a_guess_too_high_is_late_sooner(void **state)
+static void too_high_estimate_makes_objective_earlier(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w", 1000, false);
-	job(b, "sure", 1, 1000, 1000, 0, 0);
-	job(b, "high", 1, 1000, 500, 0, 700);
-	jtb_job(b->jtb, "high")->scale = 0.5;
-	plan(b);
-	assert_string_equal(b->log->str, "sure.0.0@w ");
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w", 1000, false);
+	submit(f, "sure", 1, 1000, 1000, 0, 0);
+	submit(f, "high", 1, 1000, 500, 0, 700);
+	jtb_job(f->jtb, "high")->scale = 0.5;
+	run_plan(f);
+	assert_string_equal(f->log->str, "sure.0.0@w ");
 }
 
-/* Work is thrown away: it was given to a VM that is to be switched off. */
-static void a_closed_worker_gets_nothing(void **state)
+/*
+ * Guards against lost work: a task is placed on a VM that is about to be
+ * switched off.
+ */
+static void closed_worker_gets_no_task(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w1", 2000, false);
-	jobs_worker(b->jtb, "w2", 1000, false);
-	g_hash_table_add(b->closed, (gpointer) "w1");
-	job(b, "s1", 2, 1000, 100, 0, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "s1.0.0@w2 ");
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w1", 2000, false);
+	jobs_worker(f->jtb, "w2", 1000, false);
+	g_hash_table_add(f->closed, (gpointer) "w1");
+	submit(f, "s1", 2, 1000, 100, 0, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "s1.0.0@w2 ");
 }
 
 /*
- * Work that serves for good is without a run for a whole burst: short work
- * fills each gap as soon as it opens, and two cores are never free at once.
+ * Guards against a long-running task without a run for a whole burst: short
+ * tasks fill each gap at once, and two cores are never free at the same time.
  */
-static void work_that_lasts_goes_first(void **state)
+static void long_running_task_goes_first(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	jobs_worker(b->jtb, "w", 2000, false);
-	job(b, "s1", 2, 1000, 100, 0, 0);
-	job(b, "l1", 1, 1500, 0, JTB_LASTS, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "l1.0.0@w ");
+	jobs_worker(f->jtb, "w", 2000, false);
+	submit(f, "s1", 2, 1000, 100, 0, 0);
+	submit(f, "l1", 1, 1500, 0, JTB_LASTS, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "l1.0.0@w ");
 }
 
 /*
- * A gang whose members must be kept apart runs on one worker, and one fault
- * ends all of it: none of its members was counted until all had a place.
+ * Guards against a gang with a limit of tasks per worker that runs on one
+ * worker, so that one fault ends all of it: no member was counted until all
+ * were placed.
  */
-static void a_gang_is_kept_apart(void **state)
+static void gang_respects_limit_per_worker(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 2,
 			     .cpu = 500,
 			     .guess_ms = 100,
 			     .per_worker = 1,
 			     .flags = JTB_GANG};
 
-	jobs_worker(b->jtb, "w1", 2000, false);
-	jobs_job(b->jtb, "g", &s, 1, b->wall);
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	jobs_worker(b->jtb, "w2", 2000, false);
-	plan(b);
-	assert_non_null(strstr(b->log->str, "@w1"));
-	assert_non_null(strstr(b->log->str, "@w2"));
+	jobs_worker(f->jtb, "w1", 2000, false);
+	jobs_job(f->jtb, "g", &s, 1, f->wall);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	jobs_worker(f->jtb, "w2", 2000, false);
+	run_plan(f);
+	assert_non_null(strstr(f->log->str, "@w1"));
+	assert_non_null(strstr(f->log->str, "@w2"));
 }
 
-/* Tasks kept apart come together: what runs already isn't counted. */
-static void what_runs_counts_for_what_is_kept_apart(void **state)
+/*
+ * Guards against exceeding the limit of tasks per worker: tasks that run
+ * already were not counted.
+ */
+static void running_tasks_count_for_limit_per_worker(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 2, .cpu = 500, .guess_ms = 100, .per_worker = 1};
 
-	jobs_worker(b->jtb, "w1", 2000, false);
-	jobs_job(b->jtb, "a", &s, 1, b->wall);
-	plan(b);
-	assert_string_equal(b->log->str, "a.0.0@w1 ");
-	plan(b);
-	assert_string_equal(b->log->str, "");
+	jobs_worker(f->jtb, "w1", 2000, false);
+	jobs_job(f->jtb, "a", &s, 1, f->wall);
+	run_plan(f);
+	assert_string_equal(f->log->str, "a.0.0@w1 ");
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
 }
 
 /*
- * All jobs of a queue are judged by times that were too short: a run that an
- * earlier leader ordered counts from the change of leader, one that goes on
- * from saved progress takes the rest alone.
+ * Guards against estimates learned from durations that are too short: a run
+ * ordered by an earlier leader counts from the change of leader, and one
+ * resumed from saved progress runs only the rest.
  */
-static void only_whole_runs_tell_a_tasks_time(void **state)
+static void only_complete_runs_are_duration_samples(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_run *run;
 
-	jobs_worker(b->jtb, "w", 2000, false);
-	job(b, "a", 1, 1000, 100, 0, 0);
-	plan(b);
-	run = g_ptr_array_index(jtb_worker(b->jtb, "w")->runs, 0);
+	jobs_worker(f->jtb, "w", 2000, false);
+	submit(f, "a", 1, 1000, 100, 0, 0);
+	run_plan(f);
+	run = g_ptr_array_index(jtb_worker(f->jtb, "w")->runs, 0);
 	run->ordered_ms = PLAN_MS;
 	assert_true(sch_tells_time(run, JTB_DONE, PLAN_MS - 1));
 	assert_false(sch_tells_time(run, JTB_DONE, PLAN_MS));
@@ -467,185 +487,195 @@
 }
 
 /*
- * The leader crashes: a worker is over while a start for it is on its way to
- * the log, and the next plan counts that start on memory given back.
+ * Guards against a use after free in the leader: a worker is removed while a
+ * start for it is proposed, and the next plan counts that start on freed
+ * memory.
  */
-static void a_start_on_its_way_outlives_its_worker(void **state)
+static void proposed_start_survives_removal_of_its_worker(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 2, .cpu = 500, .guess_ms = 100, .per_worker = 1};
 
-	b->proposes = true;
-	jobs_worker(b->jtb, "w1", 2000, false);
-	jobs_job(b->jtb, "a", &s, 1, b->wall);
-	plan(b);
-	assert_string_equal(b->log->str, "a.0.0@w1 ");
-	jobs_gone(b->jtb, "w1", true);
-	jobs_worker(b->jtb, "w2", 2000, false);
-	plan(b);
-	assert_string_equal(b->log->str, "a.0.1@w2 ");
+	f->keep_proposed = true;
+	jobs_worker(f->jtb, "w1", 2000, false);
+	jobs_job(f->jtb, "a", &s, 1, f->wall);
+	run_plan(f);
+	assert_string_equal(f->log->str, "a.0.0@w1 ");
+	jobs_gone(f->jtb, "w1", true);
+	jobs_worker(f->jtb, "w2", 2000, false);
+	run_plan(f);
+	assert_string_equal(f->log->str, "a.0.1@w2 ");
 }
 
-static void a_worker_is_kept_free_for_it(void **state)
+/* Guards against short tasks that keep out a larger long-running one. */
+static void worker_is_reserved_for_long_running_task(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w", 2000, false);
-	job(b, "s1", 2, 1000, 100, 0, 0);
-	plan(b);
-	job(b, "l1", 1, 1500, 0, JTB_LASTS, 0);
-	job(b, "s2", 2, 1000, 100, 0, 0);
-	jobs_end(b->jtb, "s1", 0, 0, 1, "w", JTB_DONE);
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	assert_int_equal(b->starved, 1);
-	jobs_end(b->jtb, "s1", 0, 1, 1, "w", JTB_DONE);
-	plan(b);
-	assert_string_equal(b->log->str, "l1.0.0@w ");
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w", 2000, false);
+	submit(f, "s1", 2, 1000, 100, 0, 0);
+	run_plan(f);
+	submit(f, "l1", 1, 1500, 0, JTB_LASTS, 0);
+	submit(f, "s2", 2, 1000, 100, 0, 0);
+	jobs_end(f->jtb, "s1", 0, 0, 1, "w", JTB_DONE);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	assert_int_equal(f->unschedulable, 1);
+	jobs_end(f->jtb, "s1", 0, 1, 1, "w", JTB_DONE);
+	run_plan(f);
+	assert_string_equal(f->log->str, "l1.0.0@w ");
 }
 
 /*
- * In a burst of several times the room nearly every job is late: each waits
- * until it can't be in time any more and is then served. What can still be in
- * time goes before what can't, and the newest of it first.
+ * Guards against nearly all jobs being late in a burst of several times the
+ * capacity: each waits until it can't meet its objective any more and is then
+ * served. Jobs that can meet it go first, the newest of them first of all.
  */
-static void what_can_be_in_time_goes_first(void **state)
+static void job_that_can_meet_its_objective_goes_first(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w", 1000, false);
-	job(b, "hopeless", 1, 1000, 1000, 0, 60000);
-	job(b, "late", 1, 1000, 1000, 0, 2500);
-	job(b, "old", 1, 1000, 1000, 0, 500);
-	job(b, "new", 1, 1000, 1000, 0, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "new.0.0@w ");
-	jobs_end(b->jtb, "new", 0, 0, 1, "w", JTB_DONE);
-	plan(b);
-	assert_string_equal(b->log->str, "old.0.0@w ");
-	jobs_end(b->jtb, "old", 0, 0, 1, "w", JTB_DONE);
-	plan(b);
-	assert_string_equal(b->log->str, "late.0.0@w ");
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w", 1000, false);
+	submit(f, "hopeless", 1, 1000, 1000, 0, 60000);
+	submit(f, "late", 1, 1000, 1000, 0, 2500);
+	submit(f, "old", 1, 1000, 1000, 0, 500);
+	submit(f, "new", 1, 1000, 1000, 0, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "new.0.0@w ");
+	jobs_end(f->jtb, "new", 0, 0, 1, "w", JTB_DONE);
+	run_plan(f);
+	assert_string_equal(f->log->str, "old.0.0@w ");
+	jobs_end(f->jtb, "old", 0, 0, 1, "w", JTB_DONE);
+	run_plan(f);
+	assert_string_equal(f->log->str, "late.0.0@w ");
 }
 
-/* Many jobs are half done and none is finished. */
-static void what_is_begun_is_finished_first(void **state)
+/* Guards against many started jobs of which none finishes. */
+static void started_job_goes_first(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w", 1000, false);
-	job(b, "begun", 2, 1000, 300, 0, 100);
-	plan(b);
-	job(b, "new", 1, 1000, 300, 0, 0);
-	jobs_end(b->jtb, "begun", 0, 0, 1, "w", JTB_DONE);
-	plan(b);
-	assert_string_equal(b->log->str, "begun.0.1@w ");
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w", 1000, false);
+	submit(f, "begun", 2, 1000, 300, 0, 100);
+	run_plan(f);
+	submit(f, "new", 1, 1000, 300, 0, 0);
+	jobs_end(f->jtb, "begun", 0, 0, 1, "w", JTB_DONE);
+	run_plan(f);
+	assert_string_equal(f->log->str, "begun.0.1@w ");
 }
 
-static void nothing_is_put_where_it_doesnt_fit(void **state)
+/* A task is not placed on a worker without enough free capacity. */
+static void task_is_placed_only_where_it_fits(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	jobs_worker(b->jtb, "w1", 1500, false);
-	jobs_worker(b->jtb, "w2", 900, true);
-	job(b, "a", 3, 1000, 300, 0, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "a.0.0@w1 ");
+	jobs_worker(f->jtb, "w1", 1500, false);
+	jobs_worker(f->jtb, "w2", 900, true);
+	submit(f, "a", 3, 1000, 300, 0, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "a.0.0@w1 ");
 }
 
-static void tasks_are_kept_apart(void **state)
+/* A step with a limit of tasks per worker does not exceed it. */
+static void limit_per_worker_is_respected(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 3, .cpu = 100, .guess_ms = 10, .per_worker = 1};
 
-	jobs_worker(b->jtb, "w1", 9000, false);
-	jobs_worker(b->jtb, "w2", 9000, false);
-	jobs_job(b->jtb, "a", &s, 1, b->wall);
-	plan(b);
-	assert_int_equal(jtb_worker(b->jtb, "w1")->runs->len, 1);
-	assert_int_equal(jtb_worker(b->jtb, "w2")->runs->len, 1);
-	assert_int_equal(sch_apart(jtb_job(b->jtb, "a"), b->wall), 3);
+	jobs_worker(f->jtb, "w1", 9000, false);
+	jobs_worker(f->jtb, "w2", 9000, false);
+	jobs_job(f->jtb, "a", &s, 1, f->wall);
+	run_plan(f);
+	assert_int_equal(jtb_worker(f->jtb, "w1")->runs->len, 1);
+	assert_int_equal(jtb_worker(f->jtb, "w2")->runs->len, 1);
+	assert_int_equal(sch_apart(jtb_job(f->jtb, "a"), f->wall), 3);
 }
 
-/* Nor beside one whose start is on its way to the log. */
-static void proposed_tasks_are_kept_apart(void **state)
+/* The limit of tasks per worker counts proposed starts. */
+static void proposed_tasks_count_for_limit_per_worker(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 3, .cpu = 100, .guess_ms = 10, .per_worker = 1};
 	const struct jtb_part *part;
 
-	b->proposes = true;
-	jobs_worker(b->jtb, "w1", 9000, false);
-	jobs_worker(b->jtb, "w2", 9000, false);
-	jobs_job(b->jtb, "a", &s, 1, b->wall);
-	plan(b);
-	part = &jtb_job(b->jtb, "a")->turns[0].parts[0];
+	f->keep_proposed = true;
+	jobs_worker(f->jtb, "w1", 9000, false);
+	jobs_worker(f->jtb, "w2", 9000, false);
+	jobs_job(f->jtb, "a", &s, 1, f->wall);
+	run_plan(f);
+	part = &jtb_job(f->jtb, "a")->turns[0].parts[0];
 	assert_int_equal(part->n_planned, 2);
-	plan(b);
+	run_plan(f);
 	assert_int_equal(part->n_planned, 2);
 }
 
 /*
- * A worker on which a task fails at once gets it back at once, and uses up all
- * its attempts before anybody can look.
+ * Guards against a task that fails at once, is restarted at once on the same
+ * worker, and uses up all its attempts within moments.
  */
-static void a_task_that_ended_waits_a_moment(void **state)
+static void ended_task_is_retried_after_a_delay(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_task *task;
 
-	jobs_worker(b->jtb, "w", 9000, false);
-	job(b, "a", 1, 100, 10, 0, 0);
-	plan(b);
-	jobs_end(b->jtb, "a", 0, 0, 1, "w", JTB_FAILED_RUN);
-	task = &jtb_job(b->jtb, "a")->turns[0].parts[0].tasks[0];
+	jobs_worker(f->jtb, "w", 9000, false);
+	submit(f, "a", 1, 100, 10, 0, 0);
+	run_plan(f);
+	jobs_end(f->jtb, "a", 0, 0, 1, "w", JTB_FAILED_RUN);
+	task = &jtb_job(f->jtb, "a")->turns[0].parts[0].tasks[0];
 	task->free_ms = PLAN_MS;
-	plan(b);
-	assert_string_equal(b->log->str, "");
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
 	task->free_ms = 0;
-	plan(b);
-	assert_string_equal(b->log->str, "a.0.0@w ");
+	run_plan(f);
+	assert_string_equal(f->log->str, "a.0.0@w ");
 }
 
-static void a_label_is_required(void **state)
+/* A task is not placed on a worker without the required label. */
+static void task_needs_its_label(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	char label[] = "kind-b";
 	struct jtb_step s = {
 		.count = 1, .cpu = 100, .guess_ms = 10, .label = label};
 
-	jobs_worker(b->jtb, "w1", 9000, false);
-	jobs_job(b->jtb, "a", &s, 1, b->wall);
-	plan(b);
-	assert_string_equal(b->log->str, "");
+	jobs_worker(f->jtb, "w1", 9000, false);
+	jobs_job(f->jtb, "a", &s, 1, f->wall);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
 }
 
-/* Half a gang holds room and waits for the rest, which never comes. */
-static void a_gang_starts_whole_or_not(void **state)
+/*
+ * Guards against a part of a gang that occupies capacity and waits for members
+ * that never start.
+ */
+static void gang_starts_whole_or_not_at_all(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w1", 2000, false);
-	job(b, "g", 3, 1000, 300, JTB_GANG, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	jobs_worker(b->jtb, "w2", 1000, false);
-	plan(b);
-	assert_int_equal(jtb_job(b->jtb, "g")->n_runs, 3);
-	/* one of them is over: the rest goes on, and is not joined */
-	jobs_worker(b->jtb, "w3", 9000, false);
-	jobs_end(b->jtb, "g", 0, 1, 1, "w1", JTB_LOST);
-	plan(b);
-	assert_string_equal(b->log->str, "");
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w1", 2000, false);
+	submit(f, "g", 3, 1000, 300, JTB_GANG, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	jobs_worker(f->jtb, "w2", 1000, false);
+	run_plan(f);
+	assert_int_equal(jtb_job(f->jtb, "g")->n_runs, 3);
+	/*
+	 * One member has ended: the others go on, and no new member joins them.
+	 */
+	jobs_worker(f->jtb, "w3", 9000, false);
+	jobs_end(f->jtb, "g", 0, 1, 1, "w1", JTB_LOST);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
 }
 
-/* A repeated job starts at its time, not before. */
-static void a_time_is_waited_for(void **state)
+/* A turn of a repeated job starts at its time, not before. */
+static void turn_starts_at_its_time(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 1, .cpu = 100, .guess_ms = 10};
 	struct jtb_spec spec = {
 		.id = "r",
@@ -659,133 +689,136 @@
 	};
 	struct pk_out o;
 
-	jobs_worker(b->jtb, "w", 2000, false);
+	jobs_worker(f->jtb, "w", 2000, false);
 	pk_out_init(&o);
-	jtb_put_job(&o, &spec, b->wall);
-	jobs_apply(b->jtb, &o);
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	b->wall += 1000;
-	plan(b);
-	assert_string_equal(b->log->str, "r.0.0@w ");
+	jtb_put_job(&o, &spec, f->wall);
+	jobs_apply(f->jtb, &o);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	f->wall += 1000;
+	run_plan(f);
+	assert_string_equal(f->log->str, "r.0.0@w ");
 }
 
-/* Work that lasts isn't put where it will have to leave again. */
-static void a_vm_due_for_upkeep_is_avoided(void **state)
+/* A long-running task isn't placed on a VM that is due for upkeep. */
+static void vm_due_for_upkeep_is_avoided(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w1", 16000, false);
-	jobs_worker(b->jtb, "w2", 8000, false);
-	b->leaving = "w1";
-	job(b, "l", 1, 1000, 0, JTB_LASTS, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "l.0.0@w2 ");
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w1", 16000, false);
+	jobs_worker(f->jtb, "w2", 8000, false);
+	f->upkeep_due = "w1";
+	submit(f, "l", 1, 1000, 0, JTB_LASTS, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "l.0.0@w2 ");
 }
 
-/* So many jobs that no worker can ever take; they are late soonest. */
-static void impossible(struct bed *b, int n, struct jtb_step *s)
+/*
+ * Submits n jobs that no worker can ever run; accepted 60 s ago, they rank
+ * first among the late jobs.
+ */
+static void submit_unplaceable(struct fixture *f, int n, struct jtb_step *s)
 {
 	char id[16];
 	int i;
 
 	for (i = 0; i < n; i++) {
 		g_snprintf(id, sizeof(id), "x%d", i);
-		jobs_job(b->jtb, id, s, 1, b->wall - 60000);
+		jobs_job(f->jtb, id, s, 1, f->wall - 60000);
 	}
 }
 
 /*
- * A pool stands idle and its jobs wait for good: before them rank many that no
- * worker can take, as each asks for a label that none has, or for more than
- * any has. What failed to be placed was taken as a sign that the pool is full.
+ * Guards against an idle pool whose jobs wait for ever: before them rank many
+ * that no worker can run, as each needs a label that no worker has, or is
+ * larger than every worker. A failed placement was taken as a sign that the
+ * pool is full.
  */
-static void work_for_nobody_holds_up_nobody(void **state)
+static void unplaceable_jobs_delay_no_job(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	char label[] = "kind-none";
-	struct jtb_step label_step = {
+	struct jtb_step labelled = {
 		.count = 1, .cpu = 100, .guess_ms = 10, .label = label};
 	struct jtb_step large = {.count = 1, .cpu = 5000, .guess_ms = 10};
 
-	jobs_worker(b->jtb, "w", 2000, false);
-	impossible(b, 60, &label_step);
-	job(b, "a", 1, 1000, 1000, 0, 60000);
-	plan(b);
-	assert_string_equal(b->log->str, "a.0.0@w ");
+	jobs_worker(f->jtb, "w", 2000, false);
+	submit_unplaceable(f, 60, &labelled);
+	submit(f, "a", 1, 1000, 1000, 0, 60000);
+	run_plan(f);
+	assert_string_equal(f->log->str, "a.0.0@w ");
 	large.flags = JTB_LASTS;
-	jobs_end(b->jtb, "a", 0, 0, 1, "w", JTB_DONE);
-	jobs_job(b->jtb, "y", &large, 1, b->wall);
-	job(b, "b", 1, 1000, 1000, 0, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "b.0.0@w ");
+	jobs_end(f->jtb, "a", 0, 0, 1, "w", JTB_DONE);
+	jobs_job(f->jtb, "y", &large, 1, f->wall);
+	submit(f, "b", 1, 1000, 1000, 0, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "b.0.0@w ");
 }
 
 /*
- * The same by many jobs that one worker could take if work that lasts didn't
- * hold a part of it for good.
+ * Guards against an idle pool whose jobs wait for ever: before them rank many
+ * that would fit on a worker if a long-running task didn't occupy a part of it.
  */
-static void large_work_doesnt_hold_up_small(void **state)
+static void large_jobs_delay_no_small_job(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step large = {.count = 1, .cpu = 2000, .guess_ms = 10};
 
-	jobs_worker(b->jtb, "w", 2000, false);
-	job(b, "l", 1, 500, 0, JTB_LASTS, 0);
-	plan(b);
-	impossible(b, 60, &large);
-	job(b, "a", 1, 1000, 1000, 0, 60000);
-	plan(b);
-	assert_string_equal(b->log->str, "a.0.0@w ");
+	jobs_worker(f->jtb, "w", 2000, false);
+	submit(f, "l", 1, 500, 0, JTB_LASTS, 0);
+	run_plan(f);
+	submit_unplaceable(f, 60, &large);
+	submit(f, "a", 1, 1000, 1000, 0, 60000);
+	run_plan(f);
+	assert_string_equal(f->log->str, "a.0.0@w ");
 }
 
 /*
- * Work that lasts is without a run for good though a worker has room for it.
- * The worker is kept free for other work that lasts, which can't ever fit, as
- * a third holds half of the worker until it is cancelled.
+ * Guards against a long-running task that never starts beside free capacity:
+ * its worker is reserved for another long-running task, which can never fit, as
+ * a third one occupies half of the worker until it is cancelled.
  */
-static void a_worker_is_kept_only_if_it_can_free_up(void **state)
+static void worker_is_reserved_only_if_task_can_fit(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w", 2000, false);
-	job(b, "held", 1, 1000, 0, JTB_LASTS, 0);
-	plan(b);
-	job(b, "large", 1, 1500, 0, JTB_LASTS, 0);
-	job(b, "small", 1, 500, 0, JTB_LASTS, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "small.0.0@w ");
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w", 2000, false);
+	submit(f, "held", 1, 1000, 0, JTB_LASTS, 0);
+	run_plan(f);
+	submit(f, "large", 1, 1500, 0, JTB_LASTS, 0);
+	submit(f, "small", 1, 500, 0, JTB_LASTS, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "small.0.0@w ");
 }
 
 /*
- * Work that lasts is without a run for good: all workers of its pool are
- * closed, and none of them can be emptied since so much of its step is away
- * already. Nobody asked for another VM, as a pool without a worker that may be
- * used wasn't looked at.
+ * Guards against a long-running task that never starts: all workers of its pool
+ * are closed, and none can be drained, as too much of its step is without a run
+ * already. No VM was requested, as a pool without a usable worker was skipped.
  */
-static void a_pool_that_is_closed_asks_for_room(void **state)
+static void closed_pool_reports_missing_capacity(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w", 2000, false);
-	g_hash_table_add(b->closed, (gpointer) "w");
-	job(b, "s", 1, 1000, 100, 0, 0);
-	plan(b);
-	assert_int_equal(b->starved, 0);
-	job(b, "l", 1, 1000, 0, JTB_LASTS, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	assert_int_equal(b->starved, 1);
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w", 2000, false);
+	g_hash_table_add(f->closed, (gpointer) "w");
+	submit(f, "s", 1, 1000, 100, 0, 0);
+	run_plan(f);
+	assert_int_equal(f->unschedulable, 0);
+	submit(f, "l", 1, 1000, 0, JTB_LASTS, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	assert_int_equal(f->unschedulable, 1);
 }
 
 /*
- * A repeated gang whose members must be kept apart starts once and never
- * again: its pool shrinks below what it needs after its first time, since
- * only that was looked at.
+ * Guards against a repeated gang with a limit of tasks per worker that starts
+ * only once: its pool shrinks below what it needs after its first turn, as only
+ * that turn was considered.
  */
-static void each_turn_is_kept_apart(void **state)
+static void limit_per_worker_holds_for_each_turn(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 2,
 			     .cpu = 100,
 			     .guess_ms = 10,
@@ -803,129 +836,133 @@
 	};
 	struct pk_out o;
 
-	jobs_worker(b->jtb, "w1", 2000, false);
-	jobs_worker(b->jtb, "w2", 2000, false);
+	jobs_worker(f->jtb, "w1", 2000, false);
+	jobs_worker(f->jtb, "w2", 2000, false);
 	pk_out_init(&o);
-	jtb_put_job(&o, &spec, b->wall);
-	jobs_apply(b->jtb, &o);
-	plan(b);
-	jobs_end(b->jtb, "r", 0, 0, 1, "w1", JTB_DONE);
-	jobs_end(b->jtb, "r", 0, 0, 1, "w2", JTB_DONE);
-	assert_int_equal(jtb_job(b->jtb, "r")->turns_done, 1);
-	b->wall += 5000;
-	assert_int_equal(sch_apart(jtb_job(b->jtb, "r"), b->wall), 2);
+	jtb_put_job(&o, &spec, f->wall);
+	jobs_apply(f->jtb, &o);
+	run_plan(f);
+	jobs_end(f->jtb, "r", 0, 0, 1, "w1", JTB_DONE);
+	jobs_end(f->jtb, "r", 0, 0, 1, "w2", JTB_DONE);
+	assert_int_equal(jtb_job(f->jtb, "r")->turns_done, 1);
+	f->wall += 5000;
+	assert_int_equal(sch_apart(jtb_job(f->jtb, "r"), f->wall), 2);
 }
 
 /*
- * A gang that runs on processors which others leave idle never starts: it was
- * placed as if each member needed a processor for itself.
+ * Guards against a gang on idle processors that never starts: it was placed as
+ * if each member needed a processor of its own.
  */
-static void a_gang_that_fills_takes_no_processor(void **state)
+static void gang_on_idle_processors_needs_no_cpu(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	jobs_worker(b->jtb, "w", 2000, false);
-	job(b, "g", 4, 1000, 300, JTB_GANG | JTB_FILLS, 0);
-	plan(b);
-	assert_int_equal(jtb_job(b->jtb, "g")->n_runs, 4);
-	assert_int_equal(jtb_worker(b->jtb, "w")->plan_cpu, 0);
+	jobs_worker(f->jtb, "w", 2000, false);
+	submit(f, "g", 4, 1000, 300, JTB_GANG | JTB_FILLS, 0);
+	run_plan(f);
+	assert_int_equal(jtb_job(f->jtb, "g")->n_runs, 4);
+	assert_int_equal(jtb_worker(f->jtb, "w")->plan_cpu, 0);
 }
 
 /*
- * A gang that lasts is without a run for good: nobody was told that it found
- * no room, so that its pool was given no other VM.
+ * Guards against a long-running gang that never starts: its lack of capacity
+ * was not reported, so its pool got no other VM.
  */
-static void a_gang_that_lasts_asks_for_room(void **state)
+static void long_running_gang_reports_missing_capacity(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	jobs_worker(b->jtb, "w", 2000, false);
-	job(b, "g", 3, 1000, 0, JTB_GANG | JTB_LASTS, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	assert_int_equal(b->starved, 1);
+	jobs_worker(f->jtb, "w", 2000, false);
+	submit(f, "g", 3, 1000, 0, JTB_GANG | JTB_LASTS, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	assert_int_equal(f->unschedulable, 1);
 }
 
-/* From now on starts of the queue need tickets, and there are these. */
-static void need_tickets(struct bed *b, const char *tickets)
+/* Makes the queue require advice, with these tickets. */
+static void require_tickets(struct fixture *f, const char *tickets)
 {
 	struct jtb_queue *q =
-		(struct jtb_queue *)jtb_queue(jtb_config(b->jtb), "q");
+		(struct jtb_queue *)jtb_queue(jtb_config(f->jtb), "q");
 
 	q->advised = true;
-	b->tickets = tickets;
+	f->tickets = tickets;
 }
 
 /*
- * A worker refuses one start after another for want of a ticket. What has none
- * waits; it says nothing of the pool's room, so that others go on behind it
- * and no VM comes for it.
+ * Guards against starts that are refused one after another for lack of a
+ * ticket. A task without one waits, does not count as a sign that the pool is
+ * full, and so neither delays other jobs nor requests a VM.
  */
-static void what_has_no_ticket_waits_and_holds_nobody_up(void **state)
+static void job_without_ticket_waits_and_delays_no_job(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	char id[16];
 	int i;
 
-	jobs_worker(b->jtb, "w1", 1000, false);
-	jobs_worker(b->jtb, "w2", 8000, false);
-	need_tickets(b, "");
+	jobs_worker(f->jtb, "w1", 1000, false);
+	jobs_worker(f->jtb, "w2", 8000, false);
+	require_tickets(f, "");
 	for (i = 0; i < 60; i++) {
 		g_snprintf(id, sizeof(id), "n%d", i);
-		job(b, id, 1, 1000, 300, JTB_LASTS, 0);
+		submit(f, id, 1, 1000, 300, JTB_LASTS, 0);
 	}
-	job(b, "g", 2, 1000, 300, JTB_GANG, 0);
-	job(b, "y", 1, 1000, 300, 0, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	assert_int_equal(b->starved, 0);
-	need_tickets(b, "y@w1");
-	plan(b);
-	assert_string_equal(b->log->str, "y.0.0@w1 ");
-	/* the worker with the ticket is full: that is want of room */
-	need_tickets(b, "n0@w1");
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	assert_int_equal(b->starved, 1);
+	submit(f, "g", 2, 1000, 300, JTB_GANG, 0);
+	submit(f, "y", 1, 1000, 300, 0, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	assert_int_equal(f->unschedulable, 0);
+	require_tickets(f, "y@w1");
+	run_plan(f);
+	assert_string_equal(f->log->str, "y.0.0@w1 ");
+	/* The only worker with a ticket is full: capacity is missing now. */
+	require_tickets(f, "n0@w1");
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	assert_int_equal(f->unschedulable, 1);
 }
 
-/* All members of a gang need a ticket where they run. */
-static void a_gang_runs_where_it_has_tickets(void **state)
+/* All members of a gang need a ticket for the workers where they run. */
+static void gang_runs_where_it_has_tickets(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w1", 1000, false);
-	jobs_worker(b->jtb, "w2", 8000, false);
-	need_tickets(b, "g@w1");
-	job(b, "g", 2, 1000, 300, JTB_GANG, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	need_tickets(b, "g@w1 g@w2");
-	plan(b);
-	assert_int_equal(jtb_job(b->jtb, "g")->n_runs, 2);
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w1", 1000, false);
+	jobs_worker(f->jtb, "w2", 8000, false);
+	require_tickets(f, "g@w1");
+	submit(f, "g", 2, 1000, 300, JTB_GANG, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	require_tickets(f, "g@w1 g@w2");
+	run_plan(f);
+	assert_int_equal(jtb_job(f->jtb, "g")->n_runs, 2);
 }
 
-/* A queue that needs no advice isn't held by what one with advice was. */
-static void who_was_barred_for_one_step_isnt_for_the_next(void **state)
+/*
+ * A worker without a ticket for the last step planned is usable for a queue
+ * that requires no advice.
+ */
+static void exclusion_ends_with_its_step(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_queue *q;
 
-	jobs_worker(b->jtb, "w1", 8000, false);
-	jobs_worker(b->jtb, "w2", 1000, false);
-	need_tickets(b, "x@w2");
-	job(b, "x", 1, 1000, 300, 0, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "x.0.0@w2 ");
-	q = (struct jtb_queue *)jtb_queue(jtb_config(b->jtb), "q");
+	jobs_worker(f->jtb, "w1", 8000, false);
+	jobs_worker(f->jtb, "w2", 1000, false);
+	require_tickets(f, "x@w2");
+	submit(f, "x", 1, 1000, 300, 0, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "x.0.0@w2 ");
+	q = (struct jtb_queue *)jtb_queue(jtb_config(f->jtb), "q");
 	q->advised = false;
-	job(b, "y", 1, 1000, 300, 0, 0);
-	plan(b);
-	assert_string_equal(b->log->str, "y.0.0@w1 ");
+	submit(f, "y", 1, 1000, 300, 0, 0);
+	run_plan(f);
+	assert_string_equal(f->log->str, "y.0.0@w1 ");
 }
 
-/* A worker of so many cores in a rack. */
-static void in_rack(struct bed *b, const char *id, const char *rack, int cores)
+/* Adds a worker with a number of cores in a rack. */
+static void add_worker_in_rack(struct fixture *f, const char *id,
+			       const char *rack, int cores)
 {
 	char *labels[] = {(char *)"kind-a", (char *)rack, NULL};
 	struct jtb_worker_info info = {
@@ -941,11 +978,11 @@
 
 	pk_out_init(&o);
 	jtb_put_worker(&o, &info);
-	jobs_apply(b->jtb, &o);
+	jobs_apply(f->jtb, &o);
 }
 
-static void gang(struct bed *b, const char *id, uint32_t count,
-		 const char *data_rack)
+static void submit_gang(struct fixture *f, const char *id, uint32_t count,
+			const char *data_rack)
 {
 	struct jtb_step s = {.count = count,
 			     .cpu = 1000,
@@ -953,197 +990,222 @@
 			     .flags = JTB_GANG | JTB_ONE_RACK,
 			     .rack = (char *)data_rack};
 
-	jobs_job(b->jtb, id, &s, 1, b->wall);
+	jobs_job(f->jtb, id, &s, 1, f->wall);
 }
 
-/* A gang takes three times as long, as its members are spread over racks. */
-static void a_gang_runs_on_one_rack(void **state)
+/*
+ * Guards against a gang that takes three times as long as its members are
+ * spread over racks.
+ */
+static void gang_runs_on_one_rack(void **state)
 {
-	struct bed *b = *state;
-
-	in_rack(b, "w1", "r1", 4);
-	in_rack(b, "w2", "r1", 1);
-	in_rack(b, "w3", "r2", 3);
-	in_rack(b, "w4", "r2", 3);
-	gang(b, "g", 6, NULL);
-	plan(b);
-	assert_null(strstr(b->log->str, "@w1"));
-	assert_null(strstr(b->log->str, "@w2"));
-	assert_int_equal(jtb_job(b->jtb, "g")->n_runs, 6);
-	/* the rack of its data, though another has more room */
-	in_rack(b, "w5", "r3", 9);
-	gang(b, "d", 3, "r1");
-	plan(b);
-	assert_null(strstr(b->log->str, "@w5"));
-	assert_int_equal(jtb_job(b->jtb, "d")->n_runs, 3);
-	/* which is full by now: any other */
-	gang(b, "e", 3, "r1");
-	plan(b);
-	assert_string_equal(b->log->str, "e.0.0@w5 e.0.1@w5 e.0.2@w5 ");
-	/* the first has room for two, and this has more */
-	gang(b, "f", 2, NULL);
-	plan(b);
-	assert_string_equal(b->log->str, "f.0.0@w5 f.0.1@w5 ");
+	struct fixture *f = *state;
+
+	add_worker_in_rack(f, "w1", "r1", 4);
+	add_worker_in_rack(f, "w2", "r1", 1);
+	add_worker_in_rack(f, "w3", "r2", 3);
+	add_worker_in_rack(f, "w4", "r2", 3);
+	submit_gang(f, "g", 6, NULL);
+	run_plan(f);
+	assert_null(strstr(f->log->str, "@w1"));
+	assert_null(strstr(f->log->str, "@w2"));
+	assert_int_equal(jtb_job(f->jtb, "g")->n_runs, 6);
+	/*
+	 * The rack of its data is chosen, though another has more free
+	 * capacity.
+	 */
+	add_worker_in_rack(f, "w5", "r3", 9);
+	submit_gang(f, "d", 3, "r1");
+	run_plan(f);
+	assert_null(strstr(f->log->str, "@w5"));
+	assert_int_equal(jtb_job(f->jtb, "d")->n_runs, 3);
+	/* The rack of its data is full by now: any other is chosen. */
+	submit_gang(f, "e", 3, "r1");
+	run_plan(f);
+	assert_string_equal(f->log->str, "e.0.0@w5 e.0.1@w5 e.0.2@w5 ");
+	/*
+	 * Both racks fit two tasks, and the one with more free capacity is
+	 * chosen.
+	 */
+	submit_gang(f, "f", 2, NULL);
+	run_plan(f);
+	assert_string_equal(f->log->str, "f.0.0@w5 f.0.1@w5 ");
 }
 
 /*
- * No rack has room for all, and one will: the gang waits, for no longer than
- * spreading would cost it, and holds nobody up meanwhile.
+ * A gang that no rack can hold now, but one could when empty, waits no longer
+ * than a spread start would cost it, and doesn't delay other jobs meanwhile.
  */
-static void a_gang_waits_a_while_for_one_rack(void **state)
+static void gang_waits_a_limited_time_for_one_rack(void **state)
 {
-	struct bed *b = *state;
-
-	in_rack(b, "w1", "r1", 4);
-	in_rack(b, "w2", "r2", 4);
-	job(b, "a", 1, 1000, 300, 0, 0);
-	jobs_start(b->jtb, "a", 0, 0, 1, "w1");
-	job(b, "b", 1, 1000, 300, 0, 0);
-	jobs_start(b->jtb, "b", 0, 0, 1, "w2");
-	gang(b, "g", 4, NULL);
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	b->later_ms = 900;
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	b->later_ms = 1000;
-	plan(b);
-	assert_int_equal(jtb_job(b->jtb, "g")->n_runs, 4);
+	struct fixture *f = *state;
+
+	add_worker_in_rack(f, "w1", "r1", 4);
+	add_worker_in_rack(f, "w2", "r2", 4);
+	submit(f, "a", 1, 1000, 300, 0, 0);
+	jobs_start(f->jtb, "a", 0, 0, 1, "w1");
+	submit(f, "b", 1, 1000, 300, 0, 0);
+	jobs_start(f->jtb, "b", 0, 0, 1, "w2");
+	submit_gang(f, "g", 4, NULL);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	f->elapsed_ms = 900;
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	f->elapsed_ms = 1000;
+	run_plan(f);
+	assert_int_equal(jtb_job(f->jtb, "g")->n_runs, 4);
 }
 
-/* A rack gets free while the gang waits for it. */
-static void a_gang_that_waited_gets_its_rack(void **state)
+/* A gang starts on one rack if that gets free while the gang waits. */
+static void gang_starts_on_a_rack_that_gets_free(void **state)
 {
-	struct bed *b = *state;
-
-	in_rack(b, "w1", "r1", 4);
-	in_rack(b, "w2", "r2", 3);
-	job(b, "a", 1, 1000, 300, 0, 0);
-	jobs_start(b->jtb, "a", 0, 0, 1, "w1");
-	gang(b, "g", 4, NULL);
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	jobs_end(b->jtb, "a", 0, 0, 1, "w1", JTB_DONE);
-	b->later_ms = 500;
-	plan(b);
-	assert_null(strstr(b->log->str, "@w2"));
-	assert_int_equal(jtb_job(b->jtb, "g")->n_runs, 4);
+	struct fixture *f = *state;
+
+	add_worker_in_rack(f, "w1", "r1", 4);
+	add_worker_in_rack(f, "w2", "r2", 3);
+	submit(f, "a", 1, 1000, 300, 0, 0);
+	jobs_start(f->jtb, "a", 0, 0, 1, "w1");
+	submit_gang(f, "g", 4, NULL);
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	jobs_end(f->jtb, "a", 0, 0, 1, "w1", JTB_DONE);
+	f->elapsed_ms = 500;
+	run_plan(f);
+	assert_null(strstr(f->log->str, "@w2"));
+	assert_int_equal(jtb_job(f->jtb, "g")->n_runs, 4);
 }
 
-/* No rack can ever hold it: to wait would help nobody. */
-static void a_gang_larger_than_a_rack_is_spread_at_once(void **state)
+/* A gang that no rack can hold even when empty is spread without a wait. */
+static void gang_larger_than_a_rack_is_spread_at_once(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	in_rack(b, "w1", "r1", 4);
-	in_rack(b, "w2", "r2", 4);
-	gang(b, "g", 6, NULL);
-	plan(b);
-	assert_int_equal(jtb_job(b->jtb, "g")->n_runs, 6);
+	add_worker_in_rack(f, "w1", "r1", 4);
+	add_worker_in_rack(f, "w2", "r2", 4);
+	submit_gang(f, "g", 6, NULL);
+	run_plan(f);
+	assert_int_equal(jtb_job(f->jtb, "g")->n_runs, 6);
 }
 
-/* One crash is counted against task 0 of a job, which then waits. */
-static void suspect(struct bed *b, const char *id)
+/* Counts one crash against task 0 of a job, which then waits. */
+static void mark_suspect(struct fixture *f, const char *id)
 {
 	struct jtb_blame blame;
 	struct jtb_name n = {0};
 	struct pk_out o;
 
-	jobs_worker(b->jtb, "gone", 16000, false);
-	jobs_start(b->jtb, id, 0, 0, 1, "gone");
+	jobs_worker(f->jtb, "gone", 16000, false);
+	jobs_start(f->jtb, id, 0, 0, 1, "gone");
 	jtb_blame_init(&blame);
 	g_strlcpy(n.id, id, sizeof(n.id));
 	g_array_append_val(blame.suspects, n);
 	pk_out_init(&o);
 	jtb_put_lost(&o, "gone", true, &blame, JOBS_WALL_MS);
-	jobs_apply(b->jtb, &o);
+	jobs_apply(f->jtb, &o);
 	jtb_blame_clear(&blame);
 }
 
-/* A run of a job has been listed by its worker for so long. */
-static void seen(struct bed *b, const char *id, int64_t ms)
+/* Sets for how long the run of a job has been listed by its worker. */
+static void set_observed(struct fixture *f, const char *id, int64_t ms)
 {
 	struct jtb_run *run =
-		jtb_job(b->jtb, id)->turns[0].parts[0].tasks[0].run;
+		jtb_job(f->jtb, id)->turns[0].parts[0].tasks[0].run;
 
 	assert_non_null(run);
 	run->began_ms = 1;
 	run->seen_ms = 1 + ms;
 }
 
-/* Innocent tasks are suspected with the one that crashes its worker. */
-static void a_suspect_is_tried_alone(void **state)
+/*
+ * Guards against tasks that become suspects beside the one that crashes their
+ * worker: a suspect task is retried in isolation.
+ */
+static void suspect_task_is_retried_in_isolation(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w1", 16000, false);
-	jobs_worker(b->jtb, "w2", 16000, false);
-	job(b, "a", 1, 1000, 500, 0, 0);
-	suspect(b, "a");
-	b->later_ms = 1000;
-	job(b, "b", 1, 1000, 500, 0, 0);
-	jobs_start(b->jtb, "b", 0, 0, 1, "w1");
-	plan(b);
-	assert_string_equal(b->log->str, "a.0.0@w2 ");
-	/* the fullest worker that has room would take it else */
-	job(b, "c", 1, 1000, 500, 0, 0);
-	seen(b, "b", SCH_FRESH_MS);
-	b->later_ms += 100;
-	plan(b);
-	assert_string_equal(b->log->str, "c.0.0@w1 ");
-	job(b, "d", 14, 1000, 500, 0, 0);
-	job(b, "e", 1, 1000, 500, 0, 0);
-	b->later_ms += 100;
-	plan(b);
-	assert_null(strstr(b->log->str, "@w2"));
-	/* it has worked there, and the rest of the pool may go on */
-	seen(b, "a", SCH_FRESH_MS);
-	b->later_ms += 100;
-	plan(b);
-	assert_non_null(strstr(b->log->str, "@w2"));
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w1", 16000, false);
+	jobs_worker(f->jtb, "w2", 16000, false);
+	submit(f, "a", 1, 1000, 500, 0, 0);
+	mark_suspect(f, "a");
+	f->elapsed_ms = 1000;
+	submit(f, "b", 1, 1000, 500, 0, 0);
+	jobs_start(f->jtb, "b", 0, 0, 1, "w1");
+	run_plan(f);
+	assert_string_equal(f->log->str, "a.0.0@w2 ");
+	/*
+	 * Without the reservation the task would go to the fullest worker that
+	 * fits.
+	 */
+	submit(f, "c", 1, 1000, 500, 0, 0);
+	set_observed(f, "b", SCH_FRESH_MS);
+	f->elapsed_ms += 100;
+	run_plan(f);
+	assert_string_equal(f->log->str, "c.0.0@w1 ");
+	submit(f, "d", 14, 1000, 500, 0, 0);
+	submit(f, "e", 1, 1000, 500, 0, 0);
+	f->elapsed_ms += 100;
+	run_plan(f);
+	assert_null(strstr(f->log->str, "@w2"));
+	/*
+	 * The suspect has been observed running, and its worker is usable
+	 * again.
+	 */
+	set_observed(f, "a", SCH_FRESH_MS);
+	f->elapsed_ms += 100;
+	run_plan(f);
+	assert_non_null(strstr(f->log->str, "@w2"));
 }
 
-/* A suspect never runs: new work begins on all workers at every moment. */
-static void a_worker_is_kept_until_it_is_calm(void **state)
+/*
+ * Guards against a suspect task that never runs as new tasks start on all
+ * workers all the time: a worker is reserved until its starts have been
+ * observed running.
+ */
+static void worker_is_reserved_for_isolated_retry(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w1", 16000, false);
-	job(b, "a", 1, 1000, 500, 0, 0);
-	suspect(b, "a");
-	b->later_ms = 1000;
-	job(b, "b", 1, 1000, 500, 0, 0);
-	jobs_start(b->jtb, "b", 0, 0, 1, "w1");
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	job(b, "c", 1, 1000, 500, 0, 0);
-	b->later_ms += 100;
-	plan(b);
-	assert_string_equal(b->log->str, "");
-	seen(b, "b", SCH_FRESH_MS);
-	b->later_ms += 100;
-	plan(b);
-	assert_string_equal(b->log->str, "a.0.0@w1 ");
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w1", 16000, false);
+	submit(f, "a", 1, 1000, 500, 0, 0);
+	mark_suspect(f, "a");
+	f->elapsed_ms = 1000;
+	submit(f, "b", 1, 1000, 500, 0, 0);
+	jobs_start(f->jtb, "b", 0, 0, 1, "w1");
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	submit(f, "c", 1, 1000, 500, 0, 0);
+	f->elapsed_ms += 100;
+	run_plan(f);
+	assert_string_equal(f->log->str, "");
+	set_observed(f, "b", SCH_FRESH_MS);
+	f->elapsed_ms += 100;
+	run_plan(f);
+	assert_string_equal(f->log->str, "a.0.0@w1 ");
 }
 
-/* A gang of which a member is suspected takes others with it. */
-static void a_suspected_gang_is_tried_alone(void **state)
+/*
+ * Guards against a suspect gang that crashes a worker with tasks of others: it
+ * is retried in isolation.
+ */
+static void suspect_gang_is_retried_in_isolation(void **state)
 {
-	struct bed *b = *state;
-
-	jobs_worker(b->jtb, "w1", 16000, false);
-	jobs_worker(b->jtb, "w2", 16000, false);
-	job(b, "g", 2, 1000, 500, JTB_GANG, 0);
-	suspect(b, "g");
-	b->later_ms = 1000;
-	job(b, "b", 1, 1000, 500, 0, 0);
-	jobs_start(b->jtb, "b", 0, 0, 1, "w1");
-	plan(b);
-	assert_string_equal(b->log->str, "g.0.0@w2 g.0.1@w2 ");
-	job(b, "c", 1, 1000, 500, 0, 0);
-	b->later_ms += 100;
-	plan(b);
-	assert_string_equal(b->log->str, "c.0.0@w1 ");
+	struct fixture *f = *state;
+
+	jobs_worker(f->jtb, "w1", 16000, false);
+	jobs_worker(f->jtb, "w2", 16000, false);
+	submit(f, "g", 2, 1000, 500, JTB_GANG, 0);
+	mark_suspect(f, "g");
+	f->elapsed_ms = 1000;
+	submit(f, "b", 1, 1000, 500, 0, 0);
+	jobs_start(f->jtb, "b", 0, 0, 1, "w1");
+	run_plan(f);
+	assert_string_equal(f->log->str, "g.0.0@w2 g.0.1@w2 ");
+	submit(f, "c", 1, 1000, 500, 0, 0);
+	f->elapsed_ms += 100;
+	run_plan(f);
+	assert_string_equal(f->log->str, "c.0.0@w1 ");
 }
 
 #define T(fn) cmocka_unit_test_setup_teardown(fn, setup, teardown)
@@ -1151,48 +1213,48 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		T(a_job_with_a_guess_too_high_is_late_sooner),
-		T(what_can_never_run_holds_nobody),
-		T(a_flood_of_cancels_delays_nothing),
-		T(a_worker_that_fails_all_is_shunned),
-		T(what_is_done_clears_a_worker),
-		T(what_lasts_waits_no_longer_than_a_pause),
-		T(bad_jobs_shun_no_worker),
-		T(what_is_left_of_a_burst_frees_workers),
-		T(a_closed_worker_gets_nothing),
-		T(work_that_lasts_goes_first),
-		T(a_gang_is_kept_apart),
-		T(what_runs_counts_for_what_is_kept_apart),
-		T(only_whole_runs_tell_a_tasks_time),
-		T(a_start_on_its_way_outlives_its_worker),
-		T(a_worker_is_kept_free_for_it),
-		T(what_can_be_in_time_goes_first),
-		T(what_is_begun_is_finished_first),
-		T(nothing_is_put_where_it_doesnt_fit),
-		T(tasks_are_kept_apart),
-		T(proposed_tasks_are_kept_apart),
-		T(a_task_that_ended_waits_a_moment),
-		T(a_label_is_required),
-		T(a_gang_starts_whole_or_not),
-		T(a_time_is_waited_for),
-		T(a_vm_due_for_upkeep_is_avoided),
-		T(a_gang_that_fills_takes_no_processor),
-		T(a_gang_that_lasts_asks_for_room),
-		T(work_for_nobody_holds_up_nobody),
-		T(large_work_doesnt_hold_up_small),
-		T(a_worker_is_kept_only_if_it_can_free_up),
-		T(a_pool_that_is_closed_asks_for_room),
-		T(each_turn_is_kept_apart),
-		T(what_has_no_ticket_waits_and_holds_nobody_up),
-		T(a_gang_runs_where_it_has_tickets),
-		T(who_was_barred_for_one_step_isnt_for_the_next),
-		T(a_gang_runs_on_one_rack),
-		T(a_gang_waits_a_while_for_one_rack),
-		T(a_gang_that_waited_gets_its_rack),
-		T(a_gang_larger_than_a_rack_is_spread_at_once),
-		T(a_suspect_is_tried_alone),
-		T(a_worker_is_kept_until_it_is_calm),
-		T(a_suspected_gang_is_tried_alone),
+		T(too_high_estimate_makes_objective_earlier),
+		T(unplaceable_long_running_jobs_delay_no_job),
+		T(mass_cancellation_delays_no_start),
+		T(worker_that_fails_every_job_is_backed_off),
+		T(completed_job_clears_a_worker),
+		T(long_running_task_waits_only_for_the_pause),
+		T(failing_jobs_make_no_worker_backed_off),
+		T(remainder_of_a_burst_is_packed),
+		T(closed_worker_gets_no_task),
+		T(long_running_task_goes_first),
+		T(gang_respects_limit_per_worker),
+		T(running_tasks_count_for_limit_per_worker),
+		T(only_complete_runs_are_duration_samples),
+		T(proposed_start_survives_removal_of_its_worker),
+		T(worker_is_reserved_for_long_running_task),
+		T(job_that_can_meet_its_objective_goes_first),
+		T(started_job_goes_first),
+		T(task_is_placed_only_where_it_fits),
+		T(limit_per_worker_is_respected),
+		T(proposed_tasks_count_for_limit_per_worker),
+		T(ended_task_is_retried_after_a_delay),
+		T(task_needs_its_label),
+		T(gang_starts_whole_or_not_at_all),
+		T(turn_starts_at_its_time),
+		T(vm_due_for_upkeep_is_avoided),
+		T(gang_on_idle_processors_needs_no_cpu),
+		T(long_running_gang_reports_missing_capacity),
+		T(unplaceable_jobs_delay_no_job),
+		T(large_jobs_delay_no_small_job),
+		T(worker_is_reserved_only_if_task_can_fit),
+		T(closed_pool_reports_missing_capacity),
+		T(limit_per_worker_holds_for_each_turn),
+		T(job_without_ticket_waits_and_delays_no_job),
+		T(gang_runs_where_it_has_tickets),
+		T(exclusion_ends_with_its_step),
+		T(gang_runs_on_one_rack),
+		T(gang_waits_a_limited_time_for_one_rack),
+		T(gang_starts_on_a_rack_that_gets_free),
+		T(gang_larger_than_a_rack_is_spread_at_once),
+		T(suspect_task_is_retried_in_isolation),
+		T(worker_is_reserved_for_isolated_retry),
+		T(suspect_gang_is_retried_in_isolation),
 	};
 
 	return cmocka_run_group_tests_name("sch", tests, NULL, NULL);
