--- a/src/crs.c
+++ b/src/crs.c
@@ -1,10 +1,10 @@
 #include "crs.h"
 
-/* A worker that was lost. */
+/* A recently lost worker. */
 struct crs_loss {
 	int64_t at_ms;
 	char *rack;
-	bool explained; /* something had just begun on it */
+	bool has_suspects; /* some run on it had just started */
 };
 
 struct crs {
@@ -13,26 +13,26 @@
 	GPtrArray *losses; /* struct crs_loss, oldest first */
 };
 
-static void crs_loss_free(gpointer p);
-static void crs_forget(struct crs *c, int64_t now);
-static bool crs_shared(const struct crs *c, const struct jtb_worker *w);
-static void crs_look(const struct crs *c, const struct jtb_worker *w,
-		     struct jtb_blame *out);
-static void crs_look_cleared(const struct crs *c, const struct jtb_worker *w,
-			     GArray *out);
+static void crs_free_loss(gpointer p);
+static void crs_drop_old(struct crs *c, int64_t now);
+static bool crs_is_shared(const struct crs *c, const struct jtb_worker *w);
+static void crs_add_suspects(const struct crs *c, const struct jtb_worker *w,
+			     struct jtb_blame *out);
+static void crs_add_cleared(const struct crs *c, const struct jtb_worker *w,
+			    GArray *out);
 
-/* Begins without a loss. */
+/* Returns a new state without any loss recorded. */
 struct crs *crs_new(const struct crs_ops *ops, void *arg)
 {
 	struct crs *c = g_new0(struct crs, 1);
 
 	c->ops = ops;
 	c->arg = arg;
-	c->losses = g_ptr_array_new_with_free_func(crs_loss_free);
+	c->losses = g_ptr_array_new_with_free_func(crs_free_loss);
 	return c;
 }
 
-/* Frees it. */
+/* Frees the state; c may be NULL. */
 void crs_free(struct crs *c)
 {
 	if (!c)
@@ -41,22 +41,23 @@
 	g_free(c);
 }
 
-/* A new leader knows of no loss. */
+/* Drops all recorded losses, for a new leader. */
 void crs_clear(struct crs *c)
 {
 	g_ptr_array_set_size(c->losses, 0);
 }
 
 /*
- * A worker is lost with all it runs. crashed: its lifetime is over; else it has
- * only been silent for longer than its leases, and may be cut off. Fills out,
- * which jtb_blame_clear empties.
+ * Records the loss of a worker with all its runs, and fills out with the tasks
+ * to suspect and to clear; jtb_blame_clear frees that. crashed: the worker
+ * process has ended; otherwise the worker has only been unreachable for longer
+ * than its leases and may be partitioned.
  *
- * Made for tasks that crash each worker as they begin: suspect is what had just
- * begun, and what had been at work is cleared. Of several
- * workers that are lost together, of one rack or with one on which nothing had
- * begun, power or network is the likelier reason, so that none of their tasks is
- * found guilty by that alone.
+ * This handles tasks that crash every worker as they start: runs that had just
+ * started are suspects, and runs that had been observed running are cleared. If
+ * several workers are lost together, of one rack or with a worker on which
+ * nothing had just started, a power or network failure is the likelier reason,
+ * and the loss alone makes none of their tasks guilty.
  */
 void crs_lost(struct crs *c, const struct jtb_worker *w, bool crashed,
 	      int64_t now_ms, struct jtb_blame *out)
@@ -64,25 +65,25 @@
 	struct crs_loss *loss;
 
 	jtb_blame_init(out);
-	crs_forget(c, now_ms);
-	/* an idle one may have ended as planned */
+	crs_drop_old(c, now_ms);
+	/* An idle worker may have exited as planned. */
 	if (!w->runs->len)
 		return;
-	/* nor is one that is only cut off a crash */
+	/* A worker that is only partitioned has not crashed. */
 	if (!crashed && c->ops->alive && c->ops->alive(c->arg, w))
 		return;
 	loss = g_new0(struct crs_loss, 1);
-	out->shared = !crashed || crs_shared(c, w);
-	crs_look(c, w, out);
+	out->shared = !crashed || crs_is_shared(c, w);
+	crs_add_suspects(c, w, out);
 	loss->at_ms = now_ms;
 	loss->rack = g_strdup(sch_rack_of(w));
-	loss->explained = out->suspects->len > 0;
+	loss->has_suspects = out->suspects->len > 0;
 	g_ptr_array_add(c->losses, loss);
-	crs_look_cleared(c, w, out->cleared);
+	crs_add_cleared(c, w, out->cleared);
 }
 
-/* Frees a loss. */
-static void crs_loss_free(gpointer p)
+/* Frees the record of a loss. */
+static void crs_free_loss(gpointer p)
 {
 	struct crs_loss *loss = p;
 
@@ -90,8 +91,8 @@
 	g_free(loss);
 }
 
-/* Drops losses of long ago. */
-static void crs_forget(struct crs *c, int64_t now)
+/* Drops losses older than CRS_NEAR_MS. */
+static void crs_drop_old(struct crs *c, int64_t now)
 {
 	const struct crs_loss *first;
 
@@ -103,8 +104,10 @@
 	}
 }
 
-/* Whether a worker was probably lost for a reason that took others with it. */
-static bool crs_shared(const struct crs *c, const struct jtb_worker *w)
+/*
+ * Whether a worker was probably lost for a reason that affected others as well.
+ */
+static bool crs_is_shared(const struct crs *c, const struct jtb_worker *w)
 {
 	const char *rack = sch_rack_of(w);
 	guint i;
@@ -114,16 +117,16 @@
 	for (i = 0; i < c->losses->len; i++) {
 		const struct crs_loss *loss = g_ptr_array_index(c->losses, i);
 
-		if (!loss->explained ||
+		if (!loss->has_suspects ||
 		    (rack && g_strcmp0(loss->rack, rack) == 0))
 			return true;
 	}
 	return false;
 }
 
-/* Adds the tasks of a worker that had just begun. */
-static void crs_look(const struct crs *c, const struct jtb_worker *w,
-		     struct jtb_blame *out)
+/* Adds the tasks of a lost worker that had just started to the suspects. */
+static void crs_add_suspects(const struct crs *c, const struct jtb_worker *w,
+			     struct jtb_blame *out)
 {
 	struct jtb_name n;
 	guint i;
@@ -134,16 +137,19 @@
 
 		if (seen == SCH_NOT_SENT || seen >= SCH_FRESH_MS)
 			continue;
-		/* it counts, and finds nobody guilty */
+		/*
+		 * A run of unknown age counts as a suspect, but the loss alone
+		 * makes no task guilty.
+		 */
 		out->shared |= seen == SCH_UNKNOWN;
 		jtb_name_of(run, &n);
 		g_array_append_val(out->suspects, n);
 	}
 }
 
-/* Adds suspects of before that had been at work. */
-static void crs_look_cleared(const struct crs *c, const struct jtb_worker *w,
-			     GArray *out)
+/* Adds earlier suspects that had been observed running to the cleared tasks. */
+static void crs_add_cleared(const struct crs *c, const struct jtb_worker *w,
+			    GArray *out)
 {
 	struct jtb_name n;
 	guint i;
--- a/src/crs.h
+++ b/src/crs.h
@@ -1,27 +1,38 @@
 #ifndef CRS_H
 #define CRS_H
 
+/* Crash attribution: finds the tasks that may have crashed a lost worker. */
+
 #include "sch.h"
 
 /*
- * Under which tasks a worker crashed. Some twenty may have run on it, of which
- * one at most ends it as it begins. Decides on the job table and on what the
- * leader saw, without input or output.
+ * State of crash attribution. Some twenty tasks may have run on a lost worker,
+ * of which at most one crashes it as it starts. Decisions depend on the job
+ * table and on what the leader observed, and do no input or output.
  */
 struct crs;
 
-/* Workers lost within so long may have been lost for one reason, ms. */
+/*
+ * Workers lost within this time of each other may have been lost for one
+ * reason, ms.
+ */
 #define CRS_NEAR_MS 2000
 
 struct crs_ops {
 	/*
-	 * for how long a run had been seen at work when its worker last
-	 * answered, ms, or one of enum sch_seen
+	 * Returns for how long a run had been observed running when its worker
+	 * last answered, ms, or a value of enum sch_seen.
 	 */
 	int64_t (*seen_ms)(void *arg, const struct jtb_run *run);
-	/* whether another worker of that rack fell silent within CRS_NEAR_MS */
+	/*
+	 * Whether another worker of the same rack became unreachable within
+	 * CRS_NEAR_MS.
+	 */
 	bool (*rack_silent)(void *arg, const struct jtb_worker *w);
-	/* whether a silent worker is known to be there yet; NULL: never */
+	/*
+	 * Whether an unreachable worker is known to be still running; NULL:
+	 * never.
+	 */
 	bool (*alive)(void *arg, const struct jtb_worker *w);
 };
 
--- a/tests/unit/crs_test.c
+++ b/tests/unit/crs_test.c
@@ -9,40 +9,40 @@
 
 #define NOW_MS 100000
 
-/* Workers w1 to w3, each on a rack of its own unless told otherwise. */
-struct bed {
+/* Workers w1, w2, w3 and w9, each on a rack of its own. */
+struct fixture {
 	struct jtb *jtb;
 	struct crs *crs;
 	bool rack_silent;
 	bool alive;
 };
 
-static int64_t bed_seen_ms(void *arg, const struct jtb_run *run)
+static int64_t on_seen_ms(void *arg, const struct jtb_run *run)
 {
 	return sch_seen_ms(run);
 }
 
-static bool bed_rack_silent(void *arg, const struct jtb_worker *w)
+static bool on_rack_silent(void *arg, const struct jtb_worker *w)
 {
-	const struct bed *b = arg;
+	const struct fixture *f = arg;
 
-	return b->rack_silent;
+	return f->rack_silent;
 }
 
-static bool bed_alive(void *arg, const struct jtb_worker *w)
+static bool on_alive(void *arg, const struct jtb_worker *w)
 {
-	const struct bed *b = arg;
+	const struct fixture *f = arg;
 
-	return b->alive;
+	return f->alive;
 }
 
-static const struct crs_ops bed_ops = {
-	.seen_ms = bed_seen_ms,
-	.rack_silent = bed_rack_silent,
-	.alive = bed_alive,
+static const struct crs_ops crs_callbacks = {
+	.seen_ms = on_seen_ms,
+	.rack_silent = on_rack_silent,
+	.alive = on_alive,
 };
 
-static void worker(struct bed *b, const char *id, const char *rack)
+static void add_worker(struct fixture *f, const char *id, const char *rack)
 {
 	char *labels[] = {(char *)"kind", (char *)rack, NULL};
 	struct jtb_worker_info info = {
@@ -58,53 +58,57 @@
 
 	pk_out_init(&o);
 	jtb_put_worker(&o, &info);
-	jobs_apply(b->jtb, &o);
+	jobs_apply(f->jtb, &o);
 }
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
-
-	b->jtb = jtb_new(NULL, NULL);
-	b->crs = crs_new(&bed_ops, b);
-	jobs_config(b->jtb, 1, "p", 3);
-	worker(b, "w1", "r1");
-	worker(b, "w2", "r2");
-	worker(b, "w3", "r3");
-	worker(b, "w9", "r9");
-	*state = b;
+	struct fixture *f = g_new0(struct fixture, 1);
+
+	f->jtb = jtb_new(NULL, NULL);
+	f->crs = crs_new(&crs_callbacks, f);
+	jobs_config(f->jtb, 1, "p", 3);
+	add_worker(f, "w1", "r1");
+	add_worker(f, "w2", "r2");
+	add_worker(f, "w3", "r3");
+	add_worker(f, "w9", "r9");
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	crs_free(b->crs);
-	jtb_free(b->jtb);
-	g_free(b);
+	crs_free(f->crs);
+	jtb_free(f->jtb);
+	g_free(f);
 	return 0;
 }
 
-static void job(struct bed *b, const char *id, uint32_t count)
+static void submit(struct fixture *f, const char *id, uint32_t count)
 {
 	struct jtb_step s = {.count = count, .cpu = 100, .guess_ms = 500};
 
-	jobs_job(b->jtb, id, &s, 1, JOBS_WALL_MS);
+	jobs_job(f->jtb, id, &s, 1, JOBS_WALL_MS);
 }
 
-/* Task 0 of a job runs on a worker that has listed it for so long. */
-static struct jtb_run *runs(struct bed *b, const char *id, uint32_t attempt,
-			    const char *w, int64_t seen_ms)
+/*
+ * Starts task 0 of a job on a worker that has listed it for seen_ms; negative:
+ * that has not listed it.
+ */
+static struct jtb_run *start_run(struct fixture *f, const char *id,
+				 uint32_t attempt, const char *w,
+				 int64_t seen_ms)
 {
 	struct jtb_name n = {0};
 	struct jtb_run *run;
 
-	if (!jtb_job(b->jtb, id))
-		job(b, id, 1);
+	if (!jtb_job(f->jtb, id))
+		submit(f, id, 1);
 	g_strlcpy(n.id, id, sizeof(n.id));
-	jobs_start(b->jtb, id, 0, 0, attempt, w);
-	run = jtb_find_run(b->jtb, &n, attempt, w);
+	jobs_start(f->jtb, id, 0, 0, attempt, w);
+	run = jtb_find_run(f->jtb, &n, attempt, w);
 	assert_non_null(run);
 	if (seen_ms >= 0) {
 		run->began_ms = 1;
@@ -113,287 +117,329 @@
 	return run;
 }
 
-/* A worker is lost, and the table is told. */
-static void lose(struct bed *b, const char *id, bool crashed, int64_t at_ms)
+/* Loses a worker and applies that to the job table. */
+static void lose_worker(struct fixture *f, const char *id, bool crashed,
+			int64_t at_ms)
 {
 	struct jtb_blame blame;
 	struct pk_out o;
 
-	crs_lost(b->crs, jtb_worker(b->jtb, id), crashed, NOW_MS + at_ms,
+	crs_lost(f->crs, jtb_worker(f->jtb, id), crashed, NOW_MS + at_ms,
 		 &blame);
 	pk_out_init(&o);
 	jtb_put_lost(&o, id, crashed, &blame, JOBS_WALL_MS);
-	jobs_apply(b->jtb, &o);
+	jobs_apply(f->jtb, &o);
 	jtb_blame_clear(&blame);
 }
 
-static uint32_t crashes(struct bed *b, const char *id)
+static uint32_t crashes(struct fixture *f, const char *id)
 {
-	return jtb_crashes(jtb_job(b->jtb, id));
+	return jtb_crashes(jtb_job(f->jtb, id));
 }
 
-static enum jtb_job_state state_of(struct bed *b, const char *id)
+static enum jtb_job_state state_of(struct fixture *f, const char *id)
 {
-	return jtb_job(b->jtb, id)->state;
+	return jtb_job(f->jtb, id)->state;
 }
 
-/* Workers crash for ever under a task that nobody counts. */
-static void a_task_alone_on_three_crashed_workers_is_given_up(void **state)
+/* Guards against a task that crashes one worker after another without end. */
+static void sole_suspect_of_three_crashes_fails(void **state)
 {
-	struct bed *b = *state;
-
-	runs(b, "a", 1, "w1", -1);
-	lose(b, "w1", true, 0);
-	assert_int_equal(crashes(b, "a"), 1);
-	assert_int_equal(state_of(b, "a"), JTB_RUNNING);
-	runs(b, "a", 2, "w2", 50);
-	lose(b, "w2", true, 5000);
-	assert_int_equal(state_of(b, "a"), JTB_RUNNING);
-	runs(b, "a", 3, "w3", 50);
-	lose(b, "w3", true, 10000);
-	assert_int_equal(state_of(b, "a"), JTB_FAILED);
+	struct fixture *f = *state;
+
+	start_run(f, "a", 1, "w1", -1);
+	lose_worker(f, "w1", true, 0);
+	assert_int_equal(crashes(f, "a"), 1);
+	assert_int_equal(state_of(f, "a"), JTB_RUNNING);
+	start_run(f, "a", 2, "w2", 50);
+	lose_worker(f, "w2", true, 5000);
+	assert_int_equal(state_of(f, "a"), JTB_RUNNING);
+	start_run(f, "a", 3, "w3", 50);
+	lose_worker(f, "w3", true, 10000);
+	assert_int_equal(state_of(f, "a"), JTB_FAILED);
 }
 
-/* Innocent jobs fail with a guilty one that began beside them, each time. */
-static void tasks_beside_another_that_began_are_not_given_up(void **state)
+/*
+ * Guards against jobs that fail as they started beside the one that crashes its
+ * workers, each time.
+ */
+static void tasks_started_together_do_not_fail(void **state)
 {
-	struct bed *b = *state;
-
-	runs(b, "a", 1, "w1", -1);
-	runs(b, "b", 1, "w1", 100);
-	lose(b, "w1", true, 0);
-	runs(b, "a", 2, "w2", -1);
-	runs(b, "b", 2, "w2", 100);
-	lose(b, "w2", true, 5000);
-	runs(b, "a", 3, "w3", -1);
-	runs(b, "b", 3, "w3", 100);
-	lose(b, "w3", true, 10000);
-	assert_int_equal(crashes(b, "a"), 3);
-	assert_int_equal(crashes(b, "b"), 3);
-	assert_int_equal(state_of(b, "a"), JTB_RUNNING);
-	assert_int_equal(state_of(b, "b"), JTB_RUNNING);
+	struct fixture *f = *state;
+
+	start_run(f, "a", 1, "w1", -1);
+	start_run(f, "b", 1, "w1", 100);
+	lose_worker(f, "w1", true, 0);
+	start_run(f, "a", 2, "w2", -1);
+	start_run(f, "b", 2, "w2", 100);
+	lose_worker(f, "w2", true, 5000);
+	start_run(f, "a", 3, "w3", -1);
+	start_run(f, "b", 3, "w3", 100);
+	lose_worker(f, "w3", true, 10000);
+	assert_int_equal(crashes(f, "a"), 3);
+	assert_int_equal(crashes(f, "b"), 3);
+	assert_int_equal(state_of(f, "a"), JTB_RUNNING);
+	assert_int_equal(state_of(f, "b"), JTB_RUNNING);
 }
 
-/* The same of what had been at work for long beside it. */
-static void what_had_been_at_work_is_no_suspect(void **state)
+/*
+ * Guards against jobs that become suspects though they had been running for
+ * long beside the one that crashes the worker.
+ */
+static void observed_run_is_no_suspect(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	runs(b, "a", 1, "w1", 3000);
-	runs(b, "b", 1, "w1", -1);
-	lose(b, "w1", true, 0);
-	assert_int_equal(crashes(b, "a"), 0);
-	assert_int_equal(crashes(b, "b"), 1);
+	start_run(f, "a", 1, "w1", 3000);
+	start_run(f, "b", 1, "w1", -1);
+	lose_worker(f, "w1", true, 0);
+	assert_int_equal(crashes(f, "a"), 0);
+	assert_int_equal(crashes(f, "b"), 1);
 }
 
-/* A service fails as workers crash on which it had been at work. */
-static void work_that_was_at_work_is_never_given_up(void **state)
+/*
+ * Guards against a service that fails as workers crash on which it had been
+ * running for long.
+ */
+static void observed_service_never_fails(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int i;
 
 	for (i = 1; i <= 6; i++) {
 		char id[8];
 
 		g_snprintf(id, sizeof(id), "v%d", i);
-		worker(b, id, id);
-		runs(b, "a", (uint32_t)i, id, 4500);
-		lose(b, id, true, i * 10000);
+		add_worker(f, id, id);
+		start_run(f, "a", (uint32_t)i, id, 4500);
+		lose_worker(f, id, true, i * 10000);
 	}
-	assert_int_equal(crashes(b, "a"), 0);
-	assert_int_equal(state_of(b, "a"), JTB_RUNNING);
+	assert_int_equal(crashes(f, "a"), 0);
+	assert_int_equal(state_of(f, "a"), JTB_RUNNING);
 }
 
-/* A suspect that went on to work is blamed for a crash of days later. */
-static void a_suspect_that_works_is_cleared(void **state)
+/*
+ * Guards against a suspect that ran well since then and is blamed for a crash
+ * days later.
+ */
+static void suspect_observed_running_is_cleared(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	runs(b, "a", 1, "w1", -1);
-	lose(b, "w1", true, 0);
-	runs(b, "a", 2, "w2", 60000);
-	lose(b, "w2", true, 70000);
-	assert_int_equal(crashes(b, "a"), 0);
+	start_run(f, "a", 1, "w1", -1);
+	lose_worker(f, "w1", true, 0);
+	start_run(f, "a", 2, "w2", 60000);
+	lose_worker(f, "w2", true, 70000);
+	assert_int_equal(crashes(f, "a"), 0);
 }
 
-/* Jobs fail as their racks lose power, one after the other. */
-static void a_rack_without_power_is_nobodys_fault(void **state)
+/*
+ * Guards against jobs that fail as their racks lose power, one after another.
+ */
+static void rack_failure_fails_no_job(void **state)
 {
-	struct bed *b = *state;
-
-	b->rack_silent = true;
-	runs(b, "a", 1, "w1", -1);
-	lose(b, "w1", true, 0);
-	runs(b, "a", 2, "w2", -1);
-	lose(b, "w2", true, 5000);
-	runs(b, "a", 3, "w3", -1);
-	lose(b, "w3", true, 10000);
-	assert_int_equal(crashes(b, "a"), 3);
-	assert_int_equal(state_of(b, "a"), JTB_RUNNING);
+	struct fixture *f = *state;
+
+	f->rack_silent = true;
+	start_run(f, "a", 1, "w1", -1);
+	lose_worker(f, "w1", true, 0);
+	start_run(f, "a", 2, "w2", -1);
+	lose_worker(f, "w2", true, 5000);
+	start_run(f, "a", 3, "w3", -1);
+	lose_worker(f, "w3", true, 10000);
+	assert_int_equal(crashes(f, "a"), 3);
+	assert_int_equal(state_of(f, "a"), JTB_RUNNING);
 }
 
-/* The same where the first of a rack to go can't know of the second. */
-static void the_second_of_a_rack_is_nobodys_fault(void **state)
+/*
+ * Guards against jobs that fail as a rack loses power: when its first worker is
+ * lost, the loss of the second is not known yet.
+ */
+static void second_loss_on_a_rack_is_shared(void **state)
 {
-	struct bed *b = *state;
-
-	worker(b, "w4", "r1");
-	worker(b, "w5", "r5");
-	runs(b, "a", 1, "w3", -1);
-	lose(b, "w3", true, 0);
-	runs(b, "a", 2, "w9", -1);
-	lose(b, "w9", true, 4000);
-	runs(b, "b", 1, "w1", -1);
-	runs(b, "a", 3, "w4", -1);
-	lose(b, "w1", true, 9000);
-	lose(b, "w4", true, 9100);
-	assert_int_equal(state_of(b, "a"), JTB_RUNNING);
-	runs(b, "a", 4, "w5", -1);
-	lose(b, "w5", true, 19000);
-	assert_int_equal(state_of(b, "a"), JTB_FAILED);
+	struct fixture *f = *state;
+
+	add_worker(f, "w4", "r1");
+	add_worker(f, "w5", "r5");
+	start_run(f, "a", 1, "w3", -1);
+	lose_worker(f, "w3", true, 0);
+	start_run(f, "a", 2, "w9", -1);
+	lose_worker(f, "w9", true, 4000);
+	start_run(f, "b", 1, "w1", -1);
+	start_run(f, "a", 3, "w4", -1);
+	lose_worker(f, "w1", true, 9000);
+	lose_worker(f, "w4", true, 9100);
+	assert_int_equal(state_of(f, "a"), JTB_RUNNING);
+	start_run(f, "a", 4, "w5", -1);
+	lose_worker(f, "w5", true, 19000);
+	assert_int_equal(state_of(f, "a"), JTB_FAILED);
 }
 
-/* The same where workers crash on which nothing had begun. */
-static void a_crash_for_no_reason_excuses_those_near_it(void **state)
+/*
+ * Guards against jobs that fail as workers are lost together, among them one on
+ * which nothing had just started.
+ */
+static void unexplained_loss_makes_nearby_losses_shared(void **state)
 {
-	struct bed *b = *state;
-
-	runs(b, "a", 1, "w1", -1);
-	lose(b, "w1", true, 0);
-	runs(b, "a", 2, "w9", -1);
-	lose(b, "w9", true, 3000);
-	runs(b, "a", 3, "w2", -1);
-	runs(b, "b", 1, "w3", 60000);
-	lose(b, "w3", true, 9000);
-	lose(b, "w2", true, 9100);
-	assert_int_equal(state_of(b, "a"), JTB_RUNNING);
+	struct fixture *f = *state;
+
+	start_run(f, "a", 1, "w1", -1);
+	lose_worker(f, "w1", true, 0);
+	start_run(f, "a", 2, "w9", -1);
+	lose_worker(f, "w9", true, 3000);
+	start_run(f, "a", 3, "w2", -1);
+	start_run(f, "b", 1, "w3", 60000);
+	lose_worker(f, "w3", true, 9000);
+	lose_worker(f, "w2", true, 9100);
+	assert_int_equal(state_of(f, "a"), JTB_RUNNING);
 }
 
-/* Workers crash under a task for ever while VMs are moved. */
-static void the_end_of_an_idle_worker_excuses_nobody(void **state)
+/*
+ * Guards against a task that crashes workers without end while idle workers
+ * exit as their VMs are moved.
+ */
+static void exit_of_idle_worker_is_no_unexplained_loss(void **state)
 {
-	struct bed *b = *state;
-
-	runs(b, "a", 1, "w1", -1);
-	lose(b, "w1", true, 0);
-	runs(b, "a", 2, "w9", -1);
-	lose(b, "w9", true, 3000);
-	runs(b, "a", 3, "w2", -1);
-	lose(b, "w3", true, 9000);
-	lose(b, "w2", true, 9100);
-	assert_int_equal(state_of(b, "a"), JTB_FAILED);
+	struct fixture *f = *state;
+
+	start_run(f, "a", 1, "w1", -1);
+	lose_worker(f, "w1", true, 0);
+	start_run(f, "a", 2, "w9", -1);
+	lose_worker(f, "w9", true, 3000);
+	start_run(f, "a", 3, "w2", -1);
+	lose_worker(f, "w3", true, 9000);
+	lose_worker(f, "w2", true, 9100);
+	assert_int_equal(state_of(f, "a"), JTB_FAILED);
 }
 
-/* A task is started three times more after three crashes. */
-static void nobody_survives_four_crashes(void **state)
+/*
+ * Guards against a task that is restarted without end as all its crashes are
+ * shared ones: the fourth fails it.
+ */
+static void fourth_shared_crash_fails_a_task(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int i;
 
-	b->rack_silent = true;
+	f->rack_silent = true;
 	for (i = 1; i <= 4; i++) {
 		char id[8];
 
 		g_snprintf(id, sizeof(id), "v%d", i);
-		worker(b, id, "r");
-		assert_int_equal(i == 1 || state_of(b, "a") == JTB_RUNNING,
+		add_worker(f, id, "r");
+		assert_int_equal(i == 1 || state_of(f, "a") == JTB_RUNNING,
 				 true);
-		runs(b, "a", (uint32_t)i, id, -1);
-		lose(b, id, true, i * 10000);
+		start_run(f, "a", (uint32_t)i, id, -1);
+		lose_worker(f, id, true, i * 10000);
 	}
-	assert_int_equal(state_of(b, "a"), JTB_FAILED);
+	assert_int_equal(state_of(f, "a"), JTB_FAILED);
 }
 
-/* Workers that are only cut off fail the jobs that had begun on them. */
-static void a_silent_worker_finds_nobody_guilty(void **state)
+/*
+ * Guards against jobs that fail as the workers where they had started are only
+ * partitioned.
+ */
+static void unreachable_workers_fail_no_job(void **state)
 {
-	struct bed *b = *state;
-
-	runs(b, "a", 1, "w1", -1);
-	lose(b, "w1", false, 0);
-	runs(b, "a", 2, "w2", -1);
-	lose(b, "w2", false, 9000);
-	runs(b, "a", 3, "w3", -1);
-	lose(b, "w3", false, 18000);
-	assert_int_equal(crashes(b, "a"), 3);
-	assert_int_equal(state_of(b, "a"), JTB_RUNNING);
+	struct fixture *f = *state;
+
+	start_run(f, "a", 1, "w1", -1);
+	lose_worker(f, "w1", false, 0);
+	start_run(f, "a", 2, "w2", -1);
+	lose_worker(f, "w2", false, 9000);
+	start_run(f, "a", 3, "w3", -1);
+	lose_worker(f, "w3", false, 18000);
+	assert_int_equal(crashes(f, "a"), 3);
+	assert_int_equal(state_of(f, "a"), JTB_RUNNING);
 }
 
-/* Guards against tasks tried alone as their worker was cut off, and is there. */
-static void a_worker_that_is_there_yet_makes_no_suspects(void **state)
+/*
+ * Guards against isolated retries for a worker that is only partitioned and
+ * known to be running.
+ */
+static void running_worker_makes_no_suspects(void **state)
 {
-	struct bed *b = *state;
-
-	b->alive = true;
-	runs(b, "a", 1, "w1", -1);
-	lose(b, "w1", false, 0);
-	assert_int_equal(crashes(b, "a"), 0);
-	/* a lifetime that is over is one all the same */
-	runs(b, "a", 2, "w2", -1);
-	lose(b, "w2", true, 9000);
-	assert_int_equal(crashes(b, "a"), 1);
+	struct fixture *f = *state;
+
+	f->alive = true;
+	start_run(f, "a", 1, "w1", -1);
+	lose_worker(f, "w1", false, 0);
+	assert_int_equal(crashes(f, "a"), 0);
+	/* The end of the worker process counts as a crash in any case. */
+	start_run(f, "a", 2, "w2", -1);
+	lose_worker(f, "w2", true, 9000);
+	assert_int_equal(crashes(f, "a"), 1);
 }
 
-/* A job fails by what the leader before had started long ago. */
-static void what_an_earlier_leader_started_is_not_found_guilty(void **state)
+/*
+ * Guards against a job that fails for a run which the previous leader had
+ * started long ago.
+ */
+static void inherited_run_does_not_fail_its_job(void **state)
 {
-	struct bed *b = *state;
-
-	runs(b, "a", 1, "w1", -1);
-	lose(b, "w1", true, 0);
-	runs(b, "a", 2, "w9", -1);
-	lose(b, "w9", true, 4000);
-	runs(b, "a", 3, "w2", -1)->inherited = true;
-	lose(b, "w2", true, 9000);
-	assert_int_equal(crashes(b, "a"), 3);
-	assert_int_equal(state_of(b, "a"), JTB_RUNNING);
+	struct fixture *f = *state;
+
+	start_run(f, "a", 1, "w1", -1);
+	lose_worker(f, "w1", true, 0);
+	start_run(f, "a", 2, "w9", -1);
+	lose_worker(f, "w9", true, 4000);
+	start_run(f, "a", 3, "w2", -1)->inherited = true;
+	lose_worker(f, "w2", true, 9000);
+	assert_int_equal(crashes(f, "a"), 3);
+	assert_int_equal(state_of(f, "a"), JTB_RUNNING);
 }
 
-/* Several members of a gang on one worker are one job. */
-static void tasks_of_one_job_are_one_suspect(void **state)
+/*
+ * Several members of a gang on one worker don't excuse each other: they are one
+ * job.
+ */
+static void gang_members_are_one_suspect(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 3, .cpu = 100, .guess_ms = 500, .flags = JTB_GANG};
 	uint32_t i;
 
-	jobs_job(b->jtb, "g", &s, 1, JOBS_WALL_MS);
+	jobs_job(f->jtb, "g", &s, 1, JOBS_WALL_MS);
 	for (i = 0; i < 3; i++)
-		jobs_start(b->jtb, "g", 0, i, 1, "w1");
-	lose(b, "w1", true, 0);
+		jobs_start(f->jtb, "g", 0, i, 1, "w1");
+	lose_worker(f, "w1", true, 0);
 	for (i = 0; i < 3; i++)
-		jobs_start(b->jtb, "g", 0, i, 2, "w2");
-	lose(b, "w2", true, 9000);
+		jobs_start(f->jtb, "g", 0, i, 2, "w2");
+	lose_worker(f, "w2", true, 9000);
 	for (i = 0; i < 3; i++)
-		jobs_start(b->jtb, "g", 0, i, 3, "w3");
-	lose(b, "w3", true, 18000);
-	assert_int_equal(state_of(b, "g"), JTB_FAILED);
+		jobs_start(f->jtb, "g", 0, i, 3, "w3");
+	lose_worker(f, "w3", true, 18000);
+	assert_int_equal(state_of(f, "g"), JTB_FAILED);
 }
 
-/* The next leader begins to count anew: its table came from a snapshot. */
-static void a_snapshot_holds_what_is_counted(void **state)
+/*
+ * Guards against crash counts that are lost with a change of leader, whose
+ * table is read from a snapshot.
+ */
+static void snapshot_keeps_crash_counts(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct pk_out o;
 
-	runs(b, "a", 1, "w1", -1);
-	lose(b, "w1", true, 0);
-	runs(b, "a", 2, "w2", -1);
-	lose(b, "w2", true, 4000);
+	start_run(f, "a", 1, "w1", -1);
+	lose_worker(f, "w1", true, 0);
+	start_run(f, "a", 2, "w2", -1);
+	lose_worker(f, "w2", true, 4000);
 	pk_out_init(&o);
-	jtb_snapshot(b->jtb, &o);
-	assert_true(jtb_restore(b->jtb, pk_out_view(&o)));
+	jtb_snapshot(f->jtb, &o);
+	assert_true(jtb_restore(f->jtb, pk_out_view(&o)));
 	pk_out_done(&o);
-	assert_int_equal(crashes(b, "a"), 2);
-	runs(b, "a", 3, "w3", -1);
-	lose(b, "w3", true, 9000);
-	assert_int_equal(state_of(b, "a"), JTB_FAILED);
+	assert_int_equal(crashes(f, "a"), 2);
+	start_run(f, "a", 3, "w3", -1);
+	lose_worker(f, "w3", true, 9000);
+	assert_int_equal(state_of(f, "a"), JTB_FAILED);
 }
 
-/* A repeated job crashes workers anew in each of its turns. */
-static void turns_of_a_job_are_counted_together(void **state)
+/* Guards against a repeated job that crashes workers in each of its turns. */
+static void crashes_of_all_turns_are_added(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 1, .cpu = 100, .guess_ms = 500};
 	struct jtb_spec spec = {
 		.id = "r",
@@ -409,25 +455,28 @@
 
 	pk_out_init(&o);
 	jtb_put_job(&o, &spec, JOBS_WALL_MS);
-	jobs_apply(b->jtb, &o);
-	jobs_start(b->jtb, "r", 0, 0, 1, "w1");
-	lose(b, "w1", true, 0);
+	jobs_apply(f->jtb, &o);
+	jobs_start(f->jtb, "r", 0, 0, 1, "w1");
+	lose_worker(f, "w1", true, 0);
 	pk_out_init(&o);
 	jtb_put_start(&o, &n, 1, "w2");
-	jobs_apply(b->jtb, &o);
-	lose(b, "w2", true, 9000);
+	jobs_apply(f->jtb, &o);
+	lose_worker(f, "w2", true, 9000);
 	n.turn = 2;
 	pk_out_init(&o);
 	jtb_put_start(&o, &n, 1, "w3");
-	jobs_apply(b->jtb, &o);
-	lose(b, "w3", true, 18000);
-	assert_int_equal(state_of(b, "r"), JTB_FAILED);
+	jobs_apply(f->jtb, &o);
+	lose_worker(f, "w3", true, 18000);
+	assert_int_equal(state_of(f, "r"), JTB_FAILED);
 }
 
-/* A repeated job fails by one crash that is counted for each of its turns. */
-static void turns_on_one_worker_are_counted_once(void **state)
+/*
+ * Guards against a repeated job that fails by one crash counted for each of its
+ * turns.
+ */
+static void one_crash_with_several_turns_counts_once(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 1, .cpu = 100, .guess_ms = 500};
 	struct jtb_spec spec = {
 		.id = "r",
@@ -443,15 +492,15 @@
 
 	pk_out_init(&o);
 	jtb_put_job(&o, &spec, JOBS_WALL_MS);
-	jobs_apply(b->jtb, &o);
+	jobs_apply(f->jtb, &o);
 	for (n.turn = 0; n.turn < 4; n.turn++) {
 		pk_out_init(&o);
 		jtb_put_start(&o, &n, 1, "w1");
-		jobs_apply(b->jtb, &o);
+		jobs_apply(f->jtb, &o);
 	}
-	lose(b, "w1", true, 0);
-	assert_int_equal(crashes(b, "r"), 1);
-	assert_int_equal(state_of(b, "r"), JTB_RUNNING);
+	lose_worker(f, "w1", true, 0);
+	assert_int_equal(crashes(f, "r"), 1);
+	assert_int_equal(state_of(f, "r"), JTB_RUNNING);
 }
 
 #define T(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
@@ -459,23 +508,23 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		T(a_task_alone_on_three_crashed_workers_is_given_up),
-		T(tasks_beside_another_that_began_are_not_given_up),
-		T(what_had_been_at_work_is_no_suspect),
-		T(work_that_was_at_work_is_never_given_up),
-		T(a_suspect_that_works_is_cleared),
-		T(a_rack_without_power_is_nobodys_fault),
-		T(the_second_of_a_rack_is_nobodys_fault),
-		T(a_crash_for_no_reason_excuses_those_near_it),
-		T(the_end_of_an_idle_worker_excuses_nobody),
-		T(nobody_survives_four_crashes),
-		T(a_silent_worker_finds_nobody_guilty),
-		T(a_worker_that_is_there_yet_makes_no_suspects),
-		T(what_an_earlier_leader_started_is_not_found_guilty),
-		T(tasks_of_one_job_are_one_suspect),
-		T(a_snapshot_holds_what_is_counted),
-		T(turns_of_a_job_are_counted_together),
-		T(turns_on_one_worker_are_counted_once),
+		T(sole_suspect_of_three_crashes_fails),
+		T(tasks_started_together_do_not_fail),
+		T(observed_run_is_no_suspect),
+		T(observed_service_never_fails),
+		T(suspect_observed_running_is_cleared),
+		T(rack_failure_fails_no_job),
+		T(second_loss_on_a_rack_is_shared),
+		T(unexplained_loss_makes_nearby_losses_shared),
+		T(exit_of_idle_worker_is_no_unexplained_loss),
+		T(fourth_shared_crash_fails_a_task),
+		T(unreachable_workers_fail_no_job),
+		T(running_worker_makes_no_suspects),
+		T(inherited_run_does_not_fail_its_job),
+		T(gang_members_are_one_suspect),
+		T(snapshot_keeps_crash_counts),
+		T(crashes_of_all_turns_are_added),
+		T(one_crash_with_several_turns_counts_once),
 	};
 
 	return cmocka_run_group_tests_name("crs", tests, NULL, NULL);
