--- a/src/hld.c
+++ b/src/hld.c
@@ -3,40 +3,45 @@
 #include "sch_int.h"
 
 /*
- * A worker counts as kept free for work that lasts if a plan has kept it
- * within this, ms: plans are made five times a second without a cause.
+ * A worker counts as reserved for a long-running task if a plan has reserved it
+ * within this time, ms: plans are made five times a second even without a
+ * cause.
  */
-#define HLD_KEPT_MS 400
-/* Work held back for so long is told of, ms: rules allow 6 s with room. */
-#define HLD_TELL_MS 3000
-/* And again after so long, if nothing changed. */
-#define HLD_TELL_AGAIN_MS 10000
+#define HLD_RESERVED_MS 400
 /*
- * Sizes of tasks whose reason is remembered within one look, by pool, and
- * reasons worked out in one look beyond those, so that no mix of sizes takes
- * a leader's time: the rest keeps what was last seen of it.
+ * Pending time after which a task or job is reported, ms: at most 6 s are
+ * allowed where capacity is free.
  */
-#define HLD_SEEN 256
-#define HLD_FRESH_MAX 100
+#define HLD_REPORT_MS 3000
+/* Time after which it is reported again if nothing changed, ms. */
+#define HLD_REPORT_AGAIN_MS 10000
+/*
+ * Limits for one scan, so that no mix of task sizes takes too much of the
+ * leader's time: task sizes per pool whose reason is cached, and reasons
+ * evaluated beyond those. The rest keeps the reason last found.
+ */
+#define HLD_CACHE_SIZE 256
+#define HLD_EVAL_MAX 100
 
 static const struct {
 	const char *name;
 	/*
-	 * Longest that it may hold something back while there is room for it,
-	 * ms; 0: as long as it is so. Two plans; a batch and its log; an order
-	 * or a stop with a retry; a lease on a slow clock after that of a
-	 * leader before; an end whose telling is lost, and then the leader;
-	 * the longest shun; trials one after another, on a part of the pool;
-	 * what is waited for until a VM is empty.
+	 * Longest time that the reason may keep a task pending while capacity
+	 * is free, ms; 0: any time. The values stand for, in order: two plans;
+	 * a batch and its commit; an order or a stop with a retry; a lease on a
+	 * slow clock after one granted by the previous leader; an end whose
+	 * report is lost, followed by a loss of the leader; the longest
+	 * back-off; isolated retries one after another on a part of the pool;
+	 * what is waited for until a VM is drained.
 	 */
-	int64_t most_ms;
+	int64_t limit_ms;
 } hld_defs[HLD_REASONS] = {
 	[HLD_NONE] = {"none", 400},
 	[HLD_OVER] = {"over", 0},
 	[HLD_RUNS] = {"runs", 0},
 	[HLD_NOT_DUE] = {"not-due", 0},
-	[HLD_STEP] = {"earlier-step", 0},
-	[HLD_QUEUE] = {"queue-gone", 0},
+	[HLD_EARLIER_STEP] = {"earlier-step", 0},
+	[HLD_NO_QUEUE] = {"queue-gone", 0},
 	[HLD_PROPOSED] = {"start-not-stored", 1000},
 	[HLD_ORDERED] = {"ordered", 2000},
 	[HLD_STOPPING] = {"being-stopped", 2000},
@@ -44,135 +49,154 @@
 	[HLD_ENDING] = {"end-not-stored", 3000},
 	[HLD_GANG] = {"rest-of-gang", 0},
 	[HLD_JUST_ENDED] = {"just-ended", 400},
-	[HLD_TRIAL] = {"tried-alone", 5000},
+	[HLD_ISOLATED_RETRY] = {"tried-alone", 5000},
 	[HLD_NO_WORKER] = {"no-worker", 0},
-	[HLD_LABEL] = {"no-label", 0},
+	[HLD_NO_LABEL] = {"no-label", 0},
 	[HLD_TOO_LARGE] = {"too-large", 0},
 	[HLD_DRAINING] = {"draining", 0},
 	[HLD_UNREACHED] = {"unreached", 0},
 	[HLD_SHUNNED] = {"shunned", 16000},
 	[HLD_MOVING] = {"closed-for-move", 5000},
 	[HLD_UPKEEP] = {"closed-for-upkeep", 5000},
-	[HLD_TICKET] = {"needs-ticket", 0},
-	[HLD_APART] = {"kept-apart", 0},
-	[HLD_NO_ROOM] = {"no-room", 0},
-	[HLD_KEPT] = {"kept-for-other", 5000},
-	[HLD_RESERVED] = {"kept-for-trial", 5000},
-	[HLD_GANG_ROOM] = {"no-room-for-gang", 0},
-	[HLD_RACK] = {"waits-for-rack", 2000},
+	[HLD_NO_TICKET] = {"needs-ticket", 0},
+	[HLD_WORKER_LIMIT] = {"kept-apart", 0},
+	[HLD_NO_CAPACITY] = {"no-room", 0},
+	[HLD_RESERVED] = {"kept-for-other", 5000},
+	[HLD_RESERVED_FOR_RETRY] = {"kept-for-trial", 5000},
+	[HLD_NO_GANG_CAPACITY] = {"no-room-for-gang", 0},
+	[HLD_WAITS_FOR_RACK] = {"waits-for-rack", 2000},
 };
 
-/* A pool during one look. */
+/* A pool during one scan. */
 struct hld_pool {
 	struct sch_pool sch;
-	GPtrArray *all; /* struct jtb_worker, also what may not be used */
+	GPtrArray *all; /* struct jtb_worker, including unusable ones */
 	struct {
-		const struct jtb_step *step; /* NULL: none yet */
+		const struct jtb_step *step; /* NULL: unused entry */
 		enum hld_reason why;
-	} seen[HLD_SEEN];
+	} cache[HLD_CACHE_SIZE];
 };
 
-/* One look at all that is owed. */
-struct hld_look {
+/* One scan of all pending tasks. */
+struct hld_scan {
 	const struct hld_view *v;
 	struct hld_sum *sum;
 	hld_tell tell;
 	void *arg;
 	GHashTable *pools; /* struct hld_pool */
-	int fresh; /* reasons worked out */
+	int evaluated; /* reasons evaluated, without those cached */
 };
 
-static enum hld_reason hld_tried(enum hld_reason why, const struct jtb_job *job,
-				 const struct jtb_name *n);
-static enum hld_reason hld_own(const struct hld_view *v,
-			       const struct jtb_job *job,
-			       const struct jtb_name *n, enum hld_reason step);
-static enum hld_reason hld_step(const struct hld_view *v,
-				const struct jtb_job *job, uint32_t turn,
-				uint32_t step);
-static enum hld_reason hld_place(const struct hld_view *v, struct hld_pool *p,
-				 const struct jtb_job *job, uint32_t turn,
-				 uint32_t step);
-static enum hld_reason hld_worker(const struct hld_view *v,
-				  const struct hld_pool *p,
-				  const struct jtb_job *job,
-				  const struct jtb_step *s,
-				  const struct jtb_worker *w);
-static enum hld_reason hld_barred(const struct hld_view *v,
-				  const struct jtb_worker *w);
-static bool hld_kept(const struct hld_view *v, const struct jtb_job *job,
-		     const struct jtb_worker *w);
+static enum hld_reason hld_check_suspect(enum hld_reason why,
+					 const struct jtb_job *job,
+					 const struct jtb_name *n);
+static enum hld_reason hld_task_reason(const struct hld_view *v,
+				       const struct jtb_job *job,
+				       const struct jtb_name *n,
+				       enum hld_reason step);
+static enum hld_reason hld_step_reason(const struct hld_view *v,
+				       const struct jtb_job *job, uint32_t turn,
+				       uint32_t step);
+static enum hld_reason hld_pool_reason(const struct hld_view *v,
+				       struct hld_pool *p,
+				       const struct jtb_job *job, uint32_t turn,
+				       uint32_t step);
+static enum hld_reason hld_worker_reason(const struct hld_view *v,
+					 const struct hld_pool *p,
+					 const struct jtb_job *job,
+					 const struct jtb_step *s,
+					 const struct jtb_worker *w);
+static enum hld_reason hld_closed_reason(const struct hld_view *v,
+					 const struct jtb_worker *w);
+static bool hld_is_reserved(const struct hld_view *v, const struct jtb_job *job,
+			    const struct jtb_worker *w);
 static struct hld_pool *hld_pool_new(const struct hld_view *v,
 				     const char *name);
 static void hld_pool_free(gpointer arg);
-static void hld_look_silent(const struct hld_view *v, struct hld_sum *sum);
-static void hld_look_job(struct hld_look *l, struct jtb_job *job);
-static enum hld_reason hld_look_part(struct hld_look *l, struct jtb_job *job,
+static void hld_count_unreachable(const struct hld_view *v,
+				  struct hld_sum *sum);
+static void hld_scan_job(struct hld_scan *l, struct jtb_job *job);
+static enum hld_reason hld_scan_step(struct hld_scan *l, struct jtb_job *job,
 				     uint32_t turn, uint32_t step);
-static void hld_look_lasting(struct hld_look *l, struct jtb_job *job,
-			     uint32_t turn, uint32_t step);
-static struct jtb_held *hld_held(struct jtb_job *job);
-static enum hld_reason hld_seen(struct hld_look *l, struct jtb_job *job,
-				uint32_t turn, uint32_t step);
-static bool hld_alike(const struct jtb_step *a, const struct jtb_step *b);
-static struct hld_pool *hld_pool_of(struct hld_look *l,
-				    const struct jtb_job *job);
-static void hld_note(struct hld_look *l, const struct jtb_job *job,
-		     const struct jtb_name *n, struct jtb_held *h,
-		     enum hld_reason why);
-
-/* A reason's name in logs and metrics. */
+static void hld_scan_long_running(struct hld_scan *l, struct jtb_job *job,
+				  uint32_t turn, uint32_t step);
+static struct jtb_held *hld_job_records(struct jtb_job *job);
+static enum hld_reason hld_cached_reason(struct hld_scan *l,
+					 struct jtb_job *job, uint32_t turn,
+					 uint32_t step);
+static bool hld_same_size(const struct jtb_step *a, const struct jtb_step *b);
+static struct hld_pool *hld_get_pool(struct hld_scan *l,
+				     const struct jtb_job *job);
+static void hld_record(struct hld_scan *l, const struct jtb_job *job,
+		       const struct jtb_name *n, struct jtb_held *h,
+		       enum hld_reason why);
+
+/* Returns the name of a reason in logs and metrics. */
 const char *hld_name(enum hld_reason why)
 {
 	return hld_defs[why].name;
 }
 
-/* Longest that a reason may hold back what has room, ms; 0: any time. */
+/*
+ * Returns the longest time that a reason may keep a task pending while capacity
+ * is free, ms; 0: any time.
+ */
 int64_t hld_most_ms(enum hld_reason why)
 {
-	return hld_defs[why].most_ms;
+	return hld_defs[why].limit_ms;
 }
 
-/* Whether a task that a reason holds back is owed now. */
+/*
+ * Whether a task with this reason is pending, that is, due and without a run.
+ */
 bool hld_is_owed(enum hld_reason why)
 {
 	return why != HLD_OVER && why != HLD_RUNS && why != HLD_NOT_DUE &&
-	       why != HLD_STEP;
+	       why != HLD_EARLIER_STEP;
 }
 
-/* Why a task doesn't run; HLD_RUNS or HLD_OVER if it does or needn't. */
+/*
+ * Returns why a task does not run; HLD_RUNS if it runs, HLD_OVER if it need
+ * not.
+ */
 enum hld_reason hld_task(const struct hld_view *v, struct jtb_job *job,
 			 const struct jtb_name *n)
 {
-	enum hld_reason why =
-		hld_own(v, job, n, hld_step(v, job, n->turn, n->step));
+	enum hld_reason why = hld_task_reason(
+		v, job, n, hld_step_reason(v, job, n->turn, n->step));
 	struct hld_pool *p;
 
 	if (why != HLD_NONE)
 		return why;
 	p = hld_pool_new(v, jtb_pool_of(v->sch->jtb, job));
-	why = hld_place(v, p, job, n->turn, n->step);
+	why = hld_pool_reason(v, p, job, n->turn, n->step);
 	hld_pool_free(p);
-	return hld_tried(why, job, n);
+	return hld_check_suspect(why, job, n);
 }
 
-/* What holds a task back that has room: it may have to be tried alone. */
-static enum hld_reason hld_tried(enum hld_reason why, const struct jtb_job *job,
-				 const struct jtb_name *n)
+/*
+ * Returns HLD_ISOLATED_RETRY instead of HLD_NONE or a lack of capacity for a
+ * suspect task, which needs an isolated retry; otherwise returns why.
+ */
+static enum hld_reason hld_check_suspect(enum hld_reason why,
+					 const struct jtb_job *job,
+					 const struct jtb_name *n)
 {
 	bool suspected = sch_suspected(job, n->step, n->index);
 
-	return suspected && (why == HLD_NONE || why >= HLD_NO_ROOM) ? HLD_TRIAL
-								    : why;
+	return suspected && (why == HLD_NONE || why >= HLD_NO_CAPACITY)
+		       ? HLD_ISOLATED_RETRY
+		       : why;
 }
 
 /*
- * What of the task itself holds it back; HLD_NONE: it waits for a worker. step
- * is what holds back all tasks of its step.
+ * Returns the reason that lies in the task itself, or HLD_NONE if it waits for
+ * a worker. step is the reason common to all tasks of its step.
  */
-static enum hld_reason hld_own(const struct hld_view *v,
-			       const struct jtb_job *job,
-			       const struct jtb_name *n, enum hld_reason step)
+static enum hld_reason hld_task_reason(const struct hld_view *v,
+				       const struct jtb_job *job,
+				       const struct jtb_name *n,
+				       enum hld_reason step)
 {
 	const struct jtb_step *s = &job->spec.steps[n->step];
 	const struct jtb_part *part = jtb_part(job, n->turn, n->step);
@@ -194,10 +218,13 @@
 	return HLD_NONE;
 }
 
-/* What holds back all tasks of a step alike, but for its pool. */
-static enum hld_reason hld_step(const struct hld_view *v,
-				const struct jtb_job *job, uint32_t turn,
-				uint32_t step)
+/*
+ * Returns the reason common to all tasks of a step, apart from those of its
+ * pool.
+ */
+static enum hld_reason hld_step_reason(const struct hld_view *v,
+				       const struct jtb_job *job, uint32_t turn,
+				       uint32_t step)
 {
 	const struct jtb_queue *q =
 		jtb_queue(jtb_config(v->sch->jtb), job->spec.queue);
@@ -207,16 +234,17 @@
 	if (v->sch->wall_ms < jtb_turn_due(job, turn))
 		return HLD_NOT_DUE;
 	if (!jtb_step_due(job, turn, step, v->sch->wall_ms))
-		return HLD_STEP;
+		return HLD_EARLIER_STEP;
 	if (!q)
-		return HLD_QUEUE;
+		return HLD_NO_QUEUE;
 	return HLD_NONE;
 }
 
-/* What the workers of its pool hold a task of a step back for. */
-static enum hld_reason hld_place(const struct hld_view *v, struct hld_pool *p,
-				 const struct jtb_job *job, uint32_t turn,
-				 uint32_t step)
+/* Returns the reason that the workers of the pool give for a step. */
+static enum hld_reason hld_pool_reason(const struct hld_view *v,
+				       struct hld_pool *p,
+				       const struct jtb_job *job, uint32_t turn,
+				       uint32_t step)
 {
 	const struct jtb_step *s = &job->spec.steps[step];
 	enum hld_reason best = HLD_NO_WORKER;
@@ -227,8 +255,8 @@
 	sch_apply_tickets(&p->sch, job, turn, step);
 	sch_count_step_tasks(&p->sch, job, turn, step);
 	for (i = 0; i < p->all->len && best != HLD_NONE; i++) {
-		enum hld_reason why =
-			hld_worker(v, p, job, s, g_ptr_array_index(p->all, i));
+		enum hld_reason why = hld_worker_reason(
+			v, p, job, s, g_ptr_array_index(p->all, i));
 
 		best = why == HLD_NONE ? why : MAX(best, why);
 	}
@@ -236,43 +264,44 @@
 		return best;
 	places = g_ptr_array_new();
 	if (!sch_place_gang(&p->sch, job, turn, step, NULL, places))
-		best = HLD_GANG_ROOM;
+		best = HLD_NO_GANG_CAPACITY;
 	else if (s->flags & JTB_ONE_RACK && job->rack_ms)
-		best = HLD_RACK;
+		best = HLD_WAITS_FOR_RACK;
 	g_ptr_array_free(places, TRUE);
 	return best;
 }
 
-/* Why a worker doesn't take a task, by what a plan goes by. */
-static enum hld_reason hld_worker(const struct hld_view *v,
-				  const struct hld_pool *p,
-				  const struct jtb_job *job,
-				  const struct jtb_step *s,
-				  const struct jtb_worker *w)
+/* Returns why a worker does not take a task, by the rules of a plan. */
+static enum hld_reason hld_worker_reason(const struct hld_view *v,
+					 const struct hld_pool *p,
+					 const struct jtb_job *job,
+					 const struct jtb_step *s,
+					 const struct jtb_worker *w)
 {
 	if (s->label && !sch_has_label(w, s->label))
-		return HLD_LABEL;
+		return HLD_NO_LABEL;
 	if ((!(s->flags & JTB_FILLS) && w->info.cpu < s->cpu) ||
 	    w->info.mem_mb < s->mem_mb || w->info.gpus < s->gpus)
 		return HLD_TOO_LARGE;
 	if (!sch_usable(v->sch, w))
-		return hld_barred(v, w);
+		return hld_closed_reason(v, w);
 	if (sch_is_backed_off(&p->sch, w, s, false))
 		return HLD_SHUNNED;
 	if (w->barred)
-		return HLD_TICKET;
+		return HLD_NO_TICKET;
 	if (!sch_allowed(w, s))
-		return HLD_APART;
+		return HLD_WORKER_LIMIT;
 	if (!sch_fits(w, s))
-		return HLD_NO_ROOM;
-	if (hld_kept(v, job, w))
-		return HLD_KEPT;
-	return sch_is_trial_reserved(&p->sch, w, job) ? HLD_RESERVED : HLD_NONE;
+		return HLD_NO_CAPACITY;
+	if (hld_is_reserved(v, job, w))
+		return HLD_RESERVED;
+	return sch_is_trial_reserved(&p->sch, w, job) ? HLD_RESERVED_FOR_RETRY
+						      : HLD_NONE;
 }
 
-/* Why a worker may not be given work. */
-static enum hld_reason hld_barred(const struct hld_view *v,
-				  const struct jtb_worker *w)
+/* Returns why a worker may not be assigned work. */
+static enum hld_reason hld_closed_reason(const struct hld_view *v,
+					 const struct jtb_worker *w)
 {
 	enum hld_reason why = v->bar(v->sch->arg, w);
 
@@ -282,15 +311,15 @@
 							    : HLD_MOVING;
 }
 
-/* Whether a worker is kept free for other work that lasts. */
-static bool hld_kept(const struct hld_view *v, const struct jtb_job *job,
-		     const struct jtb_worker *w)
+/* Whether a worker is reserved for a long-running task of another job. */
+static bool hld_is_reserved(const struct hld_view *v, const struct jtb_job *job,
+			    const struct jtb_worker *w)
 {
 	return w->kept_for && w->kept_for != job->seq + 1 &&
-	       v->sch->now_ms - w->kept_ms <= HLD_KEPT_MS;
+	       v->sch->now_ms - w->kept_ms <= HLD_RESERVED_MS;
 }
 
-/* Takes stock of a pool's workers. */
+/* Returns the state of a pool with its workers. */
 static struct hld_pool *hld_pool_new(const struct hld_view *v, const char *name)
 {
 	struct hld_pool *p = g_new0(struct hld_pool, 1);
@@ -306,7 +335,7 @@
 	return p;
 }
 
-/* Frees what was seen of a pool. */
+/* Frees the state of a pool. */
 static void hld_pool_free(gpointer arg)
 {
 	struct hld_pool *p = arg;
@@ -317,15 +346,15 @@
 }
 
 /*
- * Looks at all that is owed, once a second by a leader: adds up what each
- * reason holds back, and tells of what has waited for long. Tasks of a step
- * share what their pool says of them; those that last are looked at one by
- * one, as each of them is owed at every moment.
+ * Scans all pending tasks; called once a second by the leader. Counts the tasks
+ * for each reason in sum and reports those pending for long. The tasks of a
+ * step share the reason given by their pool; long-running tasks are evaluated
+ * one by one, as each of them should run at any time.
  */
 void hld_look(const struct hld_view *v, struct hld_sum *sum, hld_tell tell,
 	      void *arg)
 {
-	struct hld_look l = {.v = v, .sum = sum, .tell = tell, .arg = arg};
+	struct hld_scan l = {.v = v, .sum = sum, .tell = tell, .arg = arg};
 	GPtrArray *live = jtb_live(v->sch->jtb);
 	guint i;
 
@@ -334,15 +363,17 @@
 	l.pools = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					hld_pool_free);
 	for (i = 0; i < live->len; i++)
-		hld_look_job(&l, g_ptr_array_index(live,
-						   (sum->at + i) % live->len));
-	sum->at += HLD_FRESH_MAX;
+		hld_scan_job(&l, g_ptr_array_index(live, (sum->next_job + i) %
+								 live->len));
+	sum->next_job += HLD_EVAL_MAX;
 	g_hash_table_destroy(l.pools);
-	hld_look_silent(v, sum);
+	hld_count_unreachable(v, sum);
 }
 
-/* Adds what hangs on workers that don't answer; what lasts is in already. */
-static void hld_look_silent(const struct hld_view *v, struct hld_sum *sum)
+/*
+ * Adds the runs on unreachable workers; long-running ones are counted already.
+ */
+static void hld_count_unreachable(const struct hld_view *v, struct hld_sum *sum)
 {
 	GHashTableIter it;
 	struct jtb_worker *w;
@@ -361,7 +392,7 @@
 	}
 }
 
-/* Appends what is held back in the text form that monitoring reads. */
+/* Appends the metrics of pending tasks in the text format for monitoring. */
 void hld_text(const struct hld_sum *sum, GString *out)
 {
 	int i;
@@ -384,7 +415,9 @@
 		(double)sum->longest_ms / 1000);
 }
 
-/* A new leader counts from its own first look. */
+/*
+ * Drops all pending times, so that a new leader counts from its own first scan.
+ */
 void hld_forget(const struct jtb *t)
 {
 	GPtrArray *live = jtb_live(t);
@@ -399,13 +432,13 @@
 }
 
 /*
- * Looks at one job. As a whole it is held back while something of it is due
- * and nothing of it runs or is about to.
+ * Scans one job. The job as a whole is pending while some of it is due and none
+ * of it runs or is being started.
  */
-static void hld_look_job(struct hld_look *l, struct jtb_job *job)
+static void hld_scan_job(struct hld_scan *l, struct jtb_job *job)
 {
 	enum hld_reason first = HLD_OVER;
-	bool moves = job->n_runs > 0;
+	bool active = job->n_runs > 0;
 	uint32_t t;
 	uint32_t s;
 
@@ -419,75 +452,80 @@
 			enum hld_reason why;
 
 			if (job->spec.steps[s].flags & JTB_LASTS) {
-				hld_look_lasting(l, job, t, s);
+				hld_scan_long_running(l, job, t, s);
 				continue;
 			}
-			moves = moves || (part && part->n_planned);
-			why = hld_look_part(l, job, t, s);
+			active = active || (part && part->n_planned);
+			why = hld_scan_step(l, job, t, s);
 			if (!hld_is_owed(first))
 				first = why;
 		}
 	}
-	if (moves)
+	if (active)
 		first = HLD_RUNS;
 	if (job->held || hld_is_owed(first))
-		hld_note(l, job, NULL, hld_held(job), first);
+		hld_record(l, job, NULL, hld_job_records(job), first);
 }
 
-/* Adds a step's tasks that wait to the sum; returns what holds them back. */
-static enum hld_reason hld_look_part(struct hld_look *l, struct jtb_job *job,
+/* Adds the waiting tasks of a step to the sum and returns their reason. */
+static enum hld_reason hld_scan_step(struct hld_scan *l, struct jtb_job *job,
 				     uint32_t turn, uint32_t step)
 {
 	const struct jtb_part *part = jtb_part(job, turn, step);
-	uint32_t waits = job->spec.steps[step].count;
-	enum hld_reason why = hld_step(l->v, job, turn, step);
+	uint32_t waiting = job->spec.steps[step].count;
+	enum hld_reason why = hld_step_reason(l->v, job, turn, step);
 
 	if (part) {
-		uint32_t busy = part->n_done + part->n_runs + part->n_planned;
+		uint32_t occupied =
+			part->n_done + part->n_runs + part->n_planned;
 
 		l->sum->tasks[HLD_PROPOSED] += part->n_planned;
-		waits -= MIN(waits, busy);
-		if (waits && why == HLD_NONE && busy &&
+		waiting -= MIN(waiting, occupied);
+		if (waiting && why == HLD_NONE && occupied &&
 		    job->spec.steps[step].flags & JTB_GANG)
 			why = HLD_GANG;
 	}
-	if (!waits)
+	if (!waiting)
 		return HLD_OVER;
 	if (why == HLD_NONE)
-		why = hld_seen(l, job, turn, step);
+		why = hld_cached_reason(l, job, turn, step);
 	if (why == HLD_NONE && job->suspects && job->suspects->len)
-		why = HLD_TRIAL;
-	l->sum->tasks[why] += waits;
+		why = HLD_ISOLATED_RETRY;
+	l->sum->tasks[why] += waiting;
 	return why;
 }
 
-/* Looks at each task of a step that lasts. */
-static void hld_look_lasting(struct hld_look *l, struct jtb_job *job,
-			     uint32_t turn, uint32_t step)
+/* Scans each task of a long-running step. */
+static void hld_scan_long_running(struct hld_scan *l, struct jtb_job *job,
+				  uint32_t turn, uint32_t step)
 {
-	struct jtb_held *held = hld_held(job) + 1;
+	struct jtb_held *records = hld_job_records(job) + 1;
 	struct jtb_name n = {.turn = turn, .step = step};
-	enum hld_reason all = hld_step(l->v, job, turn, step);
-	enum hld_reason pool = HLD_OVER;
+	enum hld_reason common = hld_step_reason(l->v, job, turn, step);
+	enum hld_reason pool_why = HLD_OVER;
 	uint32_t s;
 
 	for (s = 0; s < step; s++)
 		if (job->spec.steps[s].flags & JTB_LASTS)
-			held += job->spec.steps[s].count;
+			records += job->spec.steps[s].count;
 	g_strlcpy(n.id, job->spec.id, sizeof(n.id));
 	for (; n.index < job->spec.steps[step].count; n.index++) {
-		enum hld_reason why = hld_own(l->v, job, &n, all);
+		enum hld_reason why = hld_task_reason(l->v, job, &n, common);
 
-		if (why == HLD_NONE && pool == HLD_OVER)
-			pool = hld_seen(l, job, turn, step);
-		why = why == HLD_NONE ? hld_tried(pool, job, &n) : why;
+		if (why == HLD_NONE && pool_why == HLD_OVER)
+			pool_why = hld_cached_reason(l, job, turn, step);
+		why = why == HLD_NONE ? hld_check_suspect(pool_why, job, &n)
+				      : why;
 		l->sum->tasks[why] += hld_is_owed(why);
-		hld_note(l, job, &n, &held[n.index], why);
+		hld_record(l, job, &n, &records[n.index], why);
 	}
 }
 
-/* What is kept of a job: of the whole, then of each task that lasts. */
-static struct jtb_held *hld_held(struct jtb_job *job)
+/*
+ * Returns the records of a job, allocated on first use: one of the whole job,
+ * then one of each long-running task.
+ */
+static struct jtb_held *hld_job_records(struct jtb_job *job)
 {
 	uint32_t n = 1;
 	uint32_t s;
@@ -501,42 +539,44 @@
 }
 
 /*
- * What a job's pool holds a step back for. Steps of one size and label share
- * the answer, unless they must be kept apart, come together or may have a
- * worker kept for them.
+ * Returns the reason that a job's pool gives for a step. Steps of one size and
+ * label share the cached reason, unless they have a limit of tasks per worker,
+ * are a gang or may have a worker reserved for them.
  */
-static enum hld_reason hld_seen(struct hld_look *l, struct jtb_job *job,
-				uint32_t turn, uint32_t step)
+static enum hld_reason hld_cached_reason(struct hld_scan *l,
+					 struct jtb_job *job, uint32_t turn,
+					 uint32_t step)
 {
 	const struct jtb_step *s = &job->spec.steps[step];
-	struct hld_pool *p = hld_pool_of(l, job);
+	struct hld_pool *p = hld_get_pool(l, job);
 	const struct jtb_queue *q =
 		jtb_queue(jtb_config(l->v->sch->jtb), job->spec.queue);
-	/* tickets and room for all of a gang are a step's own matter */
-	bool own = s->flags & (JTB_GANG | JTB_LASTS) || q->advised;
-	guint cell = (s->cpu * 31 + s->mem_mb * 17 + s->gpus * 7 +
+	/* Tickets and the capacity for a whole gang differ for each step. */
+	bool uncacheable = s->flags & (JTB_GANG | JTB_LASTS) || q->advised;
+	guint slot = (s->cpu * 31 + s->mem_mb * 17 + s->gpus * 7 +
 		      (s->label ? g_str_hash(s->label) : 0) +
 		      (s->flags & JTB_FILLS)) %
-		     HLD_SEEN;
+		     HLD_CACHE_SIZE;
 	enum hld_reason why;
 
-	if (!own && !s->per_worker && p->seen[cell].step &&
-	    hld_alike(p->seen[cell].step, s))
-		return p->seen[cell].why;
-	if (!(s->flags & JTB_LASTS) && l->fresh >= HLD_FRESH_MAX)
-		return job->held && hld_is_owed(job->held->why) ? job->held->why
-								: HLD_NO_ROOM;
-	l->fresh++;
-	why = hld_place(l->v, p, job, turn, step);
-	if (!own && !s->per_worker) {
-		p->seen[cell].step = s;
-		p->seen[cell].why = why;
+	if (!uncacheable && !s->per_worker && p->cache[slot].step &&
+	    hld_same_size(p->cache[slot].step, s))
+		return p->cache[slot].why;
+	if (!(s->flags & JTB_LASTS) && l->evaluated >= HLD_EVAL_MAX)
+		return job->held && hld_is_owed(job->held->why)
+			       ? job->held->why
+			       : HLD_NO_CAPACITY;
+	l->evaluated++;
+	why = hld_pool_reason(l->v, p, job, turn, step);
+	if (!uncacheable && !s->per_worker) {
+		p->cache[slot].step = s;
+		p->cache[slot].why = why;
 	}
 	return why;
 }
 
-/* Whether a pool's answer for one step is that for another. */
-static bool hld_alike(const struct jtb_step *a, const struct jtb_step *b)
+/* Whether a pool gives the same reason for two steps. */
+static bool hld_same_size(const struct jtb_step *a, const struct jtb_step *b)
 {
 	return a->cpu == b->cpu && a->mem_mb == b->mem_mb &&
 	       a->gpus == b->gpus &&
@@ -544,9 +584,12 @@
 	       g_strcmp0(a->label, b->label) == 0;
 }
 
-/* The pool of a job whose queue is there, begun with the first of them. */
-static struct hld_pool *hld_pool_of(struct hld_look *l,
-				    const struct jtb_job *job)
+/*
+ * Returns the state of the pool of a job, created for its first job in the
+ * scan. The job's queue must exist.
+ */
+static struct hld_pool *hld_get_pool(struct hld_scan *l,
+				     const struct jtb_job *job)
 {
 	const char *name = jtb_pool_of(l->v->sch->jtb, job);
 	struct hld_pool *p = g_hash_table_lookup(l->pools, name);
@@ -558,10 +601,12 @@
 	return p;
 }
 
-/* Notes what holds something back now, and tells of it if it is due. */
-static void hld_note(struct hld_look *l, const struct jtb_job *job,
-		     const struct jtb_name *n, struct jtb_held *h,
-		     enum hld_reason why)
+/*
+ * Records the current reason of a task or job, and reports it if that is due.
+ */
+static void hld_record(struct hld_scan *l, const struct jtb_job *job,
+		       const struct jtb_name *n, struct jtb_held *h,
+		       enum hld_reason why)
 {
 	int64_t now = l->v->sch->now_ms;
 
@@ -577,8 +622,8 @@
 	}
 	h->why = (uint8_t)why;
 	l->sum->longest_ms = MAX(l->sum->longest_ms, now - h->owed_ms);
-	if (now - h->owed_ms < HLD_TELL_MS ||
-	    (h->told_ms && now - h->told_ms < HLD_TELL_AGAIN_MS))
+	if (now - h->owed_ms < HLD_REPORT_MS ||
+	    (h->told_ms && now - h->told_ms < HLD_REPORT_AGAIN_MS))
 		return;
 	h->told_ms = now;
 	l->tell(l->arg, job, n, why, now - h->since_ms, now - h->owed_ms);
--- a/src/hld.h
+++ b/src/hld.h
@@ -1,73 +1,93 @@
 #ifndef HLD_H
 #define HLD_H
 
+/* Scheduling diagnostics: determines why a task that is due does not run. */
+
 #include "sch.h"
 
 /*
- * Why something that is owed doesn't run: one reason each, by the same rules
- * as plans go by, without input or output.
+ * A task that is pending, that is, due and without a run, has one reason, found
+ * by the same rules as plans follow. Nothing here does input or output.
  */
 
 /*
- * What holds a task back. Of the reasons that a pool's workers give, that of
- * the worker which comes nearest to taking the task is told: they stand in
- * that order, and so do the checks of a plan.
+ * Why a task does not run. Of the reasons that a pool's workers give, the one
+ * of the worker nearest to taking the task is reported: the values are in that
+ * order, and so are the checks of a plan.
  */
 enum hld_reason {
-	HLD_NONE, /* nothing: a plan that is made now starts it */
-	/* it isn't owed */
-	HLD_OVER, /* it is done, or its job is over */
+	HLD_NONE, /* none: a plan made now starts it */
+	/* not pending */
+	HLD_OVER, /* the task is done, or its job has ended */
 	HLD_RUNS,
-	/* not now */
-	HLD_NOT_DUE, /* the time of its turn hasn't come */
-	HLD_STEP, /* steps before it aren't done */
-	HLD_QUEUE, /* its queue is gone from the configuration */
-	/* on its way */
-	HLD_PROPOSED, /* its start isn't stored yet */
-	HLD_ORDERED, /* its worker hasn't said that it has it */
+	/* not due */
+	HLD_NOT_DUE, /* the time of its turn has not come */
+	HLD_EARLIER_STEP, /* earlier steps are not done */
+	HLD_NO_QUEUE, /* its queue is no longer in the configuration */
+	/* being started, stopped or ended */
+	HLD_PROPOSED, /* its start is not committed yet */
+	HLD_ORDERED, /* its worker has not acknowledged the start */
 	HLD_STOPPING, /* its run is being stopped */
-	HLD_SILENT, /* its worker is silent and its lease may not be over */
-	HLD_ENDING, /* the end of its last run isn't stored yet */
-	HLD_GANG, /* others of its gang still run or are on their way */
-	HLD_JUST_ENDED, /* it is tried again in a moment */
-	HLD_TRIAL, /* it is tried alone: a worker may have crashed under it */
-	/* by the workers of its pool, from none at all to one that has room */
-	HLD_NO_WORKER,
-	HLD_LABEL, /* none has the label */
-	HLD_TOO_LARGE, /* none is as large */
-	HLD_DRAINING, /* each that is leaves */
-	HLD_UNREACHED, /* or doesn't answer */
-	HLD_SHUNNED, /* or failed or refused too much a moment ago */
-	HLD_MOVING, /* or is being emptied for another pool */
-	HLD_UPKEEP, /* or for its upkeep */
-	HLD_TICKET, /* or may not run it, as far as advice says */
-	HLD_APART, /* or has as many of its step as may be on one */
-	HLD_NO_ROOM, /* or is full */
-	HLD_KEPT, /* or is kept free for work that lasts */
-	HLD_RESERVED, /* or for a task that is tried alone */
-	HLD_GANG_ROOM, /* there is room for some of its gang, not for all */
-	HLD_RACK, /* there is, and it waits a while for all on one rack */
+	/* its worker is unreachable and its lease may still be valid */
+	HLD_SILENT,
+	HLD_ENDING, /* the end of its last run is not committed yet */
+	HLD_GANG, /* other members of its gang still run or are being started */
+	/* its last run has just ended, and it is retried shortly */
+	HLD_JUST_ENDED,
+	/* it may have crashed a worker and awaits its isolated retry */
+	HLD_ISOLATED_RETRY,
+	/*
+	 * given by the workers of its pool: what keeps the best of them, the
+	 * one with the last of these reasons, from taking the task
+	 */
+	HLD_NO_WORKER, /* the pool has no worker */
+	HLD_NO_LABEL, /* the best worker lacks the label */
+	HLD_TOO_LARGE, /* the best worker is too small */
+	HLD_DRAINING, /* the best worker is draining */
+	HLD_UNREACHED, /* the best worker is unreachable */
+	/* the best worker is backed off from after failures or refusals */
+	HLD_SHUNNED,
+	/* the best worker is being drained for a move to another pool */
+	HLD_MOVING,
+	HLD_UPKEEP, /* the best worker is being drained for upkeep */
+	/* the best worker has no ticket for it from the advice service */
+	HLD_NO_TICKET,
+	/* the best worker has reached the step's limit of tasks per worker */
+	HLD_WORKER_LIMIT,
+	HLD_NO_CAPACITY, /* the best worker lacks free capacity */
+	HLD_RESERVED, /* the best worker is reserved for a long-running task */
+	/* the best worker is reserved for an isolated retry */
+	HLD_RESERVED_FOR_RETRY,
+	HLD_NO_GANG_CAPACITY, /* not all of its gang fits */
+	/* all of its gang fits, but it waits for one rack */
+	HLD_WAITS_FOR_RACK,
 	HLD_REASONS
 };
 
 struct hld_view {
 	const struct sch_view *sch;
-	GHashTable *moving; /* ids of workers closed for that */
+	GHashTable *moving; /* ids of workers closed for a move */
 	GHashTable *upkeep;
-	/* HLD_NONE, or why a worker of sch isn't usable */
+	/* HLD_NONE, or why a worker that sch->usable rejects is not usable */
 	enum hld_reason (*bar)(void *arg, const struct jtb_worker *w);
-	/* how a run stands: HLD_RUNS, or what it waits for */
+	/* HLD_RUNS, or what a run waits for */
 	enum hld_reason (*run)(void *arg, const struct jtb_run *run);
 };
 
-/* What is held back, as of the last look; begins as zeros. */
+/* Pending tasks by reason, as of the last scan; initialise with zeros. */
 struct hld_sum {
 	uint64_t tasks[HLD_REASONS];
-	int64_t longest_ms; /* of work that is due and of which nothing runs */
-	guint at; /* where among the jobs the next look begins */
+	/*
+	 * longest time that a pending job or long-running task has had no run
+	 */
+	int64_t longest_ms;
+	guint next_job; /* index of the job with which the next scan begins */
 };
 
-/* Told of a task, or of a job (n is NULL), that is held back for long. */
+/*
+ * Reports a task, or a job if n is NULL, that has been pending for long: for
+ * why_ms for the reason why, and for owed_ms altogether.
+ */
 typedef void (*hld_tell)(void *arg, const struct jtb_job *job,
 			 const struct jtb_name *n, enum hld_reason why,
 			 int64_t why_ms, int64_t owed_ms);
--- a/tests/unit/crs_test.c
+++ b/tests/unit/crs_test.c
@@ -160,7 +160,7 @@
 }
 
 /*
- * Guards against jobs that fail as they started beside the one that crashes its
+ * Guards against jobs that fail because they started beside the one that crashes
  * workers, each time.
  */
 static void tasks_started_together_do_not_fail(void **state)
