--- a/src/est.c
+++ b/src/est.c
@@ -2,17 +2,23 @@
 
 #include <math.h>
 
-/* A queue's line is used once it rests on so many tasks. */
-#define EST_LEAST 20.0
-/* Each new task takes this share of the weight off all older ones. */
-#define EST_FADE 0.002
-/* Spread of guesses (variance of the logarithm) under which no slope shows. */
-#define EST_SPREAD 0.02
-/* A scale never leaves this factor, up or down: the line is no proof. */
+/* Least weight of completed tasks for which a queue's regression is used. */
+#define EST_MIN_TASKS 20.0
+/* Share of their weight that older tasks lose with each new one. */
+#define EST_DECAY 0.002
+/*
+ * Variance of the logarithm of estimates below which no slope can be
+ * determined.
+ */
+#define EST_MIN_VARIANCE 0.02
+/* Limit of the factor, up and down, as the regression is only a prediction. */
 #define EST_SCALE_MAX 5.0
 
-/* Faded sums over the done tasks of a queue; x: log guess, y: log time. */
-struct est_line {
+/*
+ * Sums over the completed tasks of a queue, with exponential decay; x: log of
+ * the estimate, y: log of the time taken.
+ */
+struct est_regression {
 	double n;
 	double x;
 	double y;
@@ -21,74 +27,85 @@
 };
 
 struct est {
-	GHashTable *lines; /* queue: struct est_line */
+	GHashTable *regressions; /* struct est_regression by queue */
 };
 
-/* Nothing learned yet. */
+/* Returns a new estimator without any samples. */
 struct est *est_new(void)
 {
 	struct est *e = g_new0(struct est, 1);
 
-	e->lines =
+	e->regressions =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return e;
 }
 
-/* Frees it. */
+/* Frees the estimator; e may be NULL. */
 void est_free(struct est *e)
 {
 	if (!e)
 		return;
-	g_hash_table_destroy(e->lines);
+	g_hash_table_destroy(e->regressions);
 	g_free(e);
 }
 
-/* Forgets all; queues come and go between two leaderships. */
+/*
+ * Drops all samples, for a new leader: the queues may have changed since this
+ * replica last led.
+ */
 void est_clear(struct est *e)
 {
-	g_hash_table_remove_all(e->lines);
+	g_hash_table_remove_all(e->regressions);
 }
 
-/* A task of a queue is done after took_ms; its caller had guessed guess_ms. */
+/*
+ * Records that a task of a queue completed after took_ms where its caller had
+ * estimated guess_ms. A sample without an estimate or a time is ignored.
+ */
 void est_learn(struct est *e, const char *queue, uint32_t guess_ms,
 	       int64_t took_ms)
 {
-	struct est_line *l = g_hash_table_lookup(e->lines, queue);
+	struct est_regression *l = g_hash_table_lookup(e->regressions, queue);
 	double x;
 	double y;
 
 	if (!guess_ms || took_ms <= 0)
 		return;
 	if (!l) {
-		l = g_new0(struct est_line, 1);
-		g_hash_table_insert(e->lines, g_strdup(queue), l);
+		l = g_new0(struct est_regression, 1);
+		g_hash_table_insert(e->regressions, g_strdup(queue), l);
 	}
 	x = log(guess_ms);
 	y = log((double)took_ms);
-	l->n = l->n * (1 - EST_FADE) + 1;
-	l->x = l->x * (1 - EST_FADE) + x;
-	l->y = l->y * (1 - EST_FADE) + y;
-	l->xx = l->xx * (1 - EST_FADE) + x * x;
-	l->xy = l->xy * (1 - EST_FADE) + x * y;
+	l->n = l->n * (1 - EST_DECAY) + 1;
+	l->x = l->x * (1 - EST_DECAY) + x;
+	l->y = l->y * (1 - EST_DECAY) + y;
+	l->xx = l->xx * (1 - EST_DECAY) + x * x;
+	l->xy = l->xy * (1 - EST_DECAY) + x * y;
 }
 
-/* Factor from a guess to the time that such a task takes; 1: not known. */
+/*
+ * Returns the factor from an estimate to the time that such a task takes; 1 if
+ * there are too few samples.
+ */
 double est_scale(const struct est *e, const char *queue, uint32_t guess_ms)
 {
-	const struct est_line *l = g_hash_table_lookup(e->lines, queue);
+	const struct est_regression *l =
+		g_hash_table_lookup(e->regressions, queue);
 	double mean_x;
 	double mean_y;
-	double spread;
+	double variance;
 	double slope = 1;
 	double x;
 
-	if (!l || l->n < EST_LEAST || !guess_ms)
+	if (!l || l->n < EST_MIN_TASKS || !guess_ms)
 		return 1;
 	mean_x = l->x / l->n;
 	mean_y = l->y / l->n;
-	spread = l->xx / l->n - mean_x * mean_x;
-	if (spread > EST_SPREAD)
-		slope = CLAMP((l->xy / l->n - mean_x * mean_y) / spread, 0, 1);
+	variance = l->xx / l->n - mean_x * mean_x;
+	if (variance > EST_MIN_VARIANCE)
+		slope = CLAMP((l->xy / l->n - mean_x * mean_y) / variance, 0,
+			      1);
 	x = log(guess_ms);
 	return CLAMP(exp(mean_y + slope * (x - mean_x) - x), 1 / EST_SCALE_MAX,
 		     EST_SCALE_MAX);
--- a/src/est.h
+++ b/src/est.h
@@ -1,15 +1,18 @@
 #ifndef EST_H
 #define EST_H
 
+/* Task time estimation: corrects callers' estimates by regression. */
+
 #include <glib.h>
 #include <stdint.h>
 
 /*
- * How long tasks take, learned from those that are done. Callers' guesses are
- * mostly too low and too far apart: on a day of 1,000 jobs the guesses of one
- * queue spread 1.0 (standard deviation of the logarithm) where the true times
- * spread 0.6, correlated by 0.6, and their mean was too low by a factor of 1.6.
- * A line through the logarithms for each queue takes both back.
+ * Predicts how long tasks take from those that have completed. Callers'
+ * estimates are mostly too low and too widely spread: on a day of 1,000 jobs
+ * the estimates of one queue had a spread of 1.0 (standard deviation of the
+ * logarithm) where the true times had 0.6, with a correlation of 0.6, and their
+ * mean was too low by a factor of 1.6. A linear regression over the logarithms
+ * for each queue corrects both.
  */
 struct est;
 
--- a/tests/unit/est_test.c
+++ b/tests/unit/est_test.c
@@ -6,7 +6,7 @@
 
 #include "est.h"
 
-#define NEAR 0.05
+#define TOLERANCE 0.05
 
 static int setup(void **state)
 {
@@ -29,10 +29,12 @@
 
 static void assert_near(double value, double want)
 {
-	assert_true(value > want * (1 - NEAR) && value < want * (1 + NEAR));
+	assert_true(value > want * (1 - TOLERANCE) &&
+		    value < want * (1 + TOLERANCE));
 }
 
-static void a_queue_not_known_is_taken_at_its_word(void **state)
+/* The estimates of a queue with too few samples are not corrected. */
+static void unknown_queue_is_not_scaled(void **state)
 {
 	learn(*state, "q", 100, 200, 10);
 	assert_near(est_scale(*state, "q", 100), 1);
@@ -40,10 +42,11 @@
 }
 
 /*
- * Jobs look as if they could still be in time, get the room, and are late: all
- * guesses of their queue are too low by the same factor.
+ * Guards against jobs that look as if they could meet their objective, get
+ * capacity, and are late: all estimates of their queue are too low by the same
+ * factor.
  */
-static void guesses_that_are_too_low_are_scaled(void **state)
+static void low_estimates_are_scaled(void **state)
 {
 	int i;
 
@@ -55,8 +58,8 @@
 	assert_near(est_scale(*state, "q", 1600), 1.6);
 }
 
-/* Guesses that tell nothing are taken back to the queue's mean. */
-static void guesses_without_meaning_give_the_mean(void **state)
+/* Estimates without any correlation give the mean time of the queue. */
+static void uncorrelated_estimates_give_the_mean(void **state)
 {
 	int i;
 
@@ -68,8 +71,11 @@
 	assert_near(est_scale(*state, "q", 800), 0.5);
 }
 
-/* Where all guesses are nearly alike, how times lie beside them is chance. */
-static void guesses_all_alike_show_no_slope(void **state)
+/*
+ * Estimates that are all nearly equal determine no slope: how the times vary
+ * with them is chance.
+ */
+static void equal_estimates_give_no_slope(void **state)
 {
 	int i;
 
@@ -80,8 +86,8 @@
 	assert_near(est_scale(*state, "q", 1000), 2.44);
 }
 
-/* Guesses that go the wrong way round are worth no more than none. */
-static void guesses_the_wrong_way_round_give_the_mean(void **state)
+/* Estimates with a negative correlation are treated like those without any. */
+static void negative_correlation_gives_the_mean(void **state)
 {
 	int i;
 
@@ -92,8 +98,11 @@
 	assert_near(est_scale(*state, "q", 800), 0.25);
 }
 
-/* A step without a guess, or a clock that stood, must not spoil the line. */
-static void what_tells_nothing_isnt_learned(void **state)
+/*
+ * A step without an estimate, or a clock that did not advance, must not distort
+ * the regression.
+ */
+static void invalid_samples_are_ignored(void **state)
 {
 	learn(*state, "q", 0, 100, 40);
 	learn(*state, "q", 100, 0, 40);
@@ -103,16 +112,19 @@
 	assert_near(est_scale(*state, "q", 0), 1);
 }
 
-/* The work behind a queue changes: what was learned before fades. */
-static void older_tasks_fade(void **state)
+/* When the work of a queue changes, older samples lose their weight. */
+static void older_samples_decay(void **state)
 {
 	learn(*state, "q", 100, 100, 1000);
 	learn(*state, "q", 100, 300, 4000);
 	assert_near(est_scale(*state, "q", 100), 3);
 }
 
-/* One stuck worker must not make a queue look hopeless. */
-static void a_scale_stays_within_bounds(void **state)
+/*
+ * Guards against a queue whose jobs all look worthless because of one worker
+ * that hangs.
+ */
+static void scale_is_limited(void **state)
 {
 	learn(*state, "q", 100, 100000, 40);
 	assert_true(est_scale(*state, "q", 100) <= 5);
@@ -125,14 +137,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		T(a_queue_not_known_is_taken_at_its_word),
-		T(guesses_that_are_too_low_are_scaled),
-		T(guesses_without_meaning_give_the_mean),
-		T(guesses_the_wrong_way_round_give_the_mean),
-		T(what_tells_nothing_isnt_learned),
-		T(guesses_all_alike_show_no_slope),
-		T(older_tasks_fade),
-		T(a_scale_stays_within_bounds),
+		T(unknown_queue_is_not_scaled),
+		T(low_estimates_are_scaled),
+		T(uncorrelated_estimates_give_the_mean),
+		T(negative_correlation_gives_the_mean),
+		T(invalid_samples_are_ignored),
+		T(equal_estimates_give_no_slope),
+		T(older_samples_decay),
+		T(scale_is_limited),
 	};
 
 	return cmocka_run_group_tests_name("est", tests, NULL, NULL);
