--- a/src/pac.h
+++ b/src/pac.h
@@ -1,17 +1,19 @@
 #ifndef PAC_H
 #define PAC_H
 
+/* Pacing: limits the speed of best-effort tasks beside serving tasks. */
+
 #include <stdint.h>
 
 #include "jtb.h"
 
 /*
- * How fast work may go that fills idle processors, beside work that serves
- * users of its own and whose response times must stay below a bound. Decides on
- * what a worker lists, without input or output.
+ * Pacing of best-effort tasks, which use idle processors, on a worker that also
+ * runs serving tasks, whose tail latency must stay below a bound. Decisions
+ * depend on the figures that a worker lists, and do no input or output.
  */
 struct pac_ops {
-	/* lets a run work at that share of its speed, percent */
+	/* Sets the speed of a run, percent of its full speed. */
 	void (*pace)(void *arg, struct jtb_run *run, int percent);
 };
 
