--- a/src/gcm.h
+++ b/src/gcm.h
@@ -1,15 +1,17 @@
 #ifndef GCM_H
 #define GCM_H
 
+/* Group commit: decides when the next batch of commands goes to the log. */
+
 #include <stdint.h>
 
 /*
- * When the next batch of commands goes to the log: while one is on its way the
- * next gathers, and the slower the log, the more gathers.
+ * State of group commit. While a batch is being committed the next one gathers,
+ * and the slower the log, the more commands it gathers.
  */
 struct gcm {
-	int64_t sent_ms; /* when the last batch went */
-	double stored_ms; /* moving mean of a batch's time to be stored */
+	int64_t sent_ms; /* when the last batch was sent to the log */
+	double stored_ms; /* moving mean of a batch's commit time, ms */
 };
 
 int64_t gcm_wait_ms(const struct gcm *g, int64_t now_ms);
--- a/tests/unit/gcm_test.c
+++ b/tests/unit/gcm_test.c
@@ -8,8 +8,11 @@
 
 #define BATCHES 100
 
-/* Batches sent in a second of commands, each stored after so long. */
-static int batches(struct gcm *g, int64_t took_ms)
+/*
+ * Returns the number of batches sent in one second of commands, where each is
+ * committed after took_ms.
+ */
+static int count_batches(struct gcm *g, int64_t took_ms)
 {
 	int64_t now;
 	int n = 0;
@@ -24,33 +27,39 @@
 	return n;
 }
 
-static void the_first_batch_waits_for_nothing(void **state)
+/* The first batch is sent at once. */
+static void first_batch_is_sent_at_once(void **state)
 {
 	struct gcm g = {0};
 
 	assert_int_equal(gcm_wait_ms(&g, 1000), 0);
 }
 
-static void a_fast_log_is_not_waited_for(void **state)
+/* A fast log gets a batch every 5 ms. */
+static void fast_log_gets_batches_at_the_least_interval(void **state)
 {
 	struct gcm g = {0};
 
-	assert_int_equal(batches(&g, 1), 200);
+	assert_int_equal(count_batches(&g, 1), 200);
 }
 
 /*
- * In a burst the log of a busy leader takes 20 ms for a batch. One every 5 ms
- * kept its loop at syncs, and ends of runs waited for their turn.
+ * Guards against a busy leader whose log takes 20 ms for a batch in a burst:
+ * one batch every 5 ms kept its event loop at syncs and delayed the ends of
+ * runs.
  */
-static void a_slow_log_gets_fewer_and_larger_batches(void **state)
+static void slow_log_gets_fewer_batches(void **state)
 {
 	struct gcm g = {0};
 
-	assert_in_range(batches(&g, 20), 30, 45);
+	assert_in_range(count_batches(&g, 20), 30, 45);
 }
 
-/* A disk that takes seconds for a while must not hold the next batch as long. */
-static void no_batch_waits_long(void **state)
+/*
+ * A disk that takes seconds for a while must not delay the next batch for as
+ * long.
+ */
+static void wait_is_limited(void **state)
 {
 	struct gcm g = {0};
 	int i;
@@ -65,10 +74,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(the_first_batch_waits_for_nothing),
-		cmocka_unit_test(a_fast_log_is_not_waited_for),
-		cmocka_unit_test(a_slow_log_gets_fewer_and_larger_batches),
-		cmocka_unit_test(no_batch_waits_long),
+		cmocka_unit_test(first_batch_is_sent_at_once),
+		cmocka_unit_test(fast_log_gets_batches_at_the_least_interval),
+		cmocka_unit_test(slow_log_gets_fewer_batches),
+		cmocka_unit_test(wait_is_limited),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
