--- a/src/qtb.c
+++ b/src/qtb.c
@@ -3,14 +3,17 @@
 static bool qtb_read_rows(struct qtb_in *t, struct pk_in *rows);
 static bool qtb_read_cell(struct pk_in *row, struct qtb_cell *cell);
 
-/* Starts a table with these columns. */
+/* Starts a table with n_cols columns; the names must outlive it. */
 void qtb_init(struct qtb *t, const char *const *cols, guint n_cols)
 {
 	*t = (struct qtb){.cols = cols, .n_cols = n_cols};
 	pk_out_init(&t->rows);
 }
 
-/* Starts a row; its cells, one a column, are packed into what it returns. */
+/*
+ * Starts a row, and returns the output into which its cells, one per column,
+ * are packed.
+ */
 struct pk_out *qtb_row(struct qtb *t)
 {
 	t->n_rows++;
@@ -18,7 +21,7 @@
 	return &t->rows;
 }
 
-/* Ends the table and packs it as the answer. */
+/* Packs the table into result as the answer, and frees its rows. */
 void qtb_finish(struct qtb *t, struct pk_out *result)
 {
 	struct lstr rows = pk_out_view(&t->rows);
@@ -36,7 +39,7 @@
 	pk_out_done(&t->rows);
 }
 
-/* Packs an answer that tells only what went wrong. */
+/* Packs an answer that consists of an error code and text only. */
 void qtb_fail(struct pk_out *result, enum proto_result code, const char *text)
 {
 	pk_arr(result, 4);
@@ -46,7 +49,10 @@
 	pk_arr(result, 0);
 }
 
-/* Reads an answer; false: not one. Freed by qtb_read_done after true. */
+/*
+ * Decodes an answer. Returns false, with nothing to free, if the bytes are not
+ * a valid answer; otherwise qtb_read_done frees it.
+ */
 bool qtb_read(struct qtb_in *t, struct lstr bytes)
 {
 	struct pk_in cols;
@@ -76,6 +82,7 @@
 	return false;
 }
 
+/* Decodes the cells of all rows; false if a row is malformed. */
 static bool qtb_read_rows(struct qtb_in *t, struct pk_in *rows)
 {
 	struct qtb_cell *cell = t->cells;
@@ -94,6 +101,7 @@
 	return true;
 }
 
+/* Decodes the next cell of a row; false if it is malformed. */
 static bool qtb_read_cell(struct pk_in *row, struct qtb_cell *cell)
 {
 	switch (row->arr.ptr[row->at].type) {
@@ -113,7 +121,7 @@
 	return pk_in_ok(row);
 }
 
-/* Frees what an answer holds. */
+/* Frees a decoded answer. */
 void qtb_read_done(struct qtb_in *t)
 {
 	g_free(t->cols);
@@ -121,7 +129,10 @@
 	pk_in_done(&t->in);
 }
 
-/* The cell of a row in the column of that name; NULL: no such column. */
+/*
+ * Returns the cell of a row in the column named col, or NULL if there is no
+ * such column.
+ */
 const struct qtb_cell *qtb_cell(const struct qtb_in *t, guint row,
 				const char *col)
 {
--- a/src/qtb.h
+++ b/src/qtb.h
@@ -1,6 +1,8 @@
 #ifndef QTB_H
 #define QTB_H
 
+/* Query tables: encode and decode the tables that answer queries. */
+
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -10,9 +12,9 @@
 #include "proto.h"
 
 /*
- * Answers to queries: a table that carries its columns' names, so that the
- * client shows any of them, and that of a later module, without knowing it.
- * Packed as [code, text, [column...], [[cell...]...]].
+ * An answer to a query being built: a table with the names of its columns, so
+ * that a client can show any table, also one of a module added later, without
+ * knowing it. Packed as [code, text, [column...], [[cell...]...]].
  */
 struct qtb {
 	const char *const *cols;
@@ -26,7 +28,7 @@
 void qtb_finish(struct qtb *t, struct pk_out *result);
 void qtb_fail(struct pk_out *result, enum proto_result code, const char *text);
 
-/* A cell of an answer. */
+/* Type of a cell. */
 enum qtb_type {
 	QTB_NUM,
 	QTB_STR,
@@ -39,7 +41,7 @@
 	struct lstr str;
 };
 
-/* An answer as it was read; strings live as long as it does. */
+/* A decoded answer; its strings are valid until qtb_read_done. */
 struct qtb_in {
 	struct pk_in in;
 	enum proto_result code;
@@ -47,7 +49,7 @@
 	guint n_cols;
 	guint n_rows;
 	struct lstr *cols;
-	struct qtb_cell *cells; /* row after row */
+	struct qtb_cell *cells; /* in order of rows */
 };
 
 bool qtb_read(struct qtb_in *t, struct lstr bytes);
