--- a/src/wkr.h
+++ b/src/wkr.h
@@ -1,6 +1,8 @@
 #ifndef WKR_H
 #define WKR_H
 
+/* Worker sessions: orders, leases and run lists between leader and workers. */
+
 #include <event2/event.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -13,41 +15,40 @@
 #include "ups.h"
 
 /*
- * The leader's sessions with the workers: orders, leases and what they list.
- * How orders look on the wire is the codec's; what becomes of ends is the
- * owner's.
+ * The leader's sessions with all workers. The codec defines how orders look on
+ * the wire; the owner decides what the ends of runs cause.
  */
 struct wkr;
 
-/* How far an order has come. */
+/* State of a run's orders. */
 enum wkr_phase {
-	WKR_NEW, /* to be started */
-	WKR_SENT, /* an order is on its way */
-	WKR_ON, /* the worker has said that it is there */
-	WKR_OVER, /* the worker has said that it never starts again */
-	WKR_DROPPED, /* given up here; its end is on its way to the log */
+	WKR_NEW, /* a start is to be sent */
+	WKR_SENT, /* an order is in flight */
+	WKR_ON, /* the worker has accepted the start or lists the run */
+	WKR_OVER, /* the worker has answered that the run never starts again */
+	WKR_DROPPED, /* abandoned by the leader; its end is proposed */
 };
 
-/* What keeps a worker from being given new work. */
+/* Whether a worker may be assigned new work, and if not, why. */
 enum wkr_bar {
-	WKR_FREE, /* nothing */
-	WKR_DRAINS, /* it has said that it leaves */
-	WKR_UNHEARD, /* it doesn't answer, or hasn't yet */
-	WKR_SHUNNED, /* it was ill or full a moment ago */
+	WKR_FREE, /* it may */
+	WKR_DRAINS, /* it has reported that it is draining */
+	WKR_UNHEARD, /* it is unreachable, or has not answered yet */
+	WKR_SHUNNED, /* backed off from: it was unhealthy or full recently */
 };
 
-/* What a worker answers to an order. */
+/* A worker's answer to an order. */
 enum wkr_answer {
 	WKR_YES,
-	WKR_FENCED, /* it has seen a higher fence */
-	WKR_OLD, /* that run is over there */
-	WKR_LATE, /* the lease was over before it came */
+	WKR_FENCED, /* it has seen a higher fencing token */
+	WKR_OLD, /* the run is over on the worker */
+	WKR_LATE, /* the lease had expired when the order arrived */
 	WKR_NO_ROOM,
 	WKR_NO_TICKET,
-	WKR_SICK, /* it can't now, and did nothing */
-	WKR_OTHER_LIFE, /* another lifetime is at that address */
-	WKR_MALFORMED, /* it didn't understand us */
-	WKR_UNREADABLE, /* we didn't understand it */
+	WKR_SICK, /* it is unable to now, and did nothing */
+	WKR_OTHER_LIFE, /* another process instance is at that address */
+	WKR_MALFORMED, /* the worker could not parse the order */
+	WKR_UNREADABLE, /* the answer could not be parsed */
 };
 
 enum wkr_order_kind {
@@ -57,54 +58,62 @@
 	WKR_PACE,
 };
 
-/* An order as the codec writes it; fields a kind doesn't use are zero. */
+/*
+ * An order for the codec to encode; fields that a kind does not use are zero.
+ */
 struct wkr_order {
 	enum wkr_order_kind kind;
 	const char *task;
 	uint32_t attempt;
 	const char *text; /* start */
-	const char *saved; /* start: progress to go on from; or NULL */
+	const char *saved; /* start: saved progress to resume from; or NULL */
 	const char *ticket; /* start: or NULL */
 	uint64_t fence;
-	int64_t until_ms; /* lease, on the worker's clock; 0: none */
-	uint64_t ack; /* hold: ends up to this are stored */
-	int64_t wait_ms; /* hold: how long it may wait for an end */
+	int64_t until_ms; /* end of the lease, on the worker's clock; 0: none */
+	uint64_t ack; /* hold: ends up to this number are committed */
+	int64_t wait_ms; /* hold: how long the worker may wait for an end */
 	int percent; /* pace */
 };
 
-/* A run that a worker lists. */
+/* A run in a worker's list. */
 struct wkr_row {
 	struct jtb_name name;
 	uint32_t attempt;
 	struct lstr saved;
-	int32_t percent; /* -1: not told */
-	int32_t figure; /* tail in ms, or processor in use; -1: not told */
+	int32_t percent; /* percent of its work done; -1: not reported */
+	/* tail latency in ms, or processor in use; -1: not reported */
+	int32_t figure;
 };
 
+/* The end of a run as a worker reports it. */
 struct wkr_end {
 	uint64_t no;
 	struct jtb_name name;
-	bool known; /* its name could be read */
+	bool known; /* its task name could be parsed */
 	uint32_t attempt;
 	enum jtb_end how;
 	struct lstr saved;
 };
 
-/* What a worker answers to a hold; texts live as long as its bytes. */
+/*
+ * A worker's answer to a hold; its strings are valid as long as the answer's
+ * bytes.
+ */
 struct wkr_report {
-	int64_t clock_ms; /* the worker's; 0: not told */
+	int64_t clock_ms; /* the worker's clock; 0: not reported */
 	GArray *rows; /* struct wkr_row */
 	GArray *ends; /* struct wkr_end */
-	bool partial; /* it has, or may have, more than could be read */
-	void *owner; /* the codec's */
+	bool partial; /* it is, or may be, incomplete */
+	void *owner; /* data of the codec */
 };
 
-/* How orders and answers look on the wire. */
+/* Encodes orders and decodes answers. */
 struct wkr_codec {
 	const char *content_type;
-	const char *life_header; /* names the lifetime that is meant */
+	/* header with the id of the worker instance addressed */
+	const char *life_header;
 	const char *(*write)(const struct wkr_order *o, struct evbuffer *body);
-	/* clock_ms: 0 where it isn't told */
+	/* Decodes an answer; clock_ms is set to 0 if it has no clock. */
 	enum wkr_answer (*answer)(int status, struct lstr body,
 				  int64_t *clock_ms);
 	bool (*report)(struct lstr body, struct wkr_report *out);
@@ -112,24 +121,30 @@
 };
 
 struct wkr_ops {
-	/* runs of w ended; the texts are valid during the call */
+	/* Reports the ends of runs on w; e is valid during the call. */
 	void (*ends)(void *arg, struct jtb_worker *w, const struct wkr_end *e,
 		     size_t n);
-	/* a run is over without the worker listing it */
+	/* Reports that a run is over without an end from the worker. */
 	void (*lost)(void *arg, struct jtb_run *run, const struct evd *e);
-	/* nothing runs there */
+	/* Reports that nothing runs on w any more. */
 	void (*gone)(void *arg, struct jtb_worker *w, const struct evd *e);
-	/* new figures came in */
+	/* Reports that a new list of w was processed. */
 	void (*seen)(void *arg, struct jtb_worker *w);
-	/* the ticket a start needs, NULL: none; false: it has none yet */
+	/*
+	 * Returns in out the ticket that a start needs, NULL if it needs none.
+	 * Returns false if it needs one and has none.
+	 */
 	bool (*ticket)(void *arg, const struct jtb_run *run, const char **out);
-	/* the worker refused a start for its ticket */
+	/* Reports that the worker refused a start because of its ticket. */
 	void (*ticket_refused)(void *arg, const struct jtb_run *run);
-	/* when we last knew that we lead, on tmr's clock */
+	/*
+	 * Returns when this replica's leadership was last confirmed, on the
+	 * clock of tmr.
+	 */
 	int64_t (*sure)(void *arg);
 	/*
-	 * the replica that makes the calls to w, or NULL: we do; turn grows
-	 * with each call to w that was lost
+	 * Returns the replica that relays the calls to w, or NULL if the leader
+	 * makes them itself. turn grows with each call to w that was lost.
 	 */
 	const char *(*carrier)(void *arg, const struct jtb_worker *w,
 			       uint32_t turn);
@@ -140,21 +155,22 @@
 	struct tmr *tmr;
 	const struct wkr_codec *codec;
 	struct jtb *jtb;
-	int64_t hold_max_ms; /* longest lease that workers take */
-	int conns_max; /* connections to workers at once; 0: not bounded */
-	struct rly *rly; /* calls by way of other replicas; or NULL */
+	int64_t hold_max_ms; /* longest lease that workers accept */
+	int conns_max; /* most connections to workers at once; 0: unlimited */
+	struct rly *rly; /* calls relayed by other replicas; or NULL */
 };
 
 /* Counters since the start. */
 struct wkr_stats {
 	uint64_t orders[WKR_PACE + 1];
 	uint64_t unanswered;
-	uint64_t untried; /* for want of a connection of ours */
-	uint64_t refused; /* starts */
-	uint64_t unticketed; /* of these, for want of a ticket */
-	uint64_t lapses; /* workers given up since their lease was over */
-	struct cnt_times answers; /* how long orders took to be answered */
-	struct cnt_times margin; /* what was left of leases when renewed */
+	/* orders not sent for lack of a connection of this replica */
+	uint64_t untried;
+	uint64_t refused; /* starts refused by workers */
+	uint64_t unticketed; /* of these, for lack of a ticket */
+	uint64_t lapses; /* workers abandoned as their leases expired */
+	struct cnt_times answers; /* times from orders to their answers */
+	struct cnt_times margin; /* remaining times of leases when renewed */
 };
 
 struct wkr *wkr_new(const struct wkr_config *config, const struct wkr_ops *ops,
--- a/src/wkr_int.h
+++ b/src/wkr_int.h
@@ -11,91 +11,104 @@
 #include "sch.h"
 
 /*
- * Lease that runs are given, ms: longer than a leader's failure, election and
- * first call together (about 2.5 s), so that a change of leader ends nothing;
- * short, since work on a silent worker waits for its end.
+ * Length of a lease, ms: longer than a leader's failure, an election and the
+ * first call together (about 2.5 s), so that a change of leader ends no run;
+ * short, since tasks of an unreachable worker wait for its expiry.
  */
 #define WKR_LEASE_MS 5000
-/* How long a call for the list waits for an end, ms. */
-#define WKR_WAIT_MS 500
+/* How long a hold waits on the worker for an end, ms. */
+#define WKR_HOLD_WAIT_MS 500
 /*
- * The same where work that lasts has just begun: until it is seen at work no
- * other of its step may be moved, which held up whole waves of upkeep. And where
- * a task is tried alone: its worker gets nothing else meanwhile.
+ * The same while a long-running task is starting: until that has been observed
+ * running, no other task of its step may be moved, and a longer wait delayed
+ * whole maintenance waves. Also during an isolated retry, as its worker gets
+ * nothing else meanwhile.
+ */
+#define WKR_WAIT_STARTING_MS 250
+/* Timeout of a hold beyond its own wait, ms; far above a round trip of 2 ms. */
+#define WKR_HOLD_TIMEOUT_MS 400
+/* Timeout of an order, ms; it is then sent again, which is idempotent. */
+#define WKR_ORDER_TIMEOUT_MS 400
+#define WKR_CONNECT_TIMEOUT_MS 500
+/* Interval between holds that do not wait, while connections are scarce, ms. */
+#define WKR_POLL_INTERVAL_MS 250
+/* Least interval between two holds that brought nothing new, ms. */
+#define WKR_MIN_INTERVAL_MS 40
+/* Most orders in flight to one worker; more would only queue there. */
+#define WKR_ORDER_WINDOW 4
+/*
+ * Bounds of the delay between retries of unanswered calls, which doubles, ms.
  */
-#define WKR_WAIT_FRESH_MS 250
-/* Of a call for the list beyond its own wait; far over a round trip of 2 ms. */
-#define WKR_ANSWER_MS 400
-/* Of an order: it is sent again after that, which does no harm. */
-#define WKR_ORDER_MS 400
-#define WKR_CONNECT_MS 500
-/* Between calls for a list that don't wait, as connections are few. */
-#define WKR_SHARE_PAUSE_MS 250
-/* Least time between two calls for a list that brought nothing new. */
-#define WKR_PAUSE_MS 40
-/* Orders on their way to one worker; more would only queue there. */
-#define WKR_WINDOW 4
-/* Between tries of what got no answer, doubling. */
 #define WKR_RETRY_MIN_MS 100
 #define WKR_RETRY_MAX_MS 1000
-/* A worker that refused for want of room is left alone so long. */
-#define WKR_FULL_MS 150
-/* And one that said that it is ill. */
-#define WKR_SICK_MS 1500
-/* Largest answer taken: 500 ends and all that runs on a large worker. */
+/* Back-off from a worker that refused a start for lack of capacity, ms. */
+#define WKR_FULL_BACKOFF_MS 150
+/* Back-off from a worker that answered that it is unhealthy, ms. */
+#define WKR_UNHEALTHY_BACKOFF_MS 1500
+/* Largest answer accepted, bytes: 500 ends and all runs of a large worker. */
 #define WKR_ANSWER_MAX (1 << 20)
-/* What fills works at that share until a new leader knows more, percent. */
-#define WKR_PACE_UNKNOWN 50
-/* An idle connection is used again so long; orders may safely be repeated. */
+/* Pace of best-effort runs until a new leader has figures, percent. */
+#define WKR_INITIAL_PACE 50
+/* How long an idle connection is reused, ms; orders may safely be repeated. */
 #define WKR_REUSE_MS 20000
 
-/* A run that was given up, of which a start may still arrive. */
-struct wkr_late {
+/* An abandoned run whose start may still arrive at the worker. */
+struct wkr_stale_start {
 	struct jtb_name name;
 	uint32_t attempt;
-	bool asked; /* the worker is being told to take it never */
+	bool stopping; /* a stop for it is in flight */
 };
 
-/* A call that is on its way. */
+/* A call in flight. */
 struct wkr_call {
-	struct wkr_link *link;
-	struct ups_call *ups; /* ours, or */
-	struct rly_call *rly; /* another replica's */
+	struct wkr_session *session;
+	struct ups_call *ups; /* call made by the leader, or */
+	struct rly_call *rly; /* call relayed by another replica */
 	struct evbuffer *body;
 	enum wkr_order_kind kind;
-	uint64_t serial; /* of the run; hold: 0 */
-	struct wkr_late *late; /* it stops that; or NULL */
+	uint64_t serial; /* serial of the run; 0: hold, or not for a run */
+	/* stale start that this call stops; or NULL */
+	struct wkr_stale_start *stale;
 	int64_t sent_ms;
 	int percent;
-	uint8_t before; /* enum wkr_phase of the run when it was sent */
+	/* enum wkr_phase of the run when the call was sent */
+	uint8_t phase_before;
 };
 
 /* The session with one worker. */
-struct wkr_link {
+struct wkr_session {
 	struct wkr *k;
 	struct jtb_worker *w;
-	bool known; /* it has listed what it runs since we lead */
+	bool known; /* it has listed its runs since this leader's term began */
 	struct wkr_call *hold;
 	uint64_t hold_timer;
 	uint64_t order_timer;
-	GPtrArray *calls; /* struct wkr_call but the hold */
-	struct evd_worker is; /* its clock, leases and silence */
+	GPtrArray *calls; /* struct wkr_call, without the hold */
+	/* the worker's clock, leases and reachability */
+	struct evd_worker state;
 	int64_t retry_ms;
-	int64_t shun_until;
-	uint32_t turn; /* calls lost, for whose turn it is to make them, */
-	int64_t turned_ms; /* and when that last grew */
-	uint64_t await_no; /* end that must be stored before the next hold */
+	int64_t backoff_until;
+	/*
+	 * number of calls lost or not answered, by which the next route is
+	 * selected
+	 */
+	uint32_t turn;
+	int64_t turn_ms; /* when turn last grew */
+	/* end that must be committed before the next hold; 0: none */
+	uint64_t await_end_no;
 	/*
-	 * The owner was told that nothing runs there, and the table doesn't
-	 * say so yet: an order or a lease in between would make that untrue.
+	 * The owner was told that nothing runs on the worker, and the job table
+	 * does not show that yet: no order or lease may be sent in between, as
+	 * it would make that wrong.
 	 */
-	bool given_up;
-	uint32_t cleared; /* the worker's count at that time */
+	bool abandoned;
+	uint32_t cleared; /* the worker's cleared count at that time */
 	/*
-	 * Until the worker has answered a stop of each it gets no lease: the
-	 * start would be taken under it, beside the run that followed.
+	 * The worker gets no lease until it has answered a stop for each of
+	 * these: with a lease it would accept the start, beside the run that
+	 * has replaced it.
 	 */
-	GPtrArray *late; /* struct wkr_late */
+	GPtrArray *stale; /* struct wkr_stale_start */
 };
 
 struct wkr {
@@ -103,8 +116,8 @@
 	const struct wkr_ops *ops;
 	void *arg;
 	struct ups *ups;
-	guint busy; /* workers with runs, as of the last look at all */
-	GPtrArray *links;
+	guint busy; /* workers with runs, as of the last tick */
+	GPtrArray *sessions;
 	GHashTable *runs; /* serial: struct jtb_run */
 	uint64_t fence;
 	int64_t lease_ms;
@@ -114,31 +127,33 @@
 	struct wkr_stats stats;
 };
 
-void wkr_call_send(struct wkr_link *l, struct wkr_call *c,
+void wkr_send_call(struct wkr_session *s, struct wkr_call *c,
 		   const struct wkr_order *o, int64_t timeout_ms);
 guint wkr_window(const struct wkr *k);
-void wkr_hold(struct wkr_link *l);
-void wkr_hold_after(struct wkr_link *l, int64_t ms);
-void wkr_hold_done(struct wkr_link *l, int status, struct lstr body,
-		   int64_t sent_ms);
-void wkr_orders(struct wkr_link *l);
-void wkr_orders_after(struct wkr_link *l, int64_t ms);
-void wkr_order(struct wkr_link *l, struct jtb_run *run,
-	       enum wkr_order_kind kind);
-void wkr_order_stop(struct wkr_link *l, const struct jtb_name *name,
-		    uint32_t attempt, struct wkr_late *late);
-void wkr_keep_late(struct wkr_link *l);
-void wkr_stop_late(struct wkr_link *l);
-void wkr_answered(struct wkr_link *l, const struct wkr_call *c,
-		  enum wkr_answer answer);
-void wkr_unanswered(struct wkr_link *l, const struct wkr_call *c, bool sent);
-void wkr_untried(struct wkr_link *l, const struct wkr_call *c);
-void wkr_next_way(struct wkr_link *l);
-void wkr_lost(struct wkr_link *l, const struct wkr_call *c);
-void wkr_failed(struct wkr_link *l);
-void wkr_heard(struct wkr_link *l, int64_t clock_ms);
-int64_t wkr_until(struct wkr_link *l);
+void wkr_send_hold(struct wkr_session *s);
+void wkr_schedule_hold(struct wkr_session *s, int64_t ms);
+void wkr_on_hold_end(struct wkr_session *s, int status, struct lstr body,
+		     int64_t sent_ms);
+void wkr_send_orders(struct wkr_session *s);
+void wkr_schedule_orders(struct wkr_session *s, int64_t ms);
+void wkr_send_order(struct wkr_session *s, struct jtb_run *run,
+		    enum wkr_order_kind kind);
+void wkr_send_stop(struct wkr_session *s, const struct jtb_name *name,
+		   uint32_t attempt, struct wkr_stale_start *stale);
+void wkr_record_stale_starts(struct wkr_session *s);
+void wkr_stop_stale_starts(struct wkr_session *s);
+void wkr_on_answer(struct wkr_session *s, const struct wkr_call *c,
+		   enum wkr_answer answer);
+void wkr_on_no_answer(struct wkr_session *s, const struct wkr_call *c,
+		      bool sent);
+void wkr_on_not_sent(struct wkr_session *s, const struct wkr_call *c);
+void wkr_next_route(struct wkr_session *s);
+void wkr_on_call_lost(struct wkr_session *s, const struct wkr_call *c);
+void wkr_mark_unreachable(struct wkr_session *s);
+void wkr_mark_reachable(struct wkr_session *s, int64_t clock_ms);
+int64_t wkr_lease_end(struct wkr_session *s);
 struct evd_moment wkr_moment(const struct wkr *k);
-void wkr_gone(struct wkr_link *l, enum evd_why why, int64_t as_of_ms);
+void wkr_notify_ended(struct wkr_session *s, enum evd_why why,
+		      int64_t as_of_ms);
 
 #endif
--- a/src/wkr_list.c
+++ b/src/wkr_list.c
@@ -1,168 +1,178 @@
 #include "wkr_int.h"
 
-/* What workers say they run: calls for their lists, and what they bring. */
-
-static int64_t wkr_wait(const struct wkr_link *l);
-static bool wkr_must_share(const struct wkr *k);
-static void wkr_hold_timer(void *arg, int64_t now);
-static void wkr_take(struct wkr_link *l, const struct wkr_report *r,
-		     int64_t sent_ms);
-static int64_t wkr_pause(const struct wkr_link *l, int64_t took_ms);
-static void wkr_take_row(struct wkr_link *l, const struct wkr_row *row,
-			 int64_t now);
-static void wkr_stop_stray(struct wkr_link *l, const struct wkr_row *row);
-static void wkr_take_missing(struct wkr_link *l, const struct wkr_report *r,
-			     int64_t sent_ms);
-static bool wkr_ended(const struct wkr_report *r, const struct jtb_run *run);
+/* Polls workers for the runs that they list, and processes the lists. */
+
+static int64_t wkr_hold_wait_ms(const struct wkr_session *s);
+static bool wkr_conns_scarce(const struct wkr *k);
+static void wkr_on_hold_timer(void *arg, int64_t now);
+static void wkr_process_report(struct wkr_session *s,
+			       const struct wkr_report *r, int64_t sent_ms);
+static int64_t wkr_hold_delay_ms(const struct wkr_session *s, int64_t took_ms);
+static void wkr_process_row(struct wkr_session *s, const struct wkr_row *row,
+			    int64_t now);
+static void wkr_stop_unknown(struct wkr_session *s, const struct wkr_row *row);
+static void wkr_process_missing(struct wkr_session *s,
+				const struct wkr_report *r, int64_t sent_ms);
+static bool wkr_report_has_end(const struct wkr_report *r,
+			       const struct jtb_run *run);
 
 /*
- * Asks for the list, and renews the lease of all that runs there. A worker
- * that doesn't answer gets no lease: each that it might have heard would put
- * off the moment from which its work may be done elsewhere.
+ * Sends a hold, which asks for the worker's list and renews the lease of all
+ * its runs. An unreachable worker gets no lease: any lease that it might have
+ * received would postpone the time from which its tasks may be started
+ * elsewhere.
  */
-void wkr_hold(struct wkr_link *l)
+void wkr_send_hold(struct wkr_session *s)
 {
 	struct wkr_order o = {
 		.kind = WKR_HOLD,
-		.fence = l->k->fence,
-		.ack = l->w->end_no,
+		.fence = s->k->fence,
+		.ack = s->w->end_no,
 	};
 
-	if (l->hold || l->await_no || !l->k->leading)
+	if (s->hold || s->await_end_no || !s->k->leading)
 		return;
-	tmr_cancel(l->k->config.tmr, l->hold_timer);
-	l->hold_timer = 0;
-	if (l->w->runs->len && !l->is.failed_since && !l->given_up &&
-	    !l->late->len) {
-		o.until_ms = wkr_until(l);
-		o.wait_ms = l->known ? wkr_wait(l) : 0;
+	tmr_cancel(s->k->config.tmr, s->hold_timer);
+	s->hold_timer = 0;
+	if (s->w->runs->len && !s->state.failed_since && !s->abandoned &&
+	    !s->stale->len) {
+		o.until_ms = wkr_lease_end(s);
+		o.wait_ms = s->known ? wkr_hold_wait_ms(s) : 0;
 	}
-	l->hold = g_new0(struct wkr_call, 1);
-	wkr_call_send(l, l->hold, &o, o.wait_ms + WKR_ANSWER_MS);
+	s->hold = g_new0(struct wkr_call, 1);
+	wkr_send_call(s, s->hold, &o, o.wait_ms + WKR_HOLD_TIMEOUT_MS);
 }
 
-/* How long the next call for the list may wait there, ms. */
-static int64_t wkr_wait(const struct wkr_link *l)
+/* Returns how long the next hold may wait on the worker, ms. */
+static int64_t wkr_hold_wait_ms(const struct wkr_session *s)
 {
 	guint i;
 
-	if (wkr_must_share(l->k))
+	if (wkr_conns_scarce(s->k))
 		return 0;
-	for (i = 0; i < l->w->runs->len; i++) {
-		const struct jtb_run *run = g_ptr_array_index(l->w->runs, i);
+	for (i = 0; i < s->w->runs->len; i++) {
+		const struct jtb_run *run = g_ptr_array_index(s->w->runs, i);
 
 		if (run->job->spec.steps[run->step].flags & JTB_LASTS &&
 		    run->percent < 100)
-			return WKR_WAIT_FRESH_MS;
+			return WKR_WAIT_STARTING_MS;
 		if (jtb_suspect(run->job, run->step, run->index))
-			return WKR_WAIT_FRESH_MS;
+			return WKR_WAIT_STARTING_MS;
 	}
-	return WKR_WAIT_MS;
+	return WKR_HOLD_WAIT_MS;
 }
 
-/* Asks for the list after so long. */
-void wkr_hold_after(struct wkr_link *l, int64_t ms)
+/* Schedules a hold after ms, unless one is scheduled or in flight. */
+void wkr_schedule_hold(struct wkr_session *s, int64_t ms)
 {
-	if (l->hold_timer || l->hold)
+	if (s->hold_timer || s->hold)
 		return;
-	l->hold_timer = tmr_once(l->k->config.tmr, ms, wkr_hold_timer, l);
+	s->hold_timer = tmr_once(s->k->config.tmr, ms, wkr_on_hold_timer, s);
 }
 
-/* The time to ask for the list has come. */
-static void wkr_hold_timer(void *arg, int64_t now)
+/* Sends the scheduled hold. */
+static void wkr_on_hold_timer(void *arg, int64_t now)
 {
-	struct wkr_link *l = arg;
+	struct wkr_session *s = arg;
 	enum cpu_kind before = cpu_enter(CPU_LISTS);
 
-	l->hold_timer = 0;
-	wkr_hold(l);
+	s->hold_timer = 0;
+	wkr_send_hold(s);
 	cpu_leave(before);
 }
 
-/* A call for the list ended. */
-void wkr_hold_done(struct wkr_link *l, int status, struct lstr body,
-		   int64_t sent_ms)
+/* Processes the answer to a hold. */
+void wkr_on_hold_end(struct wkr_session *s, int status, struct lstr body,
+		     int64_t sent_ms)
 {
-	const struct wkr_codec *codec = l->k->config.codec;
+	const struct wkr_codec *codec = s->k->config.codec;
 	struct wkr_report r = {0};
 	int64_t clock_ms = 0;
 	enum wkr_answer answer;
 
 	if (status == 200 && codec->report(body, &r)) {
-		wkr_heard(l, r.clock_ms);
-		wkr_take(l, &r, sent_ms);
+		wkr_mark_reachable(s, r.clock_ms);
+		wkr_process_report(s, &r, sent_ms);
 		codec->report_done(&r);
 		return;
 	}
 	answer = codec->answer(status, body, &clock_ms);
 	if (answer == WKR_OTHER_LIFE) {
-		wkr_gone(l, EVD_LIFE, sent_ms);
+		wkr_notify_ended(s, EVD_LIFE, sent_ms);
 		return;
 	}
 	if (answer == WKR_SICK)
-		l->shun_until = tmr_now(l->k->config.tmr) + WKR_SICK_MS;
-	wkr_failed(l);
-	wkr_hold_after(l, l->retry_ms);
+		s->backoff_until =
+			tmr_now(s->k->config.tmr) + WKR_UNHEALTHY_BACKOFF_MS;
+	wkr_mark_unreachable(s);
+	wkr_schedule_hold(s, s->retry_ms);
 }
 
-/* Goes through what a worker listed. */
-static void wkr_take(struct wkr_link *l, const struct wkr_report *r,
-		     int64_t sent_ms)
+/* Processes a worker's list. */
+static void wkr_process_report(struct wkr_session *s,
+			       const struct wkr_report *r, int64_t sent_ms)
 {
-	int64_t now = tmr_now(l->k->config.tmr);
+	int64_t now = tmr_now(s->k->config.tmr);
 	uint64_t last = 0;
 	guint i;
 
 	for (i = 0; i < r->rows->len; i++)
-		wkr_take_row(l, &g_array_index(r->rows, struct wkr_row, i),
-			     now);
+		wkr_process_row(s, &g_array_index(r->rows, struct wkr_row, i),
+				now);
 	if (!r->partial)
-		wkr_take_missing(l, r, sent_ms);
-	l->known = true;
+		wkr_process_missing(s, r, sent_ms);
+	s->known = true;
 	for (i = 0; i < r->ends->len; i++)
 		last = MAX(last, g_array_index(r->ends, struct wkr_end, i).no);
-	if (last > l->w->end_no) {
-		l->await_no = last;
-		l->k->ops->ends(l->k->arg, l->w,
+	if (last > s->w->end_no) {
+		s->await_end_no = last;
+		s->k->ops->ends(s->k->arg, s->w,
 				(const struct wkr_end *)r->ends->data,
 				r->ends->len);
-	} else if (l->w->runs->len || l->late->len || last) {
-		wkr_hold_after(l, wkr_pause(l, now - sent_ms));
+	} else if (s->w->runs->len || s->stale->len || last) {
+		wkr_schedule_hold(s, wkr_hold_delay_ms(s, now - sent_ms));
 	}
-	l->k->ops->seen(l->k->arg, l->w);
-	wkr_stop_late(l);
-	wkr_orders(l);
+	s->k->ops->seen(s->k->arg, s->w);
+	wkr_stop_stale_starts(s);
+	wkr_send_orders(s);
 }
 
 /*
- * Whether connections are too few for each busy worker to hold one while it
- * waits for an end. Orders would find none then, and leases of others run out.
+ * Whether connections are too few for each worker with runs to occupy one while
+ * its hold waits for an end. Orders would find no connection then, and leases
+ * of other workers would expire.
  */
-static bool wkr_must_share(const struct wkr *k)
+static bool wkr_conns_scarce(const struct wkr *k)
 {
 	guint most = (guint)k->config.conns_max;
 
 	return ups_crowded(k->ups) || (most && k->busy > most / 2);
 }
 
-/* Until the next call for a list that brought nothing new, ms. */
-static int64_t wkr_pause(const struct wkr_link *l, int64_t took_ms)
+/*
+ * Returns the delay before the next hold after one that brought nothing new,
+ * ms.
+ */
+static int64_t wkr_hold_delay_ms(const struct wkr_session *s, int64_t took_ms)
 {
-	if (wkr_must_share(l->k))
-		return WKR_SHARE_PAUSE_MS;
-	/* one that doesn't wait as it was asked must not spin us */
-	return took_ms < WKR_PAUSE_MS ? WKR_PAUSE_MS : 0;
+	if (wkr_conns_scarce(s->k))
+		return WKR_POLL_INTERVAL_MS;
+	/*
+	 * A worker that does not wait as requested must not make the leader
+	 * poll in a busy loop.
+	 */
+	return took_ms < WKR_MIN_INTERVAL_MS ? WKR_MIN_INTERVAL_MS : 0;
 }
 
-/* Takes one run of a worker's list. */
-static void wkr_take_row(struct wkr_link *l, const struct wkr_row *row,
-			 int64_t now)
+/* Processes one run of a worker's list. */
+static void wkr_process_row(struct wkr_session *s, const struct wkr_row *row,
+			    int64_t now)
 {
-	struct jtb_run *run = jtb_find_run(l->k->config.jtb, &row->name,
-					   row->attempt, l->w->info.id);
+	struct jtb_run *run = jtb_find_run(s->k->config.jtb, &row->name,
+					   row->attempt, s->w->info.id);
 
 	if (!run) {
-		wkr_stop_stray(l, row);
+		wkr_stop_unknown(s, row);
 		return;
 	}
 	if (!run->began_ms)
@@ -180,59 +190,60 @@
 }
 
 /*
- * A run that the table doesn't have: an order that came late, of a run that
- * was given up meanwhile. It must end before anybody sees two of it.
+ * Stops a listed run that the job table does not have: its start arrived after
+ * the run was abandoned. It must end before its task is seen to run twice.
  */
-static void wkr_stop_stray(struct wkr_link *l, const struct wkr_row *row)
+static void wkr_stop_unknown(struct wkr_session *s, const struct wkr_row *row)
 {
 	char task[JTB_ID_MAX + 40];
 
 	jtb_name_text(&row->name, task, sizeof(task));
 	msg(MSG_WKR_STRAY, "worker=%s task=%s attempt=%u does=stop",
-	    l->w->info.id, task, row->attempt);
-	wkr_order_stop(l, &row->name, row->attempt, NULL);
+	    s->w->info.id, task, row->attempt);
+	wkr_send_stop(s, &row->name, row->attempt, NULL);
 }
 
 /*
- * A run that the worker had, or was told to forget, before it was asked, and
- * that it lists neither as running nor as ended, is over.
- * A list of which a row couldn't be read, or that tells only the first of many
- * ends, says nothing of that.
+ * Reports as lost each run that the worker had, or was told to forget, before
+ * its list was requested, and that the list has neither as running nor as
+ * ended. A list with an unreadable row, or with only the first of many ends,
+ * proves nothing about missing runs.
  */
-static void wkr_take_missing(struct wkr_link *l, const struct wkr_report *r,
-			     int64_t sent_ms)
+static void wkr_process_missing(struct wkr_session *s,
+				const struct wkr_report *r, int64_t sent_ms)
 {
-	struct evd_moment m = wkr_moment(l->k);
-	GPtrArray *over = g_ptr_array_new();
+	struct evd_moment m = wkr_moment(s->k);
+	GPtrArray *missing = g_ptr_array_new();
 	struct evd e = {0};
 	guint i;
 
-	for (i = 0; i < l->w->runs->len; i++) {
-		struct jtb_run *run = g_ptr_array_index(l->w->runs, i);
+	for (i = 0; i < s->w->runs->len; i++) {
+		struct jtb_run *run = g_ptr_array_index(s->w->runs, i);
 		struct jtb_name n;
-		bool there = false;
+		bool listed = false;
 		guint j;
 
 		if (!evd_unlisted(run, sent_ms, &m, &e))
 			continue;
 		jtb_name_of(run, &n);
-		for (j = 0; j < r->rows->len && !there; j++) {
+		for (j = 0; j < r->rows->len && !listed; j++) {
 			const struct wkr_row *row =
 				&g_array_index(r->rows, struct wkr_row, j);
 
-			there = row->attempt == run->attempt &&
-				jtb_name_same(&row->name, &n);
+			listed = row->attempt == run->attempt &&
+				 jtb_name_same(&row->name, &n);
 		}
-		if (!there && !wkr_ended(r, run))
-			g_ptr_array_add(over, run);
+		if (!listed && !wkr_report_has_end(r, run))
+			g_ptr_array_add(missing, run);
 	}
-	for (i = 0; i < over->len; i++)
-		l->k->ops->lost(l->k->arg, g_ptr_array_index(over, i), &e);
-	g_ptr_array_free(over, TRUE);
+	for (i = 0; i < missing->len; i++)
+		s->k->ops->lost(s->k->arg, g_ptr_array_index(missing, i), &e);
+	g_ptr_array_free(missing, TRUE);
 }
 
-/* Whether a list tells the end of a run. */
-static bool wkr_ended(const struct wkr_report *r, const struct jtb_run *run)
+/* Whether a list contains the end of a run. */
+static bool wkr_report_has_end(const struct wkr_report *r,
+			       const struct jtb_run *run)
 {
 	struct jtb_name n;
 	guint i;
--- a/src/wkr_order.c
+++ b/src/wkr_order.c
@@ -1,72 +1,79 @@
 #include "wkr_int.h"
 
-/* What workers are told: starts, stops, paces, and their answers. */
-
-static void wkr_orders_timer(void *arg, int64_t now);
-static bool wkr_wants(const struct jtb_run *run, enum wkr_order_kind *kind);
-static enum wkr_phase wkr_phase_after(const struct jtb_run *run,
-				      const struct wkr_call *c);
-static void wkr_late_asked(struct wkr_link *l, const struct wkr_call *c,
-			   bool heard);
-static void wkr_start_refused(struct wkr_link *l, struct jtb_run *run);
-static bool wkr_drop(struct wkr_link *l, struct jtb_run *run);
-static void wkr_again(struct wkr_link *l, const struct wkr_call *c, bool sent);
-static void wkr_take_back(struct wkr_link *l, const struct wkr_call *c,
-			  bool sent);
-
-/* Sends what runs want ordered, as far as the window goes. */
-void wkr_orders(struct wkr_link *l)
+/*
+ * Sends orders to workers (starts, stops and paces) and processes the answers.
+ */
+
+static void wkr_on_orders_timer(void *arg, int64_t now);
+static bool wkr_next_order(const struct jtb_run *run,
+			   enum wkr_order_kind *kind);
+static enum wkr_phase wkr_phase_before_order(const struct jtb_run *run,
+					     const struct wkr_call *c);
+static void wkr_on_stale_stop_end(struct wkr_session *s,
+				  const struct wkr_call *c, bool acked);
+static void wkr_on_start_refused(struct wkr_session *s, struct jtb_run *run);
+static bool wkr_drop_unsent(struct wkr_session *s, struct jtb_run *run);
+static void wkr_retry_call(struct wkr_session *s, const struct wkr_call *c,
+			   bool sent);
+static void wkr_undo_order(struct wkr_session *s, const struct wkr_call *c,
+			   bool sent);
+
+/* Sends the orders that runs need, as far as the window allows. */
+void wkr_send_orders(struct wkr_session *s)
 {
-	guint window = wkr_window(l->k);
+	guint window = wkr_window(s->k);
 	enum wkr_order_kind kind;
 	guint i;
 
-	if (!l->known || l->is.failed_since || l->given_up || l->late->len)
+	if (!s->known || s->state.failed_since || s->abandoned || s->stale->len)
 		return;
-	for (i = 0; i < l->w->runs->len && l->calls->len < window; i++) {
-		struct jtb_run *run = g_ptr_array_index(l->w->runs, i);
+	for (i = 0; i < s->w->runs->len && s->calls->len < window; i++) {
+		struct jtb_run *run = g_ptr_array_index(s->w->runs, i);
 
-		if (wkr_wants(run, &kind))
-			wkr_order(l, run, kind);
+		if (wkr_next_order(run, &kind))
+			wkr_send_order(s, run, kind);
 	}
 }
 
 /*
- * Orders on their way to one worker at most. Each takes a connection, and one
- * more lists the worker's ends: where these are few, a connection that is idle
- * at one worker would be closed for an order to the next, and each order cost
- * a new one.
+ * Returns how many orders may be in flight to one worker. Each uses a
+ * connection, and the hold uses one more: where connections are scarce, an idle
+ * connection to one worker would be closed for an order to the next, and each
+ * order would need a new connection.
  */
 guint wkr_window(const struct wkr *k)
 {
-	guint each = WKR_WINDOW + 1;
+	guint each = WKR_ORDER_WINDOW + 1;
 
 	if (k->config.conns_max && k->busy)
 		each = MIN(each, (guint)k->config.conns_max / k->busy);
 	return MAX(each, 2) - 1;
 }
 
-/* Looks for orders after so long. */
-void wkr_orders_after(struct wkr_link *l, int64_t ms)
+/*
+ * Schedules sending of orders after ms, unless that is scheduled; s may be
+ * NULL.
+ */
+void wkr_schedule_orders(struct wkr_session *s, int64_t ms)
 {
-	if (!l || l->order_timer)
+	if (!s || s->order_timer)
 		return;
-	l->order_timer = tmr_once(l->k->config.tmr, ms, wkr_orders_timer, l);
+	s->order_timer = tmr_once(s->k->config.tmr, ms, wkr_on_orders_timer, s);
 }
 
-/* The time to look for orders has come. */
-static void wkr_orders_timer(void *arg, int64_t now)
+/* Sends orders when that is due. */
+static void wkr_on_orders_timer(void *arg, int64_t now)
 {
-	struct wkr_link *l = arg;
+	struct wkr_session *s = arg;
 	enum cpu_kind before = cpu_enter(CPU_ORDERS);
 
-	l->order_timer = 0;
-	wkr_orders(l);
+	s->order_timer = 0;
+	wkr_send_orders(s);
 	cpu_leave(before);
 }
 
-/* Whether a run has something to be ordered, and what. */
-static bool wkr_wants(const struct jtb_run *run, enum wkr_order_kind *kind)
+/* Whether a run needs an order, and which kind. */
+static bool wkr_next_order(const struct jtb_run *run, enum wkr_order_kind *kind)
 {
 	if (run->phase == WKR_SENT || run->phase == WKR_OVER ||
 	    run->phase == WKR_DROPPED)
@@ -84,22 +91,23 @@
 }
 
 /*
- * How far a run is after an order that the worker didn't take or never answered:
- * as far as before. A stop says nothing of a start that may come late; taken for
- * a run that is there, it would be over with the first list that lacks it, and
- * the task begin elsewhere before that start arrives.
+ * Returns the phase of a run after an order that the worker rejected or did not
+ * answer: the phase before it. A stop proves nothing about a start that may
+ * arrive later: if the run counted as present, it would be over with the first
+ * list without it, and the task would start elsewhere before that start
+ * arrives.
  */
-static enum wkr_phase wkr_phase_after(const struct jtb_run *run,
-				      const struct wkr_call *c)
+static enum wkr_phase wkr_phase_before_order(const struct jtb_run *run,
+					     const struct wkr_call *c)
 {
 	if (c->kind == WKR_START)
 		return WKR_NEW;
-	return run->began_ms ? WKR_ON : c->before;
+	return run->began_ms ? WKR_ON : c->phase_before;
 }
 
 /* Sends one order for a run. */
-void wkr_order(struct wkr_link *l, struct jtb_run *run,
-	       enum wkr_order_kind kind)
+void wkr_send_order(struct wkr_session *s, struct jtb_run *run,
+		    enum wkr_order_kind kind)
 {
 	char task[JTB_ID_MAX + 40];
 	struct jtb_name n;
@@ -107,7 +115,7 @@
 		.kind = kind,
 		.task = task,
 		.attempt = run->attempt,
-		.fence = l->k->fence,
+		.fence = s->k->fence,
 		.percent = run->pace,
 	};
 	struct wkr_call *c;
@@ -119,252 +127,271 @@
 			&run->job->turns[run->turn].parts[run->step];
 
 		/*
-		 * A worker that leaves gets nothing more, nor one that has
-		 * shrunk below what it runs, and what needs a ticket isn't
-		 * sent without: a new leader has none, and one may end on the
-		 * way. What was never sent is simply over; else the worker
-		 * must be told to forget it.
+		 * No start is sent to a worker that is draining or has shrunk
+		 * below its runs, nor without a required ticket: a new leader
+		 * has no ticket, and one may expire meanwhile. A run that was
+		 * never sent is simply over; otherwise the worker must be told
+		 * to forget it.
 		 */
-		bool barred = !l->k->ops->ticket(l->k->arg, run, &o.ticket) ||
-			      l->w->info.draining || jtb_overfull(l->w);
+		bool withheld = !s->k->ops->ticket(s->k->arg, run, &o.ticket) ||
+				s->w->info.draining || jtb_overfull(s->w);
 
-		if (barred && wkr_drop(l, run))
+		if (withheld && wkr_drop_unsent(s, run))
 			return;
-		if (barred) {
+		if (withheld) {
 			run->stop = true;
 			o.kind = WKR_STOP;
 			o.ticket = NULL;
 		}
 		o.text = run->job->spec.text;
 		o.saved = part->tasks[run->index].saved;
-		o.until_ms = wkr_until(l);
+		o.until_ms = wkr_lease_end(s);
 	}
 	c = g_new0(struct wkr_call, 1);
 	c->serial = run->serial;
 	c->percent = run->pace;
-	c->before = run->phase;
+	c->phase_before = run->phase;
 	if (kind == WKR_PACE)
 		run->pace_told = run->pace;
 	else
 		run->phase = WKR_SENT;
 	run->sends += kind != WKR_PACE;
-	g_ptr_array_add(l->calls, c);
-	wkr_call_send(l, c, &o, WKR_ORDER_MS);
+	g_ptr_array_add(s->calls, c);
+	wkr_send_call(s, c, &o, WKR_ORDER_TIMEOUT_MS);
 }
 
-/* Orders the end of a run that the table doesn't have. */
-void wkr_order_stop(struct wkr_link *l, const struct jtb_name *name,
-		    uint32_t attempt, struct wkr_late *late)
+/* Sends a stop for a run that the job table does not have. */
+void wkr_send_stop(struct wkr_session *s, const struct jtb_name *name,
+		   uint32_t attempt, struct wkr_stale_start *stale)
 {
 	char task[JTB_ID_MAX + 40];
 	struct wkr_order o = {
 		.kind = WKR_STOP,
 		.task = task,
 		.attempt = attempt,
-		.fence = l->k->fence,
+		.fence = s->k->fence,
 	};
 	struct wkr_call *c = g_new0(struct wkr_call, 1);
 
 	jtb_name_text(name, task, sizeof(task));
-	c->late = late;
-	g_ptr_array_add(l->calls, c);
-	wkr_call_send(l, c, &o, WKR_ORDER_MS);
+	c->stale = stale;
+	g_ptr_array_add(s->calls, c);
+	wkr_send_call(s, c, &o, WKR_ORDER_TIMEOUT_MS);
 }
 
-/* Keeps, of a worker that is given up, which starts may still arrive. */
-void wkr_keep_late(struct wkr_link *l)
+/* Records which starts may still arrive at a worker that is being abandoned. */
+void wkr_record_stale_starts(struct wkr_session *s)
 {
 	guint i;
 
-	for (i = 0; i < l->w->runs->len; i++) {
-		const struct jtb_run *run = g_ptr_array_index(l->w->runs, i);
-		struct wkr_late *late;
+	for (i = 0; i < s->w->runs->len; i++) {
+		const struct jtb_run *run = g_ptr_array_index(s->w->runs, i);
+		struct wkr_stale_start *stale;
 
 		if (!evd_may_arrive(run))
 			continue;
-		late = g_new0(struct wkr_late, 1);
-		jtb_name_of(run, &late->name);
-		late->attempt = run->attempt;
-		g_ptr_array_add(l->late, late);
+		stale = g_new0(struct wkr_stale_start, 1);
+		jtb_name_of(run, &stale->name);
+		stale->attempt = run->attempt;
+		g_ptr_array_add(s->stale, stale);
 	}
 }
 
-/* A worker answers again: starts that may still arrive are stopped first. */
-void wkr_stop_late(struct wkr_link *l)
+/*
+ * Sends stops for the starts that may still arrive, before anything else, when
+ * an abandoned worker answers again.
+ */
+void wkr_stop_stale_starts(struct wkr_session *s)
 {
-	guint window = wkr_window(l->k);
+	guint window = wkr_window(s->k);
 	guint i;
 
-	for (i = 0; i < l->late->len && l->calls->len < window; i++) {
-		struct wkr_late *late = g_ptr_array_index(l->late, i);
+	for (i = 0; i < s->stale->len && s->calls->len < window; i++) {
+		struct wkr_stale_start *stale = g_ptr_array_index(s->stale, i);
 
-		if (late->asked)
+		if (stale->stopping)
 			continue;
-		late->asked = true;
-		wkr_order_stop(l, &late->name, late->attempt, late);
+		stale->stopping = true;
+		wkr_send_stop(s, &stale->name, stale->attempt, stale);
 	}
 }
 
-/* The call to stop a late start ended; heard: the worker will never take it. */
-static void wkr_late_asked(struct wkr_link *l, const struct wkr_call *c,
-			   bool heard)
+/*
+ * Processes the end of a call that stops a stale start; acked: the worker will
+ * never accept that start.
+ */
+static void wkr_on_stale_stop_end(struct wkr_session *s,
+				  const struct wkr_call *c, bool acked)
 {
-	c->late->asked = false;
-	if (heard)
-		g_ptr_array_remove(l->late, c->late);
-	wkr_hold_after(l, heard ? 0 : WKR_RETRY_MIN_MS);
+	c->stale->stopping = false;
+	if (acked)
+		g_ptr_array_remove(s->stale, c->stale);
+	wkr_schedule_hold(s, acked ? 0 : WKR_RETRY_MIN_MS);
 }
 
-/* A worker answered an order. */
-void wkr_answered(struct wkr_link *l, const struct wkr_call *c,
-		  enum wkr_answer answer)
+/* Processes a worker's answer to an order. */
+void wkr_on_answer(struct wkr_session *s, const struct wkr_call *c,
+		   enum wkr_answer answer)
 {
-	struct jtb_run *run = g_hash_table_lookup(l->k->runs, &c->serial);
-	int64_t now = tmr_now(l->k->config.tmr);
+	struct jtb_run *run = g_hash_table_lookup(s->k->runs, &c->serial);
+	int64_t now = tmr_now(s->k->config.tmr);
 
 	if (answer == WKR_OTHER_LIFE) {
-		wkr_gone(l, EVD_LIFE, c->sent_ms);
+		wkr_notify_ended(s, EVD_LIFE, c->sent_ms);
 		return;
 	}
 	if (answer == WKR_SICK)
-		l->shun_until = now + WKR_SICK_MS;
+		s->backoff_until = now + WKR_UNHEALTHY_BACKOFF_MS;
 	if (answer == WKR_NO_ROOM)
-		l->shun_until = MAX(l->shun_until, now + WKR_FULL_MS);
-	if (c->late)
-		wkr_late_asked(l, c, answer == WKR_YES || answer == WKR_OLD);
+		s->backoff_until =
+			MAX(s->backoff_until, now + WKR_FULL_BACKOFF_MS);
+	if (c->stale)
+		wkr_on_stale_stop_end(s, c,
+				      answer == WKR_YES || answer == WKR_OLD);
 	if (!run || c->kind == WKR_PACE) {
 		if (run && answer != WKR_YES)
 			run->pace_told = -1;
-		wkr_orders_after(l, answer == WKR_YES ? 0 : WKR_RETRY_MIN_MS);
+		wkr_schedule_orders(s,
+				    answer == WKR_YES ? 0 : WKR_RETRY_MIN_MS);
 		return;
 	}
-	run->phase = wkr_phase_after(run, c);
-	/* nobody knows what it did */
+	run->phase = wkr_phase_before_order(run, c);
+	/* The worker may have carried out the order. */
 	run->may_be_there |= answer == WKR_UNREADABLE;
 	switch (answer) {
 	case WKR_YES:
 		run->phase = c->kind == WKR_START ? WKR_ON : WKR_OVER;
 		run->job->unseen &= c->kind != WKR_START;
 		run->ordered_ms = now;
-		wkr_hold_after(l, 0);
+		wkr_schedule_hold(s, 0);
 		break;
 	case WKR_OLD:
 		run->phase = WKR_OVER;
 		run->ordered_ms = now;
-		wkr_hold_after(l, 0);
+		wkr_schedule_hold(s, 0);
 		break;
 	case WKR_NO_TICKET:
 		if (c->kind == WKR_START) {
-			l->k->stats.unticketed++;
-			l->k->ops->ticket_refused(l->k->arg, run);
+			s->k->stats.unticketed++;
+			s->k->ops->ticket_refused(s->k->arg, run);
 		}
 		/* fall through */
 	case WKR_NO_ROOM:
 	case WKR_SICK:
 	case WKR_MALFORMED:
 		if (c->kind == WKR_START) {
-			wkr_start_refused(l, run);
+			wkr_on_start_refused(s, run);
 			break;
 		}
-		wkr_orders_after(l, WKR_RETRY_MIN_MS);
+		wkr_schedule_orders(s, WKR_RETRY_MIN_MS);
 		return;
 	default:
-		wkr_orders_after(l, WKR_RETRY_MIN_MS);
+		wkr_schedule_orders(s, WKR_RETRY_MIN_MS);
 		return;
 	}
-	wkr_orders(l);
+	wkr_send_orders(s);
 }
 
 /*
- * The worker didn't take it. Another copy of the order may still be on its
- * way, of a call that got no answer: then the worker must first be told to
- * take it never, else the task could run twice.
+ * Processes a refused start. If another call with the same start got no answer,
+ * that start may still arrive: the worker must first be told never to accept
+ * it, otherwise the task could run twice.
  */
-static void wkr_start_refused(struct wkr_link *l, struct jtb_run *run)
+static void wkr_on_start_refused(struct wkr_session *s, struct jtb_run *run)
 {
-	l->k->stats.refused++;
-	if (!wkr_drop(l, run))
+	s->k->stats.refused++;
+	if (!wkr_drop_unsent(s, run))
 		run->stop = true;
 }
 
 /*
- * Gives a run up that was never on its worker; false: it may be. Nothing may be
- * ordered for it from now on: once its end is in the log the task is started
- * elsewhere, and an order that went out before that would make two of it.
+ * Abandons a run that never reached its worker; returns false if it may have.
+ * No order may be sent for it from now on: once its end is committed the task
+ * is started elsewhere, and an order sent before that would make it run twice.
  */
-static bool wkr_drop(struct wkr_link *l, struct jtb_run *run)
+static bool wkr_drop_unsent(struct wkr_session *s, struct jtb_run *run)
 {
-	struct evd_moment m = wkr_moment(l->k);
+	struct evd_moment m = wkr_moment(s->k);
 	struct evd e;
 
 	if (!evd_unsent(run, &m, &e))
 		return false;
 	run->phase = WKR_DROPPED;
-	l->k->ops->lost(l->k->arg, run, &e);
+	s->k->ops->lost(s->k->arg, run, &e);
 	return true;
 }
 
-/* An order got no answer: it may have been carried out. */
-void wkr_unanswered(struct wkr_link *l, const struct wkr_call *c, bool sent)
+/*
+ * Processes a call without an answer: it may have been carried out if it was
+ * sent.
+ */
+void wkr_on_no_answer(struct wkr_session *s, const struct wkr_call *c,
+		      bool sent)
 {
-	l->k->stats.unanswered++;
-	wkr_take_back(l, c, sent);
+	s->k->stats.unanswered++;
+	wkr_undo_order(s, c, sent);
 	/*
-	 * One call lost among others that are answered says nothing of the
-	 * worker: it goes on getting work, and just this call is repeated.
+	 * A single lost call among answered ones is no sign of an unreachable
+	 * worker: it keeps getting work, and only this call is repeated.
 	 */
-	if (l->is.ok_ms < c->sent_ms)
-		wkr_failed(l);
-	if (c->kind == WKR_HOLD || !l->hold)
-		wkr_hold_after(l, l->retry_ms);
-	wkr_orders_after(l, l->retry_ms);
+	if (s->state.ok_ms < c->sent_ms)
+		wkr_mark_unreachable(s);
+	if (c->kind == WKR_HOLD || !s->hold)
+		wkr_schedule_hold(s, s->retry_ms);
+	wkr_schedule_orders(s, s->retry_ms);
 }
 
 /*
- * No connection was to be had here for a call, which says nothing of the
- * worker. Taken as its silence, work of workers that are well was given to
- * others; and one that had said that it ends was over while it still ran.
+ * Processes a call for which this replica had no connection, which is no sign
+ * of an unreachable worker. When it was treated as one, tasks of healthy
+ * workers were started elsewhere, and a worker that had reported its exit
+ * counted as over while it still ran.
  */
-void wkr_untried(struct wkr_link *l, const struct wkr_call *c)
+void wkr_on_not_sent(struct wkr_session *s, const struct wkr_call *c)
 {
-	l->k->stats.untried++;
-	wkr_again(l, c, false);
+	s->k->stats.untried++;
+	wkr_retry_call(s, c, false);
 }
 
 /*
- * The replica that was to make a call told nothing of it: it may have been
- * made, and says nothing of the worker either. Another makes the next one.
+ * Processes a relayed call whose relay reported nothing: the call may have been
+ * made, and this is no sign of an unreachable worker either. The next call uses
+ * another route.
  */
-void wkr_lost(struct wkr_link *l, const struct wkr_call *c)
+void wkr_on_call_lost(struct wkr_session *s, const struct wkr_call *c)
 {
-	l->k->stats.unanswered++;
-	wkr_again(l, c, true);
+	s->k->stats.unanswered++;
+	wkr_retry_call(s, c, true);
 }
 
-/* Repeats what a call asked for, by another way if there is one. */
-static void wkr_again(struct wkr_link *l, const struct wkr_call *c, bool sent)
+/* Schedules the repetition of a call, by another route if there is one. */
+static void wkr_retry_call(struct wkr_session *s, const struct wkr_call *c,
+			   bool sent)
 {
-	wkr_next_way(l);
-	wkr_take_back(l, c, sent);
+	wkr_next_route(s);
+	wkr_undo_order(s, c, sent);
 	if (c->kind == WKR_HOLD)
-		wkr_hold_after(l, WKR_RETRY_MIN_MS);
-	wkr_orders_after(l, WKR_RETRY_MIN_MS);
+		wkr_schedule_hold(s, WKR_RETRY_MIN_MS);
+	wkr_schedule_orders(s, WKR_RETRY_MIN_MS);
 }
 
-/* What an order without an answer asked for is still to be asked for. */
-static void wkr_take_back(struct wkr_link *l, const struct wkr_call *c,
-			  bool sent)
+/*
+ * Restores the state before an order without an answer, so that the order is
+ * sent again.
+ */
+static void wkr_undo_order(struct wkr_session *s, const struct wkr_call *c,
+			   bool sent)
 {
-	struct jtb_run *run = g_hash_table_lookup(l->k->runs, &c->serial);
+	struct jtb_run *run = g_hash_table_lookup(s->k->runs, &c->serial);
 
-	if (c->late)
-		wkr_late_asked(l, c, false);
+	if (c->stale)
+		wkr_on_stale_stop_end(s, c, false);
 	if (run && c->kind == WKR_PACE) {
 		run->pace_told = -1;
 	} else if (run) {
-		run->phase = wkr_phase_after(run, c);
+		run->phase = wkr_phase_before_order(run, c);
 		run->unanswered += sent;
-		/* it may be there, or come to be there */
+		/* The worker may have it, or may still receive it. */
 		run->may_be_there = run->may_be_there || sent;
 	}
 }
--- a/tests/prop/wkr_prop.cc
+++ b/tests/prop/wkr_prop.cc
@@ -16,11 +16,11 @@
 }
 
 /*
- * The leader's sessions against workers that keep to the protocol and to nothing
- * else, in virtual time: orders get no answer and are carried out seconds later,
- * workers are cut off, drain, leave, crash and come back as other lifetimes, and
- * leaders change. No task may run twice at once, nor after its end as done was
- * acknowledged.
+ * Tests the leader's sessions against workers that follow the protocol and
+ * nothing more, in virtual time: orders get no answer and are carried out
+ * seconds later; workers are partitioned, drain, exit, crash and return as
+ * other instances; and leaders change. No task may run twice at once, nor again
+ * after its completion was acknowledged.
  */
 namespace
 {
@@ -28,32 +28,32 @@
 const int64_t STEP_MS = 10;
 const int64_t START_MS = 1000000;
 const int64_t LEASE_MS = 5000;
-const int64_t STOP_MS = 400; /* longest that a stop takes */
-const int64_t LIST_MS = 700; /* between two lists of VMs */
+const int64_t MAX_STOP_MS = 400; /* longest time that a stop takes */
+const int64_t LIST_INTERVAL_MS = 700; /* interval between two lists of VMs */
 const int SLOTS = 4;
-const int64_t JOB_EVERY_MS = 700;
+const int64_t JOB_INTERVAL_MS = 700;
 const uint32_t TASKS = 4;
-/* Steps that a calm world is given to come to an end. */
-const int CALM = 6000;
-
-/* What goes wrong on a day, as shares of calls or of steps. */
-struct Trouble {
-	double late; /* orders without an answer, carried out later */
-	double late_lists; /* the same of lists */
-	double odd; /* orders answered with what can't be read */
-	double lost; /* calls of which their carrier tells nothing */
-	double cut; /* steps in which a worker is cut off */
-	double leave; /* in which one begins to drain */
+/* Steps within which all jobs must end once there are no faults. */
+const int RECOVERY_STEPS = 6000;
+
+/* Probabilities of faults, per call or per step. */
+struct Faults {
+	double late; /* an order gets no answer and is carried out later */
+	double late_holds; /* a hold gets no answer and is carried out later */
+	double unreadable; /* an order gets an unreadable answer */
+	double lost; /* a call is lost by its relay */
+	double partition; /* a worker is partitioned in a step */
+	double leave; /* a worker begins to drain in a step */
 	double crash;
-	double change; /* in which the leader changes */
+	double change; /* the leader changes in a step */
 };
 
-const Trouble CALM_DAY = {0, 0, 0, 0, 0, 0, 0, 0};
+const Faults NO_FAULTS = {0, 0, 0, 0, 0, 0, 0, 0};
 
 struct Call {
 	uint64_t no;
 	int slot;
-	std::string life;
+	std::string instance;
 	std::string uri;
 	std::string body;
 	int64_t timeout;
@@ -63,7 +63,7 @@
 	uint32_t attempt;
 	int64_t began;
 	int64_t ends;
-	int64_t stop; /* is over by then; 0: not told */
+	int64_t stop; /* when a stopped run ends; 0: not stopped */
 };
 
 struct End {
@@ -74,35 +74,36 @@
 	int64_t at;
 };
 
-/* One lifetime of a worker. */
+/* One instance of a worker. */
 struct Worker {
 	std::string id;
 	int slot;
-	int64_t born;
-	int64_t offset; /* of its clock */
-	double rate; /* of its clock */
-	bool there = true;
+	int64_t started_at;
+	int64_t offset; /* of its clock, ms */
+	double rate; /* speed of its clock */
+	bool alive = true;
 	bool draining = false;
-	int64_t leaves = 0; /* says that it ends, and ends; 0: never */
-	bool said = false;
-	int64_t told = 0; /* when it last told of itself */
-	int64_t cut_until = 0;
+	int64_t exit_at = 0; /* when it reports its exit; 0: never */
+	bool exit_reported = false;
+	int64_t announced = 0; /* time of its last announcement */
+	int64_t partitioned_until = 0;
 	uint64_t fence = 0;
 	int64_t until = 0; /* end of its lease, on its clock */
-	int64_t lapsed_at = 0; /* when that last ran out */
+	int64_t expired_at = 0; /* when its lease last expired */
 	uint64_t next_no = 1;
 	std::map<std::string, Run> running;
 	std::vector<End> ends;
-	std::map<std::string, uint32_t> closed; /* no such attempt starts */
+	/* by task, highest attempt that must not start any more */
+	std::map<std::string, uint32_t> closed;
 	std::vector<std::pair<int64_t, Call>> late;
 
 	int64_t clock(int64_t now) const
 	{
-		return offset + (int64_t)((double)(now - born) * rate);
+		return offset + (int64_t)((double)(now - started_at) * rate);
 	}
 };
 
-/* An answer on its way back to the leader. */
+/* An answer in flight to the leader. */
 struct Answer {
 	int64_t due;
 	uint64_t no;
@@ -111,14 +112,14 @@
 	std::string body;
 };
 
-/* A command on its way through the log. */
+/* A proposed command that is not committed yet. */
 struct Command {
 	int64_t due;
 	std::string bytes;
 };
 
-struct World;
-World *the_world;
+struct Simulation;
+Simulation *the_simulation;
 
 std::string text_of(struct lstr s)
 {
@@ -133,7 +134,7 @@
 	return text;
 }
 
-/* Orders as bodies: [task, attempt, fence, until, ack, wait] */
+/* Encodes an order as [task, attempt, fence, until, ack, wait]. */
 const char *codec_write(const struct wkr_order *o, struct evbuffer *body)
 {
 	static const char *const uris[] = {"/start", "/stop", "/list", "/pace"};
@@ -152,7 +153,7 @@
 	return uris[o->kind];
 }
 
-/* Answers: [clock] */
+/* Decodes an answer [clock]. */
 enum wkr_answer codec_answer(int status, struct lstr body, int64_t *clock_ms)
 {
 	struct pk_in in;
@@ -180,7 +181,9 @@
 	}
 }
 
-/* Lists: [clock, [[task, attempt]...], [[no, task, attempt, how]...]] */
+/*
+ * Decodes a list [clock, [[task, attempt]...], [[no, task, attempt, how]...]].
+ */
 bool codec_report(struct lstr body, struct wkr_report *out)
 {
 	struct pk_in in;
@@ -223,41 +226,45 @@
 	g_array_free(r->ends, TRUE);
 }
 
-struct World {
+struct Simulation {
 	std::mt19937_64 rand;
-	Trouble trouble;
+	Faults faults;
 	struct tmr *tmr = tmr_new_manual(START_MS);
 	struct event_base *base = event_base_new();
 	struct jtb *jtb;
 	struct rly *rly;
 	struct wkr *wkr;
 	uint64_t fence = 1;
-	int64_t lead_at = 0; /* when the next leader begins; 0: one leads */
+	int64_t lead_at = 0; /* when the next leader begins; 0: there is one */
 	int64_t listed = 0;
-	uint64_t next_life = 1;
+	uint64_t next_instance = 1;
 	int jobs = 0;
-	std::vector<std::unique_ptr<Worker>> workers; /* all there ever were */
+	std::vector<std::unique_ptr<Worker>> workers; /* also former ones */
 	std::vector<Answer> answers;
 	std::vector<Command> log;
-	std::set<std::string> noted; /* tasks whose end as done was taken in */
-	std::set<std::string> told; /* the same, whatever became of the lease */
-	std::map<std::string, int64_t> last_begin;
-	std::string broken;
-	int begins = 0;
+	/* tasks whose completion under a valid lease was acknowledged */
+	std::set<std::string> completed;
+	/*
+	 * tasks whose completion was acknowledged, also under an expired lease
+	 */
+	std::set<std::string> acknowledged;
+	std::map<std::string, int64_t> last_start;
+	std::string violation;
+	int starts = 0;
 	int late = 0;
-	int lapses = 0;
+	int expirations = 0;
 
 	struct jtb_watch watch = {};
 	struct wkr_codec codec = {};
 	struct wkr_ops ops = {};
 	struct rly_ops carrier = {};
 
-	World(uint64_t seed, const Trouble &t) : rand(seed), trouble(t)
+	Simulation(uint64_t seed, const Faults &t) : rand(seed), faults(t)
 	{
 		struct wkr_config c = {};
 		int i;
 
-		the_world = this;
+		the_simulation = this;
 		set_tables();
 		jtb = jtb_new(&watch, this);
 		rly = rly_new(tmr, &carrier, this);
@@ -270,11 +277,11 @@
 		wkr = wkr_new(&c, &ops, this);
 		jobs_config(jtb, 1, "p", 1000);
 		for (i = 0; i < SLOTS; i++)
-			appear(i);
+			start_instance(i);
 		wkr_lead(wkr, fence);
 	}
 
-	~World()
+	~Simulation()
 	{
 		wkr_free(wkr);
 		rly_free(rly);
@@ -286,24 +293,24 @@
 	void set_tables()
 	{
 		watch.run_began = [](void *, struct jtb_run *run) {
-			run->ordered_ms = the_world->now();
-			wkr_run(the_world->wkr, run);
+			run->ordered_ms = the_simulation->now();
+			wkr_run(the_simulation->wkr, run);
 		};
 		watch.run_ends = [](void *, struct jtb_run *run, enum jtb_end) {
-			wkr_run_over(the_world->wkr, run);
+			wkr_run_over(the_simulation->wkr, run);
 		};
 		watch.run_stops = [](void *, struct jtb_run *run) {
-			wkr_stop(the_world->wkr, run);
+			wkr_stop(the_simulation->wkr, run);
 		};
 		watch.late_end = [](void *, const struct jtb_worker *,
 				    const struct jtb_name *, uint32_t,
 				    enum jtb_end) {};
 		watch.job_changed = [](void *, struct jtb_job *) {};
 		watch.worker_changed = [](void *, struct jtb_worker *w) {
-			wkr_worker(the_world->wkr, w);
+			wkr_worker(the_simulation->wkr, w);
 		};
 		watch.worker_gone = [](void *, struct jtb_worker *w) {
-			wkr_forget(the_world->wkr, w);
+			wkr_forget(the_simulation->wkr, w);
 		};
 		watch.config_changed = [](void *) {};
 		codec.content_type = "x";
@@ -313,26 +320,27 @@
 		codec.report = codec_report;
 		codec.report_done = codec_report_done;
 		carrier.send = [](void *, const char *, struct lstr payload) {
-			the_world->carry(payload);
+			the_simulation->relay(payload);
 			return true;
 		};
 		ops.ends = [](void *, struct jtb_worker *w,
 			      const struct wkr_end *e, size_t n) {
 			for (size_t i = 0; i < n; i++)
-				the_world->put_end(w->info.id, e[i].no,
-						   &e[i].name, e[i].attempt,
-						   e[i].how);
+				the_simulation->propose_end(w->info.id, e[i].no,
+							    &e[i].name,
+							    e[i].attempt,
+							    e[i].how);
 		};
 		ops.lost = [](void *, struct jtb_run *run, const struct evd *) {
 			struct jtb_name n;
 
 			jtb_name_of(run, &n);
-			the_world->put_end(run->worker->info.id, 0, &n,
-					   run->attempt, JTB_LOST);
+			the_simulation->propose_end(run->worker->info.id, 0, &n,
+						    run->attempt, JTB_LOST);
 		};
 		ops.gone = [](void *, struct jtb_worker *w,
 			      const struct evd *e) {
-			the_world->put_gone(w, evd_for_good(e));
+			the_simulation->propose_gone(w, evd_for_good(e));
 		};
 		ops.seen = [](void *, struct jtb_worker *) {};
 		ops.ticket = [](void *, const struct jtb_run *,
@@ -341,7 +349,7 @@
 			return true;
 		};
 		ops.ticket_refused = [](void *, const struct jtb_run *) {};
-		ops.sure = [](void *) { return the_world->now(); };
+		ops.sure = [](void *) { return the_simulation->now(); };
 		ops.carrier = [](void *, const struct jtb_worker *, uint32_t) {
 			return "carrier:1";
 		};
@@ -352,7 +360,7 @@
 		return tmr_now(tmr);
 	}
 
-	double chance()
+	double uniform()
 	{
 		return std::uniform_real_distribution<>(0, 1)(rand);
 	}
@@ -377,29 +385,29 @@
 		jobs_job(jtb, job_id(jobs++).c_str(), &step, 1, JOBS_WALL_MS);
 	}
 
-	/* Another lifetime begins at an address. */
-	void appear(int slot)
+	/* Starts another instance at an address. */
+	void start_instance(int slot)
 	{
 		auto w = std::make_unique<Worker>();
 
-		w->id = "w" + std::to_string(next_life++);
+		w->id = "w" + std::to_string(next_instance++);
 		w->slot = slot;
-		w->born = now();
+		w->started_at = now();
 		w->offset = between(1000, 900000);
-		w->rate = 0.98 + 0.04 * chance();
+		w->rate = 0.98 + 0.04 * uniform();
 		workers.push_back(std::move(w));
 	}
 
 	Worker *at(int slot)
 	{
 		for (auto &w : workers)
-			if (w->slot == slot && w->there)
+			if (w->slot == slot && w->alive)
 				return w.get();
 		return nullptr;
 	}
 
-	/* The log */
-	void put(struct pk_out *cmd)
+	/* Proposes a command. */
+	void propose(struct pk_out *cmd)
 	{
 		log.push_back({now() + between(5, 120),
 			       std::string(cmd->buf.data, cmd->buf.size)});
@@ -409,31 +417,32 @@
 		pk_out_done(cmd);
 	}
 
-	void put_end(const char *worker, uint64_t no, const struct jtb_name *n,
-		     uint32_t attempt, enum jtb_end how)
+	void propose_end(const char *worker, uint64_t no,
+			 const struct jtb_name *n, uint32_t attempt,
+			 enum jtb_end how)
 	{
 		struct pk_out o;
 
 		pk_out_init(&o);
 		jtb_put_end(&o, worker, no, n, attempt, how, lstr_n("", 0),
 			    JOBS_WALL_MS);
-		put(&o);
+		propose(&o);
 	}
 
-	void put_gone(struct jtb_worker *w, bool for_good)
+	void propose_gone(struct jtb_worker *w, bool permanently)
 	{
 		struct pk_out o;
 
 		if (w->lost)
 			return;
-		w->lost = for_good;
-		lapses += !for_good;
+		w->lost = permanently;
+		expirations += !permanently;
 		pk_out_init(&o);
-		jtb_put_gone(&o, w->info.id, for_good);
-		put(&o);
+		jtb_put_gone(&o, w->info.id, permanently);
+		propose(&o);
 	}
 
-	void store()
+	void commit()
 	{
 		while (!log.empty() && log.front().due <= now()) {
 			std::string bytes = log.front().bytes;
@@ -450,8 +459,8 @@
 		}
 	}
 
-	/* Calls: the leader's batch comes to its carrier. */
-	void carry(struct lstr payload)
+	/* Passes the leader's batch of calls on, as the relay. */
+	void relay(struct lstr payload)
 	{
 		struct pk_in in;
 		struct pk_in rows;
@@ -481,53 +490,55 @@
 					text_of(pk_get_str(&headers));
 
 				if (name == "Life")
-					c.life = value;
+					c.instance = value;
 			}
 			c.body = text_of(pk_get_str(&row));
-			arrives(c);
+			deliver(c);
 		}
 		pk_in_done(&in);
 	}
 
-	/* What becomes of a call on its way. */
-	void arrives(const Call &c)
+	/* Decides what happens to a call in flight. */
+	void deliver(const Call &c)
 	{
 		Worker *w = at(c.slot);
 		bool list = c.uri == "/list";
 
-		if (!w || w->cut_until > now()) {
-			/* refused, or nobody answers */
-			bool refused = chance() < 0.5;
+		if (!w || w->partitioned_until > now()) {
+			/* The connection is refused, or there is no answer. */
+			bool refused = uniform() < 0.5;
 
-			tell({now() + (refused ? 1 : c.timeout), c.no,
-			      refused ? UPS_NOT_SENT : UPS_TIMEOUT, 0, ""});
+			send_answer({now() + (refused ? 1 : c.timeout), c.no,
+				     refused ? UPS_NOT_SENT : UPS_TIMEOUT, 0,
+				     ""});
 			return;
 		}
-		if (chance() < (list ? trouble.late_lists : trouble.late)) {
+		if (uniform() < (list ? faults.late_holds : faults.late)) {
 			late++;
 			w->late.push_back({now() + between(2000, 12000), c});
-			tell({now() + c.timeout, c.no, UPS_TIMEOUT, 0, ""});
+			send_answer(
+				{now() + c.timeout, c.no, UPS_TIMEOUT, 0, ""});
 			return;
 		}
-		if (chance() < trouble.lost) {
-			/* made or not, its end isn't told */
-			if (chance() < 0.5)
-				make(w, c);
+		if (uniform() < faults.lost) {
+			/* Made or not, its end is not reported. */
+			if (uniform() < 0.5)
+				carry_out(w, c);
 			return;
 		}
-		Answer a = make(w, c);
-		if (!list && chance() < trouble.odd)
+		Answer a = carry_out(w, c);
+		if (!list && uniform() < faults.unreadable)
 			a.status = 500;
-		tell(a);
+		send_answer(a);
 	}
 
-	void tell(const Answer &a)
+	void send_answer(const Answer &a)
 	{
 		answers.push_back(a);
 	}
 
-	/* A worker carries a call out. */
-	Answer make(Worker *w, const Call &c)
+	/* Carries out a call on a worker. */
+	Answer carry_out(Worker *w, const Call &c)
 	{
 		Answer a = {now() + 2, c.no, UPS_WHOLE, 200, ""};
 		struct pk_in in;
@@ -537,7 +548,7 @@
 		int64_t until;
 		uint64_t ack;
 
-		if (c.life != w->id) {
+		if (c.instance != w->id) {
 			a.status = 421;
 			a.body = clock_of(w);
 			return a;
@@ -558,7 +569,7 @@
 		w->fence = fence_of;
 		w->until = std::max(w->until, until);
 		if (c.uri == "/list") {
-			take_note(w, ack);
+			acknowledge(w, ack);
 			a.body = list_of(w);
 			a.due += between(0, 200);
 		} else if (c.uri == "/stop") {
@@ -576,7 +587,7 @@
 
 		pk_out_init(&o);
 		pk_arr(&o, 1);
-		pk_i(&o, w->clock(the_world->now()));
+		pk_i(&o, w->clock(the_simulation->now()));
 		s.assign(o.buf.data, o.buf.size);
 		pk_out_done(&o);
 		return s;
@@ -609,18 +620,18 @@
 		return s;
 	}
 
-	/* Ends up to a number are forgotten: the leader has taken them in. */
-	void take_note(Worker *w, uint64_t ack)
+	/* Drops the ends up to ack, which the leader has committed. */
+	void acknowledge(Worker *w, uint64_t ack)
 	{
 		while (!w->ends.empty() && w->ends.front().no <= ack) {
 			const End &e = w->ends.front();
 
 			if (e.how == JTB_DONE)
-				told.insert(e.task);
-			if (e.how == JTB_DONE && w->lapsed_at < e.at) {
-				noted.insert(e.task);
-				if (last_begin[e.task] > e.at)
-					broken =
+				acknowledged.insert(e.task);
+			if (e.how == JTB_DONE && w->expired_at < e.at) {
+				completed.insert(e.task);
+				if (last_start[e.task] > e.at)
+					violation =
 						e.task + " began after its end";
 			}
 			w->ends.erase(w->ends.begin());
@@ -634,7 +645,7 @@
 		w->closed[task] = std::max(w->closed[task], attempt);
 		if (r != w->running.end() && r->second.attempt <= attempt &&
 		    !r->second.stop)
-			r->second.stop = now() + between(0, STOP_MS);
+			r->second.stop = now() + between(0, MAX_STOP_MS);
 	}
 
 	int start(Worker *w, const std::string &task, uint32_t attempt,
@@ -648,20 +659,20 @@
 			return 410;
 		if (w->until <= w->clock(now()))
 			return 408;
-		begins++;
+		starts++;
 		for (auto &o : workers)
-			if (o->there && o->running.count(task))
-				broken = task + " runs on " + o->id + " and " +
-					 w->id;
-		if (noted.count(task))
-			broken = task + " began anew on " + w->id;
-		last_begin[task] = now();
+			if (o->alive && o->running.count(task))
+				violation = task + " runs on " + o->id +
+					    " and " + w->id;
+		if (completed.count(task))
+			violation = task + " began anew on " + w->id;
+		last_start[task] = now();
 		w->running[task] = {attempt, now(), now() + between(200, 3000),
 				    0};
 		return 200;
 	}
 
-	void ended(Worker *w, const std::string &task, enum jtb_end how)
+	void record_end(Worker *w, const std::string &task, enum jtb_end how)
 	{
 		uint32_t attempt = w->running[task].attempt;
 
@@ -670,8 +681,8 @@
 		w->ends.push_back({w->next_no++, task, attempt, how, now()});
 	}
 
-	/* One step of a worker's own life. */
-	void live(Worker *w)
+	/* Advances a worker by one step. */
+	void advance(Worker *w)
 	{
 		std::vector<std::string> tasks;
 
@@ -681,16 +692,16 @@
 			const Run &r = w->running[t];
 
 			if (w->until <= w->clock(now()))
-				ended(w, t, JTB_LAPSED);
+				record_end(w, t, JTB_LAPSED);
 			else if (r.stop && now() >= r.stop)
-				ended(w, t, JTB_STOPPED);
+				record_end(w, t, JTB_STOPPED);
 			else if (now() >= r.ends)
-				ended(w, t,
-				      chance() < 0.1 ? JTB_FAILED_RUN
-						     : JTB_DONE);
+				record_end(w, t,
+					   uniform() < 0.1 ? JTB_FAILED_RUN
+							   : JTB_DONE);
 		}
 		if (w->until <= w->clock(now()))
-			w->lapsed_at = now();
+			w->expired_at = now();
 		for (size_t i = 0; i < w->late.size();) {
 			if (w->late[i].first > now()) {
 				i++;
@@ -698,27 +709,29 @@
 			}
 			Call c = w->late[i].second;
 			w->late.erase(w->late.begin() + (long)i);
-			make(w, c);
+			carry_out(w, c);
 		}
-		if (w->cut_until <= now() && now() - w->told >= 300 && !lead_at)
-			tell_of(w);
-		if (w->leaves && now() >= w->leaves && !w->said &&
-		    w->cut_until <= now() && !lead_at)
-			say_that_it_ends(w);
-		if (w->leaves && now() >= w->leaves + 3000)
+		if (w->partitioned_until <= now() &&
+		    now() - w->announced >= 300 && !lead_at)
+			announce(w);
+		if (w->exit_at && now() >= w->exit_at && !w->exit_reported &&
+		    w->partitioned_until <= now() && !lead_at)
+			report_exit(w);
+		if (w->exit_at && now() >= w->exit_at + 3000)
 			end(w);
 	}
 
-	/* A worker tells of itself. */
-	void tell_of(Worker *w)
+	/* Announces a worker to the leader. */
+	void announce(Worker *w)
 	{
 		char *labels[] = {nullptr};
 		std::string addr = "127.0.0" + std::to_string(w->slot) + ":1";
 		struct jtb_worker_info info = {};
 		struct pk_out o;
-		struct jtb_worker *known = jtb_worker(jtb, w->id.c_str());
+		struct jtb_worker *known_worker =
+			jtb_worker(jtb, w->id.c_str());
 
-		w->told = now();
+		w->announced = now();
 		addr = "worker:" + std::to_string(w->slot);
 		info.id = (char *)w->id.c_str();
 		info.pool = (char *)"p";
@@ -728,44 +741,48 @@
 		info.cpu = 16000;
 		info.mem_mb = 64000;
 		info.draining = w->draining;
-		if (known)
-			wkr_clock(wkr, known, w->clock(now()));
-		if (known && jtb_worker_known(&known->info, &info))
+		if (known_worker)
+			wkr_clock(wkr, known_worker, w->clock(now()));
+		if (known_worker &&
+		    jtb_worker_known(&known_worker->info, &info))
 			return;
 		pk_out_init(&o);
 		jtb_put_worker(&o, &info);
-		put(&o);
+		propose(&o);
 	}
 
-	void say_that_it_ends(Worker *w)
+	void report_exit(Worker *w)
 	{
-		struct jtb_worker *known = jtb_worker(jtb, w->id.c_str());
+		struct jtb_worker *known_worker =
+			jtb_worker(jtb, w->id.c_str());
 		struct pk_out o;
 
-		w->said = true;
-		if (!known)
+		w->exit_reported = true;
+		if (!known_worker)
 			return;
 		pk_out_init(&o);
 		jtb_put_left(&o, w->id.c_str());
-		put(&o);
-		wkr_ask(wkr, known);
-		/* its confirmation may be lost: it goes on for a while */
-		if (chance() < 0.5)
-			w->leaves = now() - 2900;
+		propose(&o);
+		wkr_ask(wkr, known_worker);
+		/*
+		 * If the confirmation is lost, the worker goes on for a while.
+		 */
+		if (uniform() < 0.5)
+			w->exit_at = now() - 2900;
 	}
 
-	/* A lifetime ends, with all that runs there. */
+	/* Ends a worker instance with all its runs. */
 	void end(Worker *w)
 	{
-		w->there = false;
+		w->alive = false;
 		w->running.clear();
 		w->late.clear();
-		appear(w->slot);
-		at(w->slot)->cut_until = now() + between(100, 2000);
+		start_instance(w->slot);
+		at(w->slot)->partitioned_until = now() + between(100, 2000);
 	}
 
-	/* The leader reads the list of VMs. */
-	void look_at_vms()
+	/* Evaluates the list of VMs, as the leader. */
+	void evaluate_vms()
 	{
 		GHashTableIter it;
 		gpointer p;
@@ -780,17 +797,17 @@
 
 			for (auto &o : workers)
 				if (w->info.id == o->id)
-					vm.other = !o->there;
+					vm.other = !o->alive;
 			m.now_ms = now();
 			vm.asked_ms = now();
 			vm.listed = !vm.other;
 			vm.up = true;
 			if (evd_vm_over(&vm, wkr_silent_since(wkr, w), &m, &e))
-				put_gone(w, true);
+				propose_gone(w, true);
 		}
 	}
 
-	/* Starts what has no run on workers that may be given work. */
+	/* Starts the tasks without a run on usable workers. */
 	void plan()
 	{
 		GHashTableIter it;
@@ -822,21 +839,21 @@
 							(struct jtb_worker *)p);
 				if (usable.empty())
 					return;
-				if (told.count(name_text(&n)))
-					broken = name_text(&n) +
-						 " is planned after its end";
+				if (acknowledged.count(name_text(&n)))
+					violation = name_text(&n) +
+						    " is planned after its end";
 				auto *w = usable[(size_t)between(
 					0, (int64_t)usable.size() - 1)];
 				jtb_plan(job, &n, w);
 				pk_out_init(&o);
 				jtb_put_start(&o, &n, task.attempt + 1,
 					      w->info.id);
-				put(&o);
+				propose(&o);
 			}
 		}
 	}
 
-	/* The leader is lost, with some of what it had proposed. */
+	/* Stops the leader; some of its proposed commands are lost. */
 	void change_leader()
 	{
 		size_t keep = (size_t)between(0, (int64_t)log.size());
@@ -853,7 +870,7 @@
 		lead_at = 0;
 		while (!log.empty()) {
 			log.front().due = now();
-			store();
+			commit();
 		}
 		jtb_unplan_all(jtb);
 		fence++;
@@ -861,25 +878,27 @@
 		wkr_lead(wkr, fence);
 	}
 
-	void happen()
+	void inject_faults()
 	{
 		for (int i = 0; i < SLOTS; i++) {
 			Worker *w = at(i);
 
-			if (chance() < trouble.cut && w->cut_until <= now())
-				w->cut_until = now() + between(300, 9000);
-			if (chance() < trouble.leave && !w->leaves) {
+			if (uniform() < faults.partition &&
+			    w->partitioned_until <= now())
+				w->partitioned_until =
+					now() + between(300, 9000);
+			if (uniform() < faults.leave && !w->exit_at) {
 				w->draining = true;
-				w->leaves = now() + between(500, 4000);
+				w->exit_at = now() + between(500, 4000);
 			}
-			if (chance() < trouble.crash)
+			if (uniform() < faults.crash)
 				end(w);
 		}
-		if (!lead_at && chance() < trouble.change)
+		if (!lead_at && uniform() < faults.change)
 			change_leader();
 	}
 
-	void answer()
+	void deliver_answers()
 	{
 		std::stable_sort(answers.begin(), answers.end(),
 				 [](const Answer &a, const Answer &b) {
@@ -909,28 +928,28 @@
 
 	void step()
 	{
-		happen();
+		inject_faults();
 		for (size_t i = 0; i < workers.size(); i++)
-			if (workers[i]->there)
-				live(workers[i].get());
+			if (workers[i]->alive)
+				advance(workers[i].get());
 		if (lead_at && now() >= lead_at)
 			lead();
 		if (!lead_at) {
-			answer();
-			store();
+			deliver_answers();
+			commit();
 			if (now() % 50 == 0)
 				plan();
-			if (now() - listed >= LIST_MS)
-				look_at_vms();
+			if (now() - listed >= LIST_INTERVAL_MS)
+				evaluate_vms();
 		}
 		tmr_advance(tmr, STEP_MS);
 	}
 
-	/* The day is over: all work comes to an end. */
-	bool settles()
+	/* Removes all faults; returns whether all jobs then end. */
+	bool all_jobs_end()
 	{
-		trouble = CALM_DAY;
-		for (int i = 0; i < CALM && broken.empty(); i++) {
+		faults = NO_FAULTS;
+		for (int i = 0; i < RECOVERY_STEPS && violation.empty(); i++) {
 			bool all = true;
 
 			step();
@@ -944,21 +963,21 @@
 	}
 };
 
-/* Plays a day, and says what it came to. */
-void play(uint64_t seed, const Trouble &t, int steps)
+/* Simulates a number of steps with faults, and checks the result. */
+void simulate(uint64_t seed, const Faults &t, int steps)
 {
-	World w(seed, t);
+	Simulation w(seed, t);
 
-	for (int i = 0; i < steps && w.broken.empty(); i++) {
-		if (i * STEP_MS % JOB_EVERY_MS == 0)
+	for (int i = 0; i < steps && w.violation.empty(); i++) {
+		if (i * STEP_MS % JOB_INTERVAL_MS == 0)
 			w.submit();
 		w.step();
 	}
-	RC_ASSERT(w.broken == std::string());
-	RC_ASSERT(w.settles());
-	RC_ASSERT(w.broken == std::string());
+	RC_ASSERT(w.violation == std::string());
+	RC_ASSERT(w.all_jobs_end());
+	RC_ASSERT(w.violation == std::string());
 	RC_CLASSIFY(w.late > 0, "with late orders");
-	RC_CLASSIFY(w.lapses > 0, "with lapses");
+	RC_CLASSIFY(w.expirations > 0, "with expired leases");
 }
 
 } // namespace
@@ -967,22 +986,22 @@
 {
 	bool ok = rc::check(
 		"no task runs twice where orders are late", [](uint64_t seed) {
-			play(seed, {0.3, 0.1, 0, 0, 0.0005, 0, 0, 0}, 4000);
+			simulate(seed, {0.3, 0.1, 0, 0, 0.0005, 0, 0, 0}, 4000);
 		});
 
 	ok &= rc::check("no task runs twice where workers leave and crash",
 			[](uint64_t seed) {
-				play(seed,
-				     {0.3, 0.05, 0.05, 0.05, 0.0002, 0.0004,
-				      0.0004, 0},
-				     4000);
+				simulate(seed,
+					 {0.3, 0.05, 0.05, 0.05, 0.0002, 0.0004,
+					  0.0004, 0},
+					 4000);
 			});
 	ok &= rc::check("no task runs twice where leaders change",
 			[](uint64_t seed) {
-				play(seed,
-				     {0.2, 0.05, 0.02, 0.02, 0.0004, 0.0002,
-				      0.0002, 0.002},
-				     4000);
+				simulate(seed,
+					 {0.2, 0.05, 0.02, 0.02, 0.0004, 0.0002,
+					  0.0002, 0.002},
+					 4000);
 			});
 	return ok ? 0 : 1;
 }
--- a/tests/unit/wkr_test.c
+++ b/tests/unit/wkr_test.c
@@ -13,18 +13,20 @@
 /* Long enough for several retries of an order, ms. */
 #define SETTLE_MS 400
 #define FENCE 7
-/* Longest lease that the worker takes, ms. */
+/* Longest lease that the worker accepts, ms. */
 #define LEASE_MS 400
-/* How long an old leader may still give leases, ms. */
+/* How long a previous leader may still grant leases, ms. */
 #define OLD_LEADER_MS 1000
 #define WAIT_MS 10000
-/* Longest pause between two tries of a worker that is silent, ms. */
-#define RETRY_MOST_MS 1000
-/* What the worker's clock always shows. */
+/* Longest delay between two calls to an unreachable worker, ms. */
+#define RETRY_MAX_MS 1000
+/* The constant reading of the worker's clock. */
 #define WORKER_MS 100000
 
-/* A worker that answers orders as a test tells it, and the leader's side. */
-struct bed {
+/*
+ * The leader's sessions, and a worker that answers orders as the test requires.
+ */
+struct fixture {
 	struct event_base *base;
 	int port;
 	struct tmr *tmr;
@@ -32,50 +34,55 @@
 	struct jtb *jtb;
 	struct wkr *wkr;
 	struct rly *rly;
-	bool carried; /* calls go by a carrier that tells nothing of them */
-	int carries; /* messages to it */
+	bool relayed; /* calls use a relay that reports nothing about them */
+	int relay_messages; /* messages to the relay */
 	struct jtb_run *run;
 	int starts;
 	int stops;
 	int holds;
-	int refuse_starts; /* so many are refused for want of room */
-	int silent_starts;
-	int silent_stops;
-	int refuse_stops; /* so many get no answer */
-	int other_life; /* so many are told that another lifetime is there */
-	bool silent_holds; /* calls for the list are kept without an answer */
-	bool dead; /* nothing gets an answer */
-	bool tells_end; /* the run is listed as ended */
-	bool lists_stray; /* a run is listed that nobody knows */
-	int other_life_holds; /* as other_life, for calls for the list */
+	int refuse_starts; /* starts still to be refused for lack of capacity */
+	int unanswered_starts;
+	int unanswered_stops;
+	int refuse_stops; /* stops still to be refused */
+	/* starts still to be answered by another instance */
+	int other_instance_starts;
+	bool unanswered_holds; /* holds get no answer */
+	bool unreachable; /* nothing gets an answer */
+	bool lists_end; /* the run is listed as ended */
+	bool lists_unknown; /* an unknown run is listed */
+	/* holds still to be answered by another instance */
+	int other_instance_holds;
 	int seen;
-	bool partial; /* its lists can't be read whole */
-	bool lists; /* the run is listed as running */
-	bool lists_next; /* from the list after the next on */
-	int64_t unsure_ms; /* we last knew so long ago that we lead */
-	bool advised; /* starts need a ticket */
-	const char *ticket; /* or NULL: there is none */
-	char sent_ticket[16]; /* of the last start */
-	int unread_starts; /* so many are answered with what can't be read */
-	int refuse_tickets; /* so many starts are refused for theirs */
+	bool partial; /* its lists are incomplete */
+	bool lists_run; /* the run is listed as running */
+	/* the run is listed from the list after the next on */
+	bool lists_run_next;
+	/* age of the last confirmation of leadership */
+	int64_t confirmed_ago_ms;
+	bool needs_ticket; /* starts need a ticket */
+	const char *ticket; /* NULL: there is none */
+	char sent_ticket[16]; /* ticket of the last start */
+	/* starts still to be answered with an unreadable answer */
+	int unreadable_starts;
+	int refuse_tickets; /* starts still to be refused for their ticket */
 	int tickets_refused;
 	int64_t until_ms; /* lease of the last start */
-	int64_t hold_until_ms; /* and of the last call for the list */
-	uint64_t ack; /* of the last call for the list, */
-	int64_t wait_ms; /* and how long it may wait */
+	int64_t hold_until_ms; /* lease of the last hold */
+	uint64_t ack; /* acknowledged end of the last hold */
+	int64_t wait_ms; /* time that the last hold may wait */
 	int lost;
-	enum evd_why why; /* of the last run or worker told as over */
+	enum evd_why why; /* evidence for the last run or worker that is over */
 	int gone;
-	int gone_for_good;
+	int gone_permanently;
 	int ends;
 	int64_t led_ms;
 	int64_t gone_ms;
-	GPtrArray *silent;
+	GPtrArray *unanswered;
 };
 
-static struct bed *the_bed;
+static struct fixture *the_fixture;
 
-static const char *bed_write(const struct wkr_order *o, struct evbuffer *body)
+static const char *on_write(const struct wkr_order *o, struct evbuffer *body)
 {
 	static const char *const paths[] = {
 		[WKR_START] = "/start",
@@ -85,21 +92,21 @@
 	};
 
 	if (o->kind == WKR_START) {
-		the_bed->until_ms = o->until_ms;
-		g_strlcpy(the_bed->sent_ticket, o->ticket ? o->ticket : "",
-			  sizeof(the_bed->sent_ticket));
+		the_fixture->until_ms = o->until_ms;
+		g_strlcpy(the_fixture->sent_ticket, o->ticket ? o->ticket : "",
+			  sizeof(the_fixture->sent_ticket));
 	}
 	if (o->kind == WKR_HOLD) {
-		the_bed->hold_until_ms = o->until_ms;
-		the_bed->ack = o->ack;
-		the_bed->wait_ms = o->wait_ms;
+		the_fixture->hold_until_ms = o->until_ms;
+		the_fixture->ack = o->ack;
+		the_fixture->wait_ms = o->wait_ms;
 	}
 	evbuffer_add_printf(body, "%d", (int)o->kind);
 	return paths[o->kind];
 }
 
-static enum wkr_answer bed_answer(int status, struct lstr body,
-				  int64_t *clock_ms)
+static enum wkr_answer on_answer(int status, struct lstr body,
+				 int64_t *clock_ms)
 {
 	*clock_ms = WORKER_MS;
 	if (status == 421)
@@ -111,203 +118,204 @@
 	return status == 200 ? WKR_YES : WKR_NO_ROOM;
 }
 
-static bool bed_report(struct lstr body, struct wkr_report *out)
+static bool on_report(struct lstr body, struct wkr_report *out)
 {
 	struct wkr_row row = {.attempt = 1, .percent = 10};
 
 	*out = (struct wkr_report){
 		.clock_ms = WORKER_MS,
-		.partial = the_bed->partial,
+		.partial = the_fixture->partial,
 		.rows = g_array_new(FALSE, TRUE, sizeof(struct wkr_row)),
 		.ends = g_array_new(FALSE, TRUE, sizeof(struct wkr_end)),
 	};
-	if (the_bed->tells_end) {
+	if (the_fixture->lists_end) {
 		struct wkr_end end = {
 			.no = 1, .attempt = 1, .how = JTB_DONE, .known = true};
 
 		g_strlcpy(end.name.id, "j", sizeof(end.name.id));
 		g_array_append_val(out->ends, end);
 	}
-	if (the_bed->lists_stray) {
+	if (the_fixture->lists_unknown) {
 		g_strlcpy(row.name.id, "x", sizeof(row.name.id));
 		g_array_append_val(out->rows, row);
 	}
-	if (the_bed->lists) {
+	if (the_fixture->lists_run) {
 		g_strlcpy(row.name.id, "j", sizeof(row.name.id));
 		g_array_append_val(out->rows, row);
 	}
 	return true;
 }
 
-static void bed_report_done(struct wkr_report *r)
+static void on_report_done(struct wkr_report *r)
 {
 	g_array_free(r->rows, TRUE);
 	g_array_free(r->ends, TRUE);
 }
 
-static const struct wkr_codec bed_codec = {
+static const struct wkr_codec test_codec = {
 	.content_type = "text/plain",
 	.life_header = "Life",
-	.write = bed_write,
-	.answer = bed_answer,
-	.report = bed_report,
-	.report_done = bed_report_done,
+	.write = on_write,
+	.answer = on_answer,
+	.report = on_report,
+	.report_done = on_report_done,
 };
 
-static void bed_on_request(struct evhttp_request *req, void *arg)
+static void on_request(struct evhttp_request *req, void *arg)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 	const char *uri = evhttp_request_get_uri(req);
-	bool start = strcmp(uri, "/start") == 0;
+	bool is_start = strcmp(uri, "/start") == 0;
 
-	b->starts += start;
-	b->stops += strcmp(uri, "/stop") == 0;
-	b->holds += strcmp(uri, "/hold") == 0;
-	if (strcmp(uri, "/stop") == 0 && b->refuse_stops > 0) {
-		b->refuse_stops--;
+	f->starts += is_start;
+	f->stops += strcmp(uri, "/stop") == 0;
+	f->holds += strcmp(uri, "/hold") == 0;
+	if (strcmp(uri, "/stop") == 0 && f->refuse_stops > 0) {
+		f->refuse_stops--;
 		evhttp_send_reply(req, 409, "No", NULL);
 		return;
 	}
-	if (strcmp(uri, "/stop") == 0 && b->silent_stops > 0) {
-		b->silent_stops--;
-		g_ptr_array_add(b->silent, req);
+	if (strcmp(uri, "/stop") == 0 && f->unanswered_stops > 0) {
+		f->unanswered_stops--;
+		g_ptr_array_add(f->unanswered, req);
 		return;
 	}
-	if (b->dead || (start && b->silent_starts > 0) ||
-	    (b->silent_holds && strcmp(uri, "/hold") == 0)) {
-		b->silent_starts -= start && !b->dead;
-		g_ptr_array_add(b->silent, req);
+	if (f->unreachable || (is_start && f->unanswered_starts > 0) ||
+	    (f->unanswered_holds && strcmp(uri, "/hold") == 0)) {
+		f->unanswered_starts -= is_start && !f->unreachable;
+		g_ptr_array_add(f->unanswered, req);
 		return;
 	}
-	if (b->other_life_holds > 0 && strcmp(uri, "/hold") == 0) {
-		b->other_life_holds--;
+	if (f->other_instance_holds > 0 && strcmp(uri, "/hold") == 0) {
+		f->other_instance_holds--;
 		evhttp_send_reply(req, 421, "No", NULL);
 		return;
 	}
-	if (start && b->other_life > 0) {
-		b->other_life--;
+	if (is_start && f->other_instance_starts > 0) {
+		f->other_instance_starts--;
 		evhttp_send_reply(req, 421, "No", NULL);
 		return;
 	}
-	if (start && b->unread_starts > 0) {
-		b->unread_starts--;
+	if (is_start && f->unreadable_starts > 0) {
+		f->unreadable_starts--;
 		evhttp_send_reply(req, 500, "Odd", NULL);
 		return;
 	}
-	if (start && b->refuse_tickets > 0) {
-		b->refuse_tickets--;
+	if (is_start && f->refuse_tickets > 0) {
+		f->refuse_tickets--;
 		evhttp_send_reply(req, 403, "No", NULL);
 		return;
 	}
-	if (start && b->refuse_starts > 0) {
-		b->refuse_starts--;
+	if (is_start && f->refuse_starts > 0) {
+		f->refuse_starts--;
 		evhttp_send_reply(req, 409, "No", NULL);
 		return;
 	}
 	evhttp_send_reply(req, 200, "OK", NULL);
 }
 
-static void bed_ends(void *arg, struct jtb_worker *w, const struct wkr_end *e,
-		     size_t n)
+static void on_ends(void *arg, struct jtb_worker *w, const struct wkr_end *e,
+		    size_t n)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->ends += (int)n;
+	f->ends += (int)n;
 }
 
-static void bed_lost(void *arg, struct jtb_run *run, const struct evd *e)
+static void on_lost(void *arg, struct jtb_run *run, const struct evd *e)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->lost++;
-	b->why = e->why;
+	f->lost++;
+	f->why = e->why;
 }
 
-static void bed_gone(void *arg, struct jtb_worker *w, const struct evd *e)
+static void on_gone(void *arg, struct jtb_worker *w, const struct evd *e)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	if (!b->gone)
-		b->gone_ms = tmr_now(b->tmr);
-	b->gone++;
-	b->gone_for_good += evd_for_good(e);
-	b->why = e->why;
+	if (!f->gone)
+		f->gone_ms = tmr_now(f->tmr);
+	f->gone++;
+	f->gone_permanently += evd_for_good(e);
+	f->why = e->why;
 }
 
-static void bed_seen(void *arg, struct jtb_worker *w)
+static void on_seen(void *arg, struct jtb_worker *w)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->seen++;
-	b->lists = b->lists || b->lists_next;
+	f->seen++;
+	f->lists_run = f->lists_run || f->lists_run_next;
 }
 
-static bool bed_ticket(void *arg, const struct jtb_run *run, const char **out)
+static bool on_ticket(void *arg, const struct jtb_run *run, const char **out)
 {
-	const struct bed *b = arg;
+	const struct fixture *f = arg;
 
-	*out = b->advised ? b->ticket : NULL;
-	return !b->advised || b->ticket;
+	*out = f->needs_ticket ? f->ticket : NULL;
+	return !f->needs_ticket || f->ticket;
 }
 
-static void bed_ticket_refused(void *arg, const struct jtb_run *run)
+static void on_ticket_refused(void *arg, const struct jtb_run *run)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->tickets_refused++;
+	f->tickets_refused++;
 }
 
-static int64_t bed_sure(void *arg)
+static int64_t on_sure(void *arg)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	return tmr_now(b->tmr) - b->unsure_ms;
+	return tmr_now(f->tmr) - f->confirmed_ago_ms;
 }
 
-/* Loses what it gets. */
-static bool bed_carry(void *arg, const char *addr, struct lstr payload)
+/* Accepts a message to the relay and loses it. */
+static bool on_carry(void *arg, const char *addr, struct lstr payload)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->carries++;
+	f->relay_messages++;
 	return true;
 }
 
-static const struct rly_ops bed_rly_ops = {.send = bed_carry};
+static const struct rly_ops rly_callbacks = {.send = on_carry};
 
-/* The carrier is asked first, and the leader itself after each loss. */
-static const char *bed_carrier(void *arg, const struct jtb_worker *w,
-			       uint32_t turn)
+/* Uses the relay first, and the leader itself after a lost call. */
+static const char *on_carrier(void *arg, const struct jtb_worker *w,
+			      uint32_t turn)
 {
-	const struct bed *b = arg;
+	const struct fixture *f = arg;
 
-	return b->carried && turn == 0 ? "carrier" : NULL;
+	return f->relayed && turn == 0 ? "carrier" : NULL;
 }
 
-static const struct wkr_ops bed_ops = {
-	.ends = bed_ends,
-	.lost = bed_lost,
-	.gone = bed_gone,
-	.seen = bed_seen,
-	.ticket = bed_ticket,
-	.ticket_refused = bed_ticket_refused,
-	.sure = bed_sure,
-	.carrier = bed_carrier,
+static const struct wkr_ops wkr_callbacks = {
+	.ends = on_ends,
+	.lost = on_lost,
+	.gone = on_gone,
+	.seen = on_seen,
+	.ticket = on_ticket,
+	.ticket_refused = on_ticket_refused,
+	.sure = on_sure,
+	.carrier = on_carrier,
 };
 
-static void apply(struct bed *b, struct pk_out *cmd)
+static void apply_command(struct fixture *f, struct pk_out *cmd)
 {
 	struct pk_out o;
 
 	pk_out_init(&o);
 	pk_arr(&o, 1);
 	msgpack_sbuffer_write(&o.buf, cmd->buf.data, cmd->buf.size);
-	assert_true(jtb_apply(b->jtb, pk_out_view(&o)));
+	assert_true(jtb_apply(f->jtb, pk_out_view(&o)));
 	pk_out_done(&o);
 	pk_out_done(cmd);
 }
 
-static void put_worker_of(struct bed *b, int port, uint32_t cpu, bool draining)
+static void put_worker_with_cpu(struct fixture *f, int port, uint32_t cpu,
+				bool draining)
 {
 	char addr[32];
 	char *labels[] = {NULL};
@@ -329,15 +337,15 @@
 	g_snprintf(addr, sizeof(addr), "127.0.0.1:%d", port);
 	pk_out_init(&o);
 	jtb_put_worker(&o, &info);
-	apply(b, &o);
+	apply_command(f, &o);
 }
 
-static void put_worker(struct bed *b, int port, bool draining)
+static void put_worker(struct fixture *f, int port, bool draining)
 {
-	put_worker_of(b, port, 16000, draining);
+	put_worker_with_cpu(f, port, 16000, draining);
 }
 
-static void fill_table(struct bed *b, int port)
+static void fill_job_table(struct fixture *f, int port)
 {
 	char queue[] = "q";
 	char text[] = "t";
@@ -361,264 +369,280 @@
 	jtb_config_add_queue(c, q);
 	pk_out_init(&o);
 	jtb_put_config(&o, c);
-	apply(b, &o);
+	apply_command(f, &o);
 	jtb_config_free(c);
-	put_worker(b, port, false);
+	put_worker(f, port, false);
 	pk_out_init(&o);
 	jtb_put_job(&o, &spec, 1);
-	apply(b, &o);
+	apply_command(f, &o);
 }
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
-	int fd = net_listen(&b->port);
+	struct fixture *f = g_new0(struct fixture, 1);
+	int fd = net_listen(&f->port);
 
-	the_bed = b;
+	the_fixture = f;
 	close(fd);
-	b->silent = g_ptr_array_new();
-	b->base = event_base_new();
-	b->tmr = tmr_new(b->base);
-	b->http = evhttp_new(b->base);
-	evhttp_set_gencb(b->http, bed_on_request, b);
+	f->unanswered = g_ptr_array_new();
+	f->base = event_base_new();
+	f->tmr = tmr_new(f->base);
+	f->http = evhttp_new(f->base);
+	evhttp_set_gencb(f->http, on_request, f);
 	assert_int_equal(
-		evhttp_bind_socket(b->http, "127.0.0.1", (uint16_t)b->port), 0);
-	b->jtb = jtb_new(NULL, NULL);
-	fill_table(b, b->port);
-	b->rly = rly_new(b->tmr, &bed_rly_ops, b);
-	b->wkr = wkr_new(
+		evhttp_bind_socket(f->http, "127.0.0.1", (uint16_t)f->port), 0);
+	f->jtb = jtb_new(NULL, NULL);
+	fill_job_table(f, f->port);
+	f->rly = rly_new(f->tmr, &rly_callbacks, f);
+	f->wkr = wkr_new(
 		&(struct wkr_config){
-			.base = b->base,
-			.tmr = b->tmr,
-			.codec = &bed_codec,
-			.jtb = b->jtb,
+			.base = f->base,
+			.tmr = f->tmr,
+			.codec = &test_codec,
+			.jtb = f->jtb,
 			.hold_max_ms = LEASE_MS,
-			.rly = b->rly,
+			.rly = f->rly,
 		},
-		&bed_ops, b);
-	b->led_ms = tmr_now(b->tmr);
-	wkr_lead(b->wkr, FENCE);
-	net_run(b->base, 50);
-	*state = b;
+		&wkr_callbacks, f);
+	f->led_ms = tmr_now(f->tmr);
+	wkr_lead(f->wkr, FENCE);
+	net_run(f->base, 50);
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	wkr_free(b->wkr);
-	rly_free(b->rly);
-	jtb_free(b->jtb);
-	evhttp_free(b->http);
-	tmr_free(b->tmr);
-	event_base_free(b->base);
-	g_ptr_array_free(b->silent, TRUE);
-	g_free(b);
+	wkr_free(f->wkr);
+	rly_free(f->rly);
+	jtb_free(f->jtb);
+	evhttp_free(f->http);
+	tmr_free(f->tmr);
+	event_base_free(f->base);
+	g_ptr_array_free(f->unanswered, TRUE);
+	g_free(f);
 	return 0;
 }
 
-static void start(struct bed *b)
+static void start_run(struct fixture *f)
 {
 	struct jtb_name n = {.id = "j"};
 	struct pk_out o;
 
 	pk_out_init(&o);
 	jtb_put_start(&o, &n, 1, "w");
-	apply(b, &o);
-	b->run = jtb_find_run(b->jtb, &n, 1, "w");
-	assert_non_null(b->run);
-	wkr_run(b->wkr, b->run);
+	apply_command(f, &o);
+	f->run = jtb_find_run(f->jtb, &n, 1, "w");
+	assert_non_null(f->run);
+	wkr_run(f->wkr, f->run);
 }
 
-/* Runs the loop until a counter of the bed is above zero. */
-static void wait_for(struct bed *b, const int *count)
+/* Runs the event loop until a counter is above zero. */
+static void wait_for(struct fixture *f, const int *count)
 {
 	int i;
 
 	for (i = 0; i < WAIT_MS && !*count; i++)
-		net_run(b->base, 1);
+		net_run(f->base, 1);
 	assert_true(*count > 0);
 }
 
 /*
- * One task runs twice at the same time. A worker refuses a start for want of
- * room; the run is given up and the task is about to be started elsewhere.
- * Were the start tried once more until that is in the log, the worker could
- * take it after all.
+ * Guards against a task that runs twice: a worker refuses a start for lack of
+ * capacity, and the run is abandoned. If the start were retried before that is
+ * committed, the worker could accept it while the task is started elsewhere.
  */
-static void a_refused_start_is_not_tried_again(void **state)
+static void refused_start_is_not_retried(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->refuse_starts = 1;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->lost, 1);
-	assert_int_equal(b->starts, 1);
+	f->refuse_starts = 1;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->lost, 1);
+	assert_int_equal(f->starts, 1);
 }
 
 /*
- * One task runs twice at the same time. A start gets no answer and may be
- * carried out seconds later; the next try is refused. Only after the worker
- * has been told to forget the run may the task go elsewhere.
+ * Guards against a task that runs twice: a start gets no answer and may be
+ * carried out seconds later; the retry is refused. The task may start elsewhere
+ * only after the worker was told to forget the run.
  */
-static void a_start_that_may_come_late_is_stopped_first(void **state)
+static void start_without_answer_is_stopped_first(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->silent_starts = 1;
-	b->refuse_starts = 1;
-	start(b);
-	net_run(b->base, 1600);
-	assert_int_equal(b->starts, 2);
-	assert_int_equal(b->stops, 1);
-	assert_true(b->lost >= 1);
-	assert_int_equal(b->run->phase, WKR_OVER);
+	f->unanswered_starts = 1;
+	f->refuse_starts = 1;
+	start_run(f);
+	net_run(f->base, 1600);
+	assert_int_equal(f->starts, 2);
+	assert_int_equal(f->stops, 1);
+	assert_true(f->lost >= 1);
+	assert_int_equal(f->run->phase, WKR_OVER);
 }
 
-/* Guards against two runs: the worker took a start, and nobody could read so. */
-static void a_start_with_an_odd_answer_is_stopped_first(void **state)
+/*
+ * Guards against a task that runs twice: the worker accepted a start, and its
+ * answer was unreadable.
+ */
+static void start_with_unreadable_answer_is_stopped_first(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->unread_starts = 1;
-	b->refuse_starts = 1;
-	start(b);
-	wait_for(b, &b->lost);
-	assert_int_equal(b->starts, 2);
-	assert_int_equal(b->stops, 1);
-	assert_int_equal(b->why, EVD_UNLISTED);
+	f->unreadable_starts = 1;
+	f->refuse_starts = 1;
+	start_run(f);
+	wait_for(f, &f->lost);
+	assert_int_equal(f->starts, 2);
+	assert_int_equal(f->stops, 1);
+	assert_int_equal(f->why, EVD_UNLISTED);
 }
 
-/* Guards against two runs of a task where a carrier may have given its order. */
-static void a_start_that_its_carrier_lost_is_stopped_first(void **state)
+/*
+ * Guards against a task that runs twice: a relay that reports nothing may have
+ * delivered the start.
+ */
+static void start_lost_by_relay_is_stopped_first(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->carried = true;
-	b->refuse_starts = 1;
-	start(b);
-	net_run(b->base, 1600);
-	assert_true(b->carries >= 1);
-	assert_int_equal(b->starts, 1);
-	assert_int_equal(b->stops, 1);
-	assert_int_equal(b->run->phase, WKR_OVER);
+	f->relayed = true;
+	f->refuse_starts = 1;
+	start_run(f);
+	net_run(f->base, 1600);
+	assert_true(f->relay_messages >= 1);
+	assert_int_equal(f->starts, 1);
+	assert_int_equal(f->stops, 1);
+	assert_int_equal(f->run->phase, WKR_OVER);
 }
 
-/* Guards against a worker without work since the replica between is lost. */
-static void a_lost_carrier_says_nothing_of_the_worker(void **state)
+/*
+ * Guards against a worker that gets no work as the replica that relays its
+ * calls is lost.
+ */
+static void lost_relay_leaves_worker_usable(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->carried = true;
-	b->lists = true;
-	start(b);
-	net_run(b->base, 1600);
-	assert_true(b->carries >= 1);
-	assert_int_equal(b->starts, 1);
-	assert_int_equal(b->run->phase, WKR_ON);
-	assert_int_equal(wkr_silent_since(b->wkr, jtb_worker(b->jtb, "w")), 0);
-	assert_int_equal(wkr_stats(b->wkr)->lapses, 0);
+	f->relayed = true;
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, 1600);
+	assert_true(f->relay_messages >= 1);
+	assert_int_equal(f->starts, 1);
+	assert_int_equal(f->run->phase, WKR_ON);
+	assert_int_equal(wkr_silent_since(f->wkr, jtb_worker(f->jtb, "w")), 0);
+	assert_int_equal(wkr_stats(f->wkr)->lapses, 0);
 }
 
-/* Guards against a leader that keeps the calls of every carrier once lost. */
-static void a_carrier_is_tried_again_after_a_while(void **state)
+/*
+ * Guards against a leader that makes all calls itself once each relay was lost.
+ */
+static void relay_is_used_again_after_a_while(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int before;
 
-	b->carried = true;
-	b->lists = true;
-	start(b);
-	net_run(b->base, 1600);
-	before = b->carries;
-	net_run(b->base, 2 * LEASE_MS + 1600);
-	assert_true(b->carries > before);
+	f->relayed = true;
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, 1600);
+	before = f->relay_messages;
+	net_run(f->base, 2 * LEASE_MS + 1600);
+	assert_true(f->relay_messages > before);
 }
 
-/* Guards against jobs told as begun whose start no worker has answered. */
-static void a_job_waits_until_a_worker_took_it(void **state)
+/*
+ * Guards against jobs reported as started though no worker has answered their
+ * start.
+ */
+static void job_is_pending_until_start_is_accepted(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->silent_starts = 1;
-	b->lists = false;
-	start(b);
-	b->run->job->unseen = true;
-	wait_for(b, &b->starts);
-	net_run(b->base, 50);
-	assert_int_equal(jtb_pending(b->jtb, "q"), 1);
-	b->seen = 0;
-	b->lists = true;
-	wait_for(b, &b->seen);
-	assert_int_equal(jtb_pending(b->jtb, "q"), 0);
+	f->unanswered_starts = 1;
+	f->lists_run = false;
+	start_run(f);
+	f->run->job->unseen = true;
+	wait_for(f, &f->starts);
+	net_run(f->base, 50);
+	assert_int_equal(jtb_pending(f->jtb, "q"), 1);
+	f->seen = 0;
+	f->lists_run = true;
+	wait_for(f, &f->seen);
+	assert_int_equal(jtb_pending(f->jtb, "q"), 0);
 }
 
-/* An order that was taken is held on to, and asked after. */
-static void a_taken_start_is_looked_after(void **state)
+/* An accepted start is followed by holds, and the run keeps its state. */
+static void accepted_start_is_followed_by_holds(void **state)
 {
-	struct bed *b = *state;
-	int before = b->holds;
+	struct fixture *f = *state;
+	int before = f->holds;
 
-	b->lists = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->starts, 1);
-	assert_int_equal(b->lost, 0);
-	assert_int_equal(b->run->phase, WKR_ON);
-	assert_int_equal(b->run->percent, 10);
-	assert_true(b->holds > before);
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->starts, 1);
+	assert_int_equal(f->lost, 0);
+	assert_int_equal(f->run->phase, WKR_ON);
+	assert_int_equal(f->run->percent, 10);
+	assert_true(f->holds > before);
 }
 
 /*
- * A task never runs again though its worker has none of it. The worker took
- * the run, and lists it neither as running nor as ended.
+ * Guards against a task that never runs again: its worker accepted the run, and
+ * lists it neither as running nor as ended.
  */
-static void a_run_that_is_nowhere_is_told_as_lost(void **state)
+static void run_missing_from_list_is_lost(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->starts, 1);
-	assert_true(b->lost >= 1);
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->starts, 1);
+	assert_true(f->lost >= 1);
 }
 
-/* Guards against two runs: the row of a run couldn't be read. */
-static void a_list_that_isnt_whole_says_nothing_of_a_run(void **state)
+/* Guards against a task that runs twice: the row of its run was unreadable. */
+static void incomplete_list_is_not_evidence(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->partial = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->starts, 1);
-	assert_int_equal(b->lost, 0);
-	b->partial = false;
-	wait_for(b, &b->lost);
+	f->partial = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->starts, 1);
+	assert_int_equal(f->lost, 0);
+	f->partial = false;
+	wait_for(f, &f->lost);
 }
 
 /*
- * One task runs twice at the same time. A leader stood still for 12 s while
- * another took its place and gave its work out anew; awake again, it sends the
- * starts that it had still to send before it learns so. Their lease must be
- * over before they come.
+ * Guards against a task that runs twice: a leader's process pauses for 12 s,
+ * and another leader assigns its work elsewhere; after the pause, before it
+ * learns of that, the first one sends its pending starts. Their lease must have
+ * expired before they arrive.
  */
-static void a_leader_that_stood_still_starts_nothing(void **state)
+static void paused_leader_grants_no_valid_lease(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->unsure_ms = 12000;
-	start(b);
-	wait_for(b, &b->starts);
-	assert_true(b->until_ms < WORKER_MS);
+	f->confirmed_ago_ms = 12000;
+	start_run(f);
+	wait_for(f, &f->starts);
+	assert_true(f->until_ms < WORKER_MS);
 }
 
-/* Margins that were counted, and of them those of leases all but over. */
-static uint64_t margins(const struct bed *b, uint64_t *none)
+/*
+ * Returns the number of margins counted; none: those of leases that had nearly
+ * expired.
+ */
+static uint64_t count_margins(const struct fixture *f, uint64_t *none)
 {
-	const struct cnt_times *t = &wkr_stats(b->wkr)->margin;
+	const struct cnt_times *t = &wkr_stats(f->wkr)->margin;
 	uint64_t n = 0;
 	size_t i;
 
@@ -629,23 +653,23 @@
 }
 
 /*
- * Monitoring sees how long orders take, and how near to its end each lease is
+ * The statistics show how long orders take, and how much of each lease remains
  * when it is renewed.
  */
-static void orders_and_leases_are_timed(void **state)
+static void statistics_time_orders_and_leases(void **state)
 {
 	const struct wkr_stats *s;
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	uint64_t orders = 0;
 	uint64_t none;
 	uint64_t n;
 	size_t i;
 
-	b->lists = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	s = wkr_stats(b->wkr);
-	n = margins(b, &none);
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	s = wkr_stats(f->wkr);
+	n = count_margins(f, &none);
 	assert_true(n > 0);
 	assert_true(s->margin.sum_s * 1000 <= (double)n * LEASE_MS);
 	assert_true(s->margin.sum_s * 1000 > (double)n * LEASE_MS / 2);
@@ -655,572 +679,609 @@
 }
 
 /*
- * A worker without work needs no lease: that its last one is long over when
- * the next work comes is no lease nearly missed.
+ * A worker without runs needs no lease: its expired lease at the time of the
+ * next start does not count as one nearly missed.
  */
-static void a_lease_of_no_work_has_no_margin(void **state)
+static void lease_without_runs_has_no_margin(void **state)
 {
 	struct jtb_name n = {.id = "j"};
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct pk_out o;
 	uint64_t none;
 
-	start(b);
-	wait_for(b, &b->starts);
+	start_run(f);
+	wait_for(f, &f->starts);
 	pk_out_init(&o);
 	jtb_put_end(&o, "w", 0, &n, 1, JTB_LOST, lstr_n("", 0), 1);
-	apply(b, &o);
-	assert_int_equal(jtb_worker(b->jtb, "w")->runs->len, 0);
-	net_run(b->base, LEASE_MS + SETTLE_MS);
+	apply_command(f, &o);
+	assert_int_equal(jtb_worker(f->jtb, "w")->runs->len, 0);
+	net_run(f->base, LEASE_MS + SETTLE_MS);
 	pk_out_init(&o);
 	jtb_put_start(&o, &n, 2, "w");
-	apply(b, &o);
-	b->run = jtb_find_run(b->jtb, &n, 2, "w");
-	assert_non_null(b->run);
-	wkr_run(b->wkr, b->run);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->starts, 2);
-	margins(b, &none);
+	apply_command(f, &o);
+	f->run = jtb_find_run(f->jtb, &n, 2, "w");
+	assert_non_null(f->run);
+	wkr_run(f->wkr, f->run);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->starts, 2);
+	count_margins(f, &none);
 	assert_int_equal(none, 0);
 }
 
-/* A start is good from now on, for no longer than a worker takes. */
-static void a_start_has_a_lease(void **state)
+/* A start has a lease that begins now and is no longer than workers accept. */
+static void start_has_a_lease(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	start(b);
-	wait_for(b, &b->starts);
-	assert_true(b->until_ms >= WORKER_MS);
-	assert_true(b->until_ms - WORKER_MS <=
-		    tmr_now(b->tmr) - b->led_ms + LEASE_MS);
+	start_run(f);
+	wait_for(f, &f->starts);
+	assert_true(f->until_ms >= WORKER_MS);
+	assert_true(f->until_ms - WORKER_MS <=
+		    tmr_now(f->tmr) - f->led_ms + LEASE_MS);
 }
 
 /*
- * One task runs twice at the same time. A worker is cut off from a new leader
- * and not from the old one, which may renew its leases until it steps down;
- * the new one must wait for the end of all of them, by the slowest clock.
+ * Guards against a task that runs twice: a worker is partitioned from a new
+ * leader and not from the old one, which may renew its leases until it steps
+ * down. The new leader must wait for the expiry of all of them, by the slowest
+ * clock.
  */
-static void leases_of_the_old_leader_are_waited_for(void **state)
+static void leases_of_previous_leader_must_expire(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->dead = true;
-	start(b);
-	wait_for(b, &b->gone);
-	assert_int_equal(b->gone_for_good, 0);
-	assert_true(b->gone_ms - b->led_ms >
+	f->unreachable = true;
+	start_run(f);
+	wait_for(f, &f->gone);
+	assert_int_equal(f->gone_permanently, 0);
+	assert_true(f->gone_ms - f->led_ms >
 		    OLD_LEADER_MS + LEASE_MS + LEASE_MS / 50);
 }
 
 /*
- * Work of a worker that is cut off is never done elsewhere: each call for its
- * list renewed the lease, as it might have been heard.
+ * Guards against tasks of a partitioned worker that are never started
+ * elsewhere: each hold renewed the lease, as the worker might have received it.
  */
-static void a_silent_worker_gets_no_lease(void **state)
+static void unreachable_worker_gets_no_lease(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->lists = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	assert_true(b->hold_until_ms > 0);
-	b->dead = true;
-	wait_for(b, &b->gone);
-	assert_int_equal(b->hold_until_ms, 0);
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	assert_true(f->hold_until_ms > 0);
+	f->unreachable = true;
+	wait_for(f, &f->gone);
+	assert_int_equal(f->hold_until_ms, 0);
 }
 
 /*
- * One task runs twice at the same time. A worker was given up, and answers
- * again before that is in the log; what it was to start is on its way to
- * another.
+ * Guards against a task that runs twice: an abandoned worker answers again
+ * before that is committed, and its tasks are being started elsewhere.
  */
-static void a_worker_that_was_given_up_is_told_to_start_nothing(void **state)
+static void abandoned_worker_gets_no_start(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int starts;
 
-	b->dead = true;
-	start(b);
-	wait_for(b, &b->gone);
-	starts = b->starts;
-	b->dead = false;
-	net_run(b->base, RETRY_MOST_MS + SETTLE_MS);
-	assert_int_equal(b->starts, starts);
-	assert_int_equal(b->gone, 1);
+	f->unreachable = true;
+	start_run(f);
+	wait_for(f, &f->gone);
+	starts = f->starts;
+	f->unreachable = false;
+	net_run(f->base, RETRY_MAX_MS + SETTLE_MS);
+	assert_int_equal(f->starts, starts);
+	assert_int_equal(f->gone, 1);
 }
 
 /*
- * Guards against two runs: a worker fell silent with a start that may come late,
- * was given up, and is given work again.
+ * Guards against a task that runs twice: a worker became unreachable while a
+ * start for it may still arrive, was abandoned, and gets work again.
  */
-static void a_start_that_may_come_after_a_lapse_is_stopped_first(void **state)
+static void stale_start_is_stopped_after_expiry(void **state)
 {
-	struct bed *b = *state;
-	struct jtb_worker *w = jtb_worker(b->jtb, "w");
+	struct fixture *f = *state;
+	struct jtb_worker *w = jtb_worker(f->jtb, "w");
 	struct pk_out o;
 
-	b->silent_starts = 1;
-	start(b);
-	wait_for(b, &b->starts);
-	b->dead = true;
-	wait_for(b, &b->gone);
-	wkr_run_over(b->wkr, b->run);
+	f->unanswered_starts = 1;
+	start_run(f);
+	wait_for(f, &f->starts);
+	f->unreachable = true;
+	wait_for(f, &f->gone);
+	wkr_run_over(f->wkr, f->run);
 	pk_out_init(&o);
 	jtb_put_gone(&o, "w", false);
-	apply(b, &o);
-	wkr_worker(b->wkr, w);
-	b->silent_stops = 1;
-	b->dead = false;
-	while (b->stops < 2) {
-		assert_false(wkr_usable(b->wkr, w));
-		net_run(b->base, 10);
+	apply_command(f, &o);
+	wkr_worker(f->wkr, w);
+	f->unanswered_stops = 1;
+	f->unreachable = false;
+	while (f->stops < 2) {
+		assert_false(wkr_usable(f->wkr, w));
+		net_run(f->base, 10);
 	}
-	assert_int_equal(b->hold_until_ms, 0);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->stops, 2);
-	assert_true(wkr_usable(b->wkr, w));
+	assert_int_equal(f->hold_until_ms, 0);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->stops, 2);
+	assert_true(wkr_usable(f->wkr, w));
 }
 
 /*
- * A task is told as lost while it runs, and started once more. The list that
- * doesn't have it was asked for before its start.
+ * Guards against a task that is reported lost while it runs, and is started
+ * again: a list without it was requested before its start.
  */
-static void an_older_list_says_nothing_of_a_run(void **state)
+static void list_requested_before_start_is_not_evidence(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->silent_holds = true;
-	wkr_ask(b->wkr, jtb_worker(b->jtb, "w"));
-	net_run(b->base, 20);
-	assert_int_equal(b->silent->len, 1);
-	start(b);
-	net_run(b->base, 50);
-	b->silent_holds = false;
-	evhttp_send_reply(g_ptr_array_index(b->silent, 0), 200, "OK", NULL);
-	b->seen = 0;
-	b->lists_next = true;
-	wait_for(b, &b->seen);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->lost, 0);
-	assert_int_equal(b->run->phase, WKR_ON);
+	f->unanswered_holds = true;
+	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	net_run(f->base, 20);
+	assert_int_equal(f->unanswered->len, 1);
+	start_run(f);
+	net_run(f->base, 50);
+	f->unanswered_holds = false;
+	evhttp_send_reply(g_ptr_array_index(f->unanswered, 0), 200, "OK", NULL);
+	f->seen = 0;
+	f->lists_run_next = true;
+	wait_for(f, &f->seen);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->lost, 0);
+	assert_int_equal(f->run->phase, WKR_ON);
 }
 
-/* A worker that leaves is told nothing of work that it never got. */
-static void a_leaving_worker_is_sent_no_start(void **state)
+/* A draining worker gets no message about runs that were never sent to it. */
+static void draining_worker_gets_no_start(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	start(b);
-	put_worker(b, b->port, true);
-	wait_for(b, &b->lost);
-	assert_int_equal(b->starts, 0);
-	assert_int_equal(b->stops, 0);
+	start_run(f);
+	put_worker(f, f->port, true);
+	wait_for(f, &f->lost);
+	assert_int_equal(f->starts, 0);
+	assert_int_equal(f->stops, 0);
 }
 
 /*
- * Work starts on a worker seconds after we have acknowledged that it leaves: a
- * start got no answer before, and was sent again.
+ * Guards against a task that starts on a worker seconds after the leader
+ * acknowledged that it leaves: an earlier start got no answer, and was sent
+ * again.
  */
-static void a_start_that_a_leaving_worker_may_have_is_stopped(void **state)
+static void unanswered_start_on_draining_worker_is_stopped(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->silent_starts = 1;
-	start(b);
-	wait_for(b, &b->starts);
-	put_worker(b, b->port, true);
-	wait_for(b, &b->stops);
-	assert_int_equal(b->starts, 1);
+	f->unanswered_starts = 1;
+	start_run(f);
+	wait_for(f, &f->starts);
+	put_worker(f, f->port, true);
+	wait_for(f, &f->stops);
+	assert_int_equal(f->starts, 1);
 }
 
 /*
- * One task runs twice at the same time. A start was carried out late, of a run
- * that was given up meanwhile: whoever sees it listed ends it.
+ * Guards against a task that runs twice: a start was carried out after its run
+ * was abandoned. A leader that sees the run listed stops it.
  */
-static void a_run_that_nobody_knows_is_stopped(void **state)
+static void unknown_run_is_stopped(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->lists_stray = true;
-	wkr_ask(b->wkr, jtb_worker(b->jtb, "w"));
-	wait_for(b, &b->stops);
+	f->lists_unknown = true;
+	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	wait_for(f, &f->stops);
 }
 
 /*
- * More is started on a worker than it holds: a new leader doesn't know yet
- * what runs there.
+ * Guards against an overloaded worker: a new leader doesn't know yet what runs
+ * there.
  */
-static void a_new_leader_asks_before_it_orders(void **state)
+static void new_leader_polls_before_it_orders(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->silent_holds = true;
-	wkr_lead(b->wkr, FENCE + 1);
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->starts, 0);
-	b->silent_holds = false;
-	wait_for(b, &b->starts);
+	f->unanswered_holds = true;
+	wkr_lead(f->wkr, FENCE + 1);
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->starts, 0);
+	f->unanswered_holds = false;
+	wait_for(f, &f->starts);
 }
 
 /*
- * One task runs twice at the same time. A start of the last leader is on its
- * way yet; ours is refused, and the task is about to go elsewhere.
+ * Guards against a task that runs twice: a start of the previous leader is
+ * still in flight; that of the new one is refused, and the task is about to
+ * start elsewhere.
  */
-static void a_start_of_the_last_leader_may_come_late(void **state)
+static void start_of_previous_leader_is_stopped_first(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->refuse_starts = 2;
-	b->silent_holds = true;
-	start(b);
-	wkr_lead(b->wkr, FENCE + 1);
-	b->silent_holds = false;
-	wait_for(b, &b->stops);
-	assert_int_equal(b->starts, 1);
+	f->refuse_starts = 2;
+	f->unanswered_holds = true;
+	start_run(f);
+	wkr_lead(f->wkr, FENCE + 1);
+	f->unanswered_holds = false;
+	wait_for(f, &f->stops);
+	assert_int_equal(f->starts, 1);
 }
 
-/* Leaves the leader without a descriptor or an idle connection. */
-static struct net_taken take_descriptors(struct bed *b)
+/* Leaves the leader without a free descriptor or an idle connection. */
+static struct net_taken exhaust_descriptors(struct fixture *f)
 {
-	ups_forget(b->wkr->ups, jtb_worker(b->jtb, "w")->info.addr);
-	net_run(b->base, 20);
+	ups_forget(f->wkr->ups, jtb_worker(f->jtb, "w")->info.addr);
+	net_run(f->base, 20);
 	return net_take_descriptors(0);
 }
 
-static void close_port(struct bed *b)
+static void close_port(struct fixture *f)
 {
-	evhttp_free(b->http);
-	b->http = evhttp_new(b->base);
-	net_run(b->base, 20);
+	evhttp_free(f->http);
+	f->http = evhttp_new(f->base);
+	net_run(f->base, 20);
 }
 
-/* A worker is overrun: it shrank between a start and its order. */
-static void a_start_that_no_longer_fits_is_not_sent(void **state)
+/*
+ * Guards against an overloaded worker that shrank between the commit of a start
+ * and its order.
+ */
+static void start_that_no_longer_fits_is_not_sent(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	start(b);
-	put_worker_of(b, b->port, 500, false);
-	wait_for(b, &b->lost);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->starts, 0);
+	start_run(f);
+	put_worker_with_cpu(f, f->port, 500, false);
+	wait_for(f, &f->lost);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->starts, 0);
 }
 
-/* The same by an order that is repeated: its first copy may come late. */
-static void a_start_that_no_longer_fits_is_stopped(void **state)
+/*
+ * Guards against an overloaded worker that shrank before a start was sent
+ * again: the first one may still arrive.
+ */
+static void unanswered_start_that_no_longer_fits_is_stopped(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->silent_starts = 1;
-	start(b);
-	wait_for(b, &b->starts);
-	put_worker_of(b, b->port, 500, false);
-	wait_for(b, &b->stops);
-	assert_int_equal(b->starts, 1);
+	f->unanswered_starts = 1;
+	start_run(f);
+	wait_for(f, &f->starts);
+	put_worker_with_cpu(f, f->port, 500, false);
+	wait_for(f, &f->stops);
+	assert_int_equal(f->starts, 1);
 }
 
 /*
- * One task runs twice: its start may come late, the stop behind it got no answer
- * either, and a list without it was taken for its end.
+ * Guards against a task that runs twice: its start may still arrive, the
+ * following stop got no answer either, and a list without the run was treated
+ * as its end.
  */
-static void a_stop_without_an_answer_says_nothing_of_a_run(void **state)
-{
-	struct bed *b = *state;
-
-	b->silent_starts = 1;
-	b->silent_stops = 2;
-	start(b);
-	wait_for(b, &b->starts);
-	put_worker(b, b->port, true);
-	wait_for(b, &b->stops);
-	/* until it is given up and asked for again, lists come in */
-	while (b->stops < 2) {
-		assert_int_equal(b->lost, 0);
-		net_run(b->base, 10);
+static void unanswered_stop_does_not_end_a_run(void **state)
+{
+	struct fixture *f = *state;
+
+	f->unanswered_starts = 1;
+	f->unanswered_stops = 2;
+	start_run(f);
+	wait_for(f, &f->starts);
+	put_worker(f, f->port, true);
+	wait_for(f, &f->stops);
+	/* Lists arrive until the stop times out and is sent again. */
+	while (f->stops < 2) {
+		assert_int_equal(f->lost, 0);
+		net_run(f->base, 10);
 	}
-	assert_int_equal(b->lost, 0);
-	/* the answer to a later stop is the worker's word */
-	wait_for(b, &b->lost);
-	assert_int_equal(b->stops, 3);
-}
-
-/* The same where the worker is ill and answers that it did nothing. */
-static void a_refused_stop_says_nothing_of_a_run(void **state)
-{
-	struct bed *b = *state;
-
-	b->silent_starts = 1;
-	b->refuse_stops = 2;
-	start(b);
-	wait_for(b, &b->starts);
-	put_worker(b, b->port, true);
-	wait_for(b, &b->stops);
-	while (b->stops < 2) {
-		assert_int_equal(b->lost, 0);
-		net_run(b->base, 10);
+	assert_int_equal(f->lost, 0);
+	/* The answer to a later stop confirms that the run never starts. */
+	wait_for(f, &f->lost);
+	assert_int_equal(f->stops, 3);
+}
+
+/*
+ * Guards against a task that runs twice: its start may still arrive, and an
+ * unhealthy worker answered the stop that it did nothing.
+ */
+static void refused_stop_does_not_end_a_run(void **state)
+{
+	struct fixture *f = *state;
+
+	f->unanswered_starts = 1;
+	f->refuse_stops = 2;
+	start_run(f);
+	wait_for(f, &f->starts);
+	put_worker(f, f->port, true);
+	wait_for(f, &f->stops);
+	while (f->stops < 2) {
+		assert_int_equal(f->lost, 0);
+		net_run(f->base, 10);
 	}
-	assert_int_equal(b->lost, 0);
-	wait_for(b, &b->lost);
-	assert_int_equal(b->stops, 3);
+	assert_int_equal(f->lost, 0);
+	wait_for(f, &f->lost);
+	assert_int_equal(f->stops, 3);
 }
 
-/* A service loses two tasks at once: one by a stop that nobody decided now. */
-static void a_stop_of_an_earlier_lead_is_forgotten(void **state)
+/*
+ * Guards against a service that loses two tasks at once: one of them by a stop
+ * decided in an earlier term of the same leader.
+ */
+static void stop_of_earlier_term_is_dropped(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->lists = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	wkr_stop(b->wkr, b->run);
-	wkr_rest(b->wkr);
-	wkr_lead(b->wkr, FENCE + 2);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->stops, 0);
-	assert_false(jtb_leaves(b->run));
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	wkr_stop(f->wkr, f->run);
+	wkr_rest(f->wkr);
+	wkr_lead(f->wkr, FENCE + 2);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->stops, 0);
+	assert_false(jtb_leaves(f->run));
 }
 
-/* A stop that was agreed on is never carried out: its leader was lost first. */
-static void an_agreed_stop_is_ordered_by_the_next_leader(void **state)
+/*
+ * Guards against a committed stop that is never carried out as its leader was
+ * lost.
+ */
+static void committed_stop_is_sent_by_next_leader(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->lists = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	b->run->stopping = true;
-	wkr_lead(b->wkr, FENCE + 1);
-	wait_for(b, &b->stops);
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	f->run->stopping = true;
+	wkr_lead(f->wkr, FENCE + 1);
+	wait_for(f, &f->stops);
 }
 
-/* Guards against work done twice behind a cut that refuses connections. */
-static void a_leaving_worker_is_not_over_with_its_port(void **state)
+/*
+ * Guards against a task that runs twice behind a partition where connections
+ * are refused.
+ */
+static void closed_port_of_draining_worker_is_not_evidence(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->lists = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	put_worker(b, b->port, true);
-	wkr_ask(b->wkr, jtb_worker(b->jtb, "w"));
-	close_port(b);
-	wait_for(b, &b->gone);
-	assert_int_equal(b->why, EVD_LEASE);
-	assert_int_equal(b->gone_for_good, 0);
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	put_worker(f, f->port, true);
+	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	close_port(f);
+	wait_for(f, &f->gone);
+	assert_int_equal(f->why, EVD_LEASE);
+	assert_int_equal(f->gone_permanently, 0);
 }
 
 /*
- * One task runs twice at the same time. A worker that never said that it ends
- * can't be reached, as behind a firewall that refuses; its lease is waited for.
+ * Guards against a task that runs twice: a worker that never reported its exit
+ * can't be reached, as behind a firewall that refuses connections; its lease
+ * must expire first.
  */
-static void a_closed_port_alone_is_no_end(void **state)
+static void closed_port_is_not_evidence(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->lists = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	close_port(b);
-	wait_for(b, &b->gone);
-	assert_int_equal(b->gone_for_good, 0);
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	close_port(f);
+	wait_for(f, &f->gone);
+	assert_int_equal(f->gone_permanently, 0);
 }
 
-/* All that ran in a lifetime is over once another answers in its place. */
-static void another_lifetime_ends_the_one_we_meant(void **state)
+/*
+ * All runs of a worker instance are over once another instance answers at its
+ * address.
+ */
+static void another_instance_is_evidence(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->other_life = 1;
-	start(b);
-	wait_for(b, &b->gone_for_good);
-	assert_int_equal(b->starts, 1);
-	b->gone_for_good = 0;
-	b->other_life_holds = 1;
-	wait_for(b, &b->gone_for_good);
+	f->other_instance_starts = 1;
+	start_run(f);
+	wait_for(f, &f->gone_permanently);
+	assert_int_equal(f->starts, 1);
+	f->gone_permanently = 0;
+	f->other_instance_holds = 1;
+	wait_for(f, &f->gone_permanently);
 }
 
 /*
- * A task that was done is done again. The worker forgets an end that we have
- * acknowledged, and our log hasn't got it yet when we are killed.
+ * Guards against a completed task that runs again: the worker drops an end that
+ * the leader acknowledged, and the leader is killed before the end is
+ * committed.
  */
-static void an_end_is_acknowledged_once_it_is_stored(void **state)
+static void end_is_acknowledged_once_committed(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_name n = {.id = "j"};
 	struct pk_out o;
 	int holds;
 
-	b->lists = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	b->tells_end = true;
-	wait_for(b, &b->ends);
-	holds = b->holds;
-	wkr_ask(b->wkr, jtb_worker(b->jtb, "w"));
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->holds, holds);
-	assert_int_equal(b->ack, 0);
-	b->tells_end = false;
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	f->lists_end = true;
+	wait_for(f, &f->ends);
+	holds = f->holds;
+	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->holds, holds);
+	assert_int_equal(f->ack, 0);
+	f->lists_end = false;
 	pk_out_init(&o);
 	jtb_put_end(&o, "w", 1, &n, 1, JTB_DONE, lstr_n("", 0), 1);
-	apply(b, &o);
-	wkr_stored(b->wkr);
-	b->holds = 0;
-	wait_for(b, &b->holds);
-	assert_int_equal(b->ack, 1);
+	apply_command(f, &o);
+	wkr_stored(f->wkr);
+	f->holds = 0;
+	wait_for(f, &f->holds);
+	assert_int_equal(f->ack, 1);
 }
 
 /*
- * A burst runs on hundreds of workers. Each end was answered with a call for
- * the next, the leader came to nothing else, and callers saw their jobs late
- * with room free. Ends are gathered for a moment there, and not where workers
- * are few.
+ * Guards against a leader that does nothing but poll in a burst on hundreds of
+ * workers, so that jobs are late beside free capacity: each end was answered
+ * with the next hold at once. With many workers, ends are gathered for a
+ * moment.
  */
-static void ends_of_a_large_fleet_are_gathered(void **state)
+static void ends_of_many_workers_are_gathered(void **state)
 {
-	struct bed *b = *state;
-	struct wkr_link *l;
+	struct fixture *f = *state;
+	struct wkr_session *l;
 	struct jtb_name n = {.id = "j"};
 	struct pk_out o;
 
 	assert_int_equal(lod_gather_ms(49, 0), 0);
 	assert_int_equal(lod_gather_ms(9200, 0), 80);
-	b->wkr->busy = 9200;
-	b->lists = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	b->tells_end = true;
-	wait_for(b, &b->ends);
-	b->tells_end = false;
+	f->wkr->busy = 9200;
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	f->lists_end = true;
+	wait_for(f, &f->ends);
+	f->lists_end = false;
 	pk_out_init(&o);
 	jtb_put_end(&o, "w", 1, &n, 1, JTB_DONE, lstr_n("", 0), 1);
-	apply(b, &o);
-	b->wkr->busy = 400;
-	wkr_stored(b->wkr);
-	l = g_ptr_array_index(b->wkr->links, 0);
+	apply_command(f, &o);
+	f->wkr->busy = 400;
+	wkr_stored(f->wkr);
+	l = g_ptr_array_index(f->wkr->sessions, 0);
 	assert_null(l->hold);
 	assert_true(l->hold_timer != 0);
-	b->holds = 0;
-	wait_for(b, &b->holds);
-	assert_int_equal(b->ack, 1);
+	f->holds = 0;
+	wait_for(f, &f->holds);
+	assert_int_equal(f->ack, 1);
 }
 
-/* Guards against tasks run twice: a worker that leaves, taken as gone unasked. */
-static void a_leaving_worker_is_not_over_for_want_of_a_socket(void **state)
+/*
+ * Guards against a task that runs twice: a draining worker counted as over
+ * though it could not be polled.
+ */
+static void lack_of_sockets_does_not_end_draining_worker(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct net_taken taken;
 
-	b->lists = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	b->silent_holds = true;
-	net_run(b->base, SETTLE_MS);
-	put_worker(b, b->port, true);
-	wkr_ask(b->wkr, jtb_worker(b->jtb, "w"));
-	taken = take_descriptors(b);
-	net_run(b->base, WKR_WAIT_MS + WKR_ANSWER_MS + SETTLE_MS);
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	f->unanswered_holds = true;
+	net_run(f->base, SETTLE_MS);
+	put_worker(f, f->port, true);
+	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	taken = exhaust_descriptors(f);
+	net_run(f->base, WKR_HOLD_WAIT_MS + WKR_HOLD_TIMEOUT_MS + SETTLE_MS);
 	net_give_back(&taken);
-	assert_int_equal(b->gone_for_good, 0);
+	assert_int_equal(f->gone_permanently, 0);
 }
 
-/* Guards against work taken from workers that just couldn't be asked. */
-static void a_worker_is_not_silent_for_want_of_a_socket(void **state)
+/*
+ * Guards against tasks that are moved away from workers which only could not be
+ * polled.
+ */
+static void lack_of_sockets_leaves_worker_reachable(void **state)
 {
-	struct bed *b = *state;
-	const struct jtb_worker *w = jtb_worker(b->jtb, "w");
+	struct fixture *f = *state;
+	const struct jtb_worker *w = jtb_worker(f->jtb, "w");
 	struct net_taken taken;
 
-	net_run(b->base, SETTLE_MS);
-	assert_true(wkr_usable(b->wkr, w));
-	taken = take_descriptors(b);
-	wkr_ask(b->wkr, jtb_worker(b->jtb, "w"));
-	net_run(b->base, SETTLE_MS);
+	net_run(f->base, SETTLE_MS);
+	assert_true(wkr_usable(f->wkr, w));
+	taken = exhaust_descriptors(f);
+	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	net_run(f->base, SETTLE_MS);
 	net_give_back(&taken);
-	assert_true(wkr_reached(b->wkr, w));
-	assert_int_equal(wkr_silent_since(b->wkr, w), 0);
-	b->holds = 0;
-	wait_for(b, &b->holds);
+	assert_true(wkr_reached(f->wkr, w));
+	assert_int_equal(wkr_silent_since(f->wkr, w), 0);
+	f->holds = 0;
+	wait_for(f, &f->holds);
 }
 
-/* Guards against lists that are waited for on all connections there may be. */
-static void a_list_is_not_waited_for_where_connections_are_few(void **state)
+/* Guards against holds that wait on all available connections. */
+static void hold_does_not_wait_while_connections_are_scarce(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->lists = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	assert_true(b->wait_ms > 0);
-	b->wkr->config.conns_max = 1;
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->wait_ms, 0);
+	f->lists_run = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	assert_true(f->wait_ms > 0);
+	f->wkr->config.conns_max = 1;
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->wait_ms, 0);
 }
 
-/* Guards against a new connection for each order where these are few. */
-static void orders_at_once_fit_the_connections(void **state)
+/*
+ * Guards against a new connection for each order while connections are scarce.
+ */
+static void order_window_fits_the_connections(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->wkr->busy = 1100;
-	assert_int_equal(wkr_window(b->wkr), WKR_WINDOW);
-	b->wkr->config.conns_max = 2400;
-	assert_int_equal(wkr_window(b->wkr), 1);
-	b->wkr->config.conns_max = 4000;
-	assert_int_equal(wkr_window(b->wkr), 2);
-	b->wkr->config.conns_max = 100;
-	assert_int_equal(wkr_window(b->wkr), 1);
-	b->wkr->busy = 0;
-	assert_int_equal(wkr_window(b->wkr), WKR_WINDOW);
+	f->wkr->busy = 1100;
+	assert_int_equal(wkr_window(f->wkr), WKR_ORDER_WINDOW);
+	f->wkr->config.conns_max = 2400;
+	assert_int_equal(wkr_window(f->wkr), 1);
+	f->wkr->config.conns_max = 4000;
+	assert_int_equal(wkr_window(f->wkr), 2);
+	f->wkr->config.conns_max = 100;
+	assert_int_equal(wkr_window(f->wkr), 1);
+	f->wkr->busy = 0;
+	assert_int_equal(wkr_window(f->wkr), WKR_ORDER_WINDOW);
 }
 
-/* A start carries its ticket, and the owner learns that it was refused. */
-static void a_start_carries_its_ticket(void **state)
+/* A start carries its ticket, and its refusal for that ticket is reported. */
+static void start_carries_its_ticket(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->advised = true;
-	b->ticket = "t1";
-	b->refuse_tickets = 1;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->starts, 1);
-	assert_string_equal(b->sent_ticket, "t1");
-	assert_int_equal(b->tickets_refused, 1);
-	assert_int_equal(b->lost, 1);
-	assert_int_equal(wkr_stats(b->wkr)->unticketed, 1);
+	f->needs_ticket = true;
+	f->ticket = "t1";
+	f->refuse_tickets = 1;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->starts, 1);
+	assert_string_equal(f->sent_ticket, "t1");
+	assert_int_equal(f->tickets_refused, 1);
+	assert_int_equal(f->lost, 1);
+	assert_int_equal(wkr_stats(f->wkr)->unticketed, 1);
 }
 
-/* Its ticket ended on the way through the log: the worker would refuse it. */
-static void a_start_without_a_ticket_is_not_sent(void **state)
+/*
+ * A start whose ticket expired while it was committed is not sent: the worker
+ * would refuse it.
+ */
+static void start_without_ticket_is_not_sent(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->advised = true;
-	start(b);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->starts, 0);
-	assert_int_equal(b->stops, 0);
-	assert_int_equal(b->lost, 1);
+	f->needs_ticket = true;
+	start_run(f);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->starts, 0);
+	assert_int_equal(f->stops, 0);
+	assert_int_equal(f->lost, 1);
 }
 
 /*
- * One task runs twice at the same time. A start of the last leader is on its
- * way, and the new one has no ticket to send it again: the worker is told to
- * take it never, before the task goes elsewhere.
+ * Guards against a task that runs twice: a start of the previous leader is in
+ * flight, and the new one has no ticket to send it again. The worker must be
+ * told never to accept it before the task starts elsewhere.
  */
-static void a_start_that_may_come_is_stopped_without_a_ticket(void **state)
+static void stale_start_without_ticket_is_stopped(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->advised = true;
-	start(b);
-	b->run->may_be_there = true;
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->starts, 0);
-	assert_int_equal(b->stops, 1);
+	f->needs_ticket = true;
+	start_run(f);
+	f->run->may_be_there = true;
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->starts, 0);
+	assert_int_equal(f->stops, 1);
 }
 
 #define T(fn) cmocka_unit_test_setup_teardown(fn, setup, teardown)
@@ -1228,48 +1289,48 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		T(a_refused_start_is_not_tried_again),
-		T(a_start_that_may_come_late_is_stopped_first),
-		T(a_start_with_an_odd_answer_is_stopped_first),
-		T(a_start_that_its_carrier_lost_is_stopped_first),
-		T(a_lost_carrier_says_nothing_of_the_worker),
-		T(a_carrier_is_tried_again_after_a_while),
-		T(a_job_waits_until_a_worker_took_it),
-		T(a_taken_start_is_looked_after),
-		T(a_run_that_is_nowhere_is_told_as_lost),
-		T(a_list_that_isnt_whole_says_nothing_of_a_run),
-		T(a_leader_that_stood_still_starts_nothing),
-		T(a_start_has_a_lease),
-		T(orders_and_leases_are_timed),
-		T(a_lease_of_no_work_has_no_margin),
-		T(leases_of_the_old_leader_are_waited_for),
-		T(a_silent_worker_gets_no_lease),
-		T(a_worker_that_was_given_up_is_told_to_start_nothing),
-		T(a_start_that_may_come_after_a_lapse_is_stopped_first),
-		T(an_older_list_says_nothing_of_a_run),
-		T(a_leaving_worker_is_sent_no_start),
-		T(a_start_that_a_leaving_worker_may_have_is_stopped),
-		T(a_run_that_nobody_knows_is_stopped),
-		T(a_new_leader_asks_before_it_orders),
-		T(a_start_of_the_last_leader_may_come_late),
-		T(a_stop_without_an_answer_says_nothing_of_a_run),
-		T(a_refused_stop_says_nothing_of_a_run),
-		T(a_start_that_no_longer_fits_is_not_sent),
-		T(a_start_that_no_longer_fits_is_stopped),
-		T(a_stop_of_an_earlier_lead_is_forgotten),
-		T(an_agreed_stop_is_ordered_by_the_next_leader),
-		T(a_leaving_worker_is_not_over_with_its_port),
-		T(a_closed_port_alone_is_no_end),
-		T(another_lifetime_ends_the_one_we_meant),
-		T(an_end_is_acknowledged_once_it_is_stored),
-		T(a_leaving_worker_is_not_over_for_want_of_a_socket),
-		T(a_worker_is_not_silent_for_want_of_a_socket),
-		T(a_list_is_not_waited_for_where_connections_are_few),
-		T(orders_at_once_fit_the_connections),
-		T(ends_of_a_large_fleet_are_gathered),
-		T(a_start_carries_its_ticket),
-		T(a_start_without_a_ticket_is_not_sent),
-		T(a_start_that_may_come_is_stopped_without_a_ticket),
+		T(refused_start_is_not_retried),
+		T(start_without_answer_is_stopped_first),
+		T(start_with_unreadable_answer_is_stopped_first),
+		T(start_lost_by_relay_is_stopped_first),
+		T(lost_relay_leaves_worker_usable),
+		T(relay_is_used_again_after_a_while),
+		T(job_is_pending_until_start_is_accepted),
+		T(accepted_start_is_followed_by_holds),
+		T(run_missing_from_list_is_lost),
+		T(incomplete_list_is_not_evidence),
+		T(paused_leader_grants_no_valid_lease),
+		T(start_has_a_lease),
+		T(statistics_time_orders_and_leases),
+		T(lease_without_runs_has_no_margin),
+		T(leases_of_previous_leader_must_expire),
+		T(unreachable_worker_gets_no_lease),
+		T(abandoned_worker_gets_no_start),
+		T(stale_start_is_stopped_after_expiry),
+		T(list_requested_before_start_is_not_evidence),
+		T(draining_worker_gets_no_start),
+		T(unanswered_start_on_draining_worker_is_stopped),
+		T(unknown_run_is_stopped),
+		T(new_leader_polls_before_it_orders),
+		T(start_of_previous_leader_is_stopped_first),
+		T(unanswered_stop_does_not_end_a_run),
+		T(refused_stop_does_not_end_a_run),
+		T(start_that_no_longer_fits_is_not_sent),
+		T(unanswered_start_that_no_longer_fits_is_stopped),
+		T(stop_of_earlier_term_is_dropped),
+		T(committed_stop_is_sent_by_next_leader),
+		T(closed_port_of_draining_worker_is_not_evidence),
+		T(closed_port_is_not_evidence),
+		T(another_instance_is_evidence),
+		T(end_is_acknowledged_once_committed),
+		T(lack_of_sockets_does_not_end_draining_worker),
+		T(lack_of_sockets_leaves_worker_reachable),
+		T(hold_does_not_wait_while_connections_are_scarce),
+		T(order_window_fits_the_connections),
+		T(ends_of_many_workers_are_gathered),
+		T(start_carries_its_ticket),
+		T(start_without_ticket_is_not_sent),
+		T(stale_start_without_ticket_is_stopped),
 	};
 
 	return cmocka_run_group_tests_name("wkr", tests, NULL, NULL);
