--- a/tests/unit/wkr_test.c
+++ b/tests/unit/wkr_test.c
@@ -1038,8 +1038,8 @@
 }
 
 /*
- * Guards against a task that runs twice behind a partition where connections
- * are refused.
+ * Guards against a task that runs twice: a draining worker is behind a
+ * partition where connections are refused.
  */
 static void closed_port_of_draining_worker_is_not_evidence(void **state)
 {
