--- a/src/adv.h
+++ b/src/adv.h
@@ -1,6 +1,11 @@
 #ifndef ADV_H
 #define ADV_H
 
+/*
+ * Advice (adv): obtains tickets, which starts of some queues must carry, from
+ * an outside service.
+ */
+
 #include <event2/event.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -13,31 +18,33 @@
 #include "ups.h"
 
 /*
- * Advice: some queues let only some workers run a step, and only an outside
- * service knows which. For those it approves it gives tickets, which starts
- * must carry. struct adv decides whom to ask for what next and keeps the
- * tickets, without input or output; struct adv_line is the session with the
- * service. Both are the leader's alone, and begin empty with each leader.
+ * Some queues let only some workers run a step, and only the advice service,
+ * which is not part of the fleet, knows which. For each worker that it approves
+ * it issues a ticket, which the start must carry. struct adv decides which
+ * query comes next and keeps the tickets, without input or output; struct
+ * adv_line is the connection to the service. Only the leader uses them, and
+ * both are empty when a replica becomes leader.
  */
 struct adv;
 struct adv_line;
 
-/* Workers named in one call at most; the service takes no more. */
+/* Most workers in one query; the service accepts no more. */
 #define ADV_NAMES_MAX 100
-/* Connections to the service that gives advice: one call at a time, and an idle
- * connection that was given up.
+/*
+ * Connections to the advice service: one call at a time, and idle connections
+ * of calls that were cancelled.
  */
 #define ADV_CONNS_MAX 4
 
-/* A question: which of these workers may run that step. */
+/* A query: which of these workers may run this step. */
 struct adv_ask {
-	struct jtb_name step; /* without an index */
-	GPtrArray *workers; /* char *, ids of lifetimes */
-	int64_t takes_ms; /* until the answer, as the queue says */
-	int64_t valid_ms; /* of its tickets; 0: not told */
+	struct jtb_name step; /* without a task index */
+	GPtrArray *workers; /* char *, ids of workers' lifetimes */
+	int64_t takes_ms; /* expected time until the answer */
+	int64_t valid_ms; /* validity of the tickets; 0: not known, no limit */
 };
 
-/* A worker that may run the step. */
+/* An approved worker in an answer, and its ticket. */
 struct adv_row {
 	char *worker;
 	char *ticket;
@@ -50,68 +57,72 @@
 bool adv_next(struct adv *a, const struct sch_view *v, struct adv_ask *out);
 void adv_answered(struct adv *a, const struct adv_ask *ask,
 		  const GPtrArray *rows, int64_t asked_ms, int64_t now_ms);
-void adv_turned_down(struct adv *a, const struct adv_ask *ask, int64_t now_ms);
-void adv_drop(struct adv *a, const struct jtb_run *run, int64_t now_ms);
+void adv_reject_query(struct adv *a, const struct adv_ask *ask, int64_t now_ms);
+void adv_drop_ticket(struct adv *a, const struct jtb_run *run, int64_t now_ms);
 const char *adv_ticket(struct adv *a, const struct jtb_job *job, uint32_t turn,
 		       uint32_t step, const struct jtb_worker *w,
 		       int64_t now_ms);
 bool adv_ticketed(struct adv *a, const struct jtb_job *job, uint32_t turn,
 		  uint32_t step, const struct jtb_worker *w, int64_t now_ms);
 uint32_t adv_waiting(struct adv *a, int64_t now_ms, int64_t wall_ms);
-uint32_t adv_kept(const struct adv *a);
+uint32_t adv_step_count(const struct adv *a);
 void adv_ask_clear(struct adv_ask *ask);
 void adv_row_free(gpointer p);
 
-/* What an answer of the service means. */
+/* Meaning of an answer of the advice service. */
 enum adv_result {
 	ADV_TOLD,
-	ADV_BUSY, /* too many calls wait there */
-	ADV_TURNED_DOWN, /* it doesn't take this question */
-	ADV_SICK, /* it can't now */
-	ADV_UNREADABLE, /* we didn't understand it */
+	ADV_BUSY, /* too many calls wait at the service */
+	ADV_TURNED_DOWN, /* the service rejects this query */
+	ADV_SICK, /* the service is unavailable */
+	ADV_UNREADABLE, /* the answer is malformed */
 };
 
-/* How questions and answers look on the wire. */
+/* Encoding of queries and answers. */
 struct adv_codec {
 	const char *content_type;
-	/* returns the path */
+	/* writes a query into body; returns the path to post it to */
 	const char *(*write)(const struct adv_ask *ask, struct evbuffer *body);
-	/* adds struct adv_row; valid_ms: of tickets, as it was if not told */
+	/*
+	 * Decodes an answer: appends struct adv_row to rows, and sets valid_ms,
+	 * the validity of the tickets, if the answer contains it.
+	 */
 	enum adv_result (*answer)(int status, struct lstr body, GPtrArray *rows,
 				  int64_t *valid_ms);
 };
 
+/* Callbacks to the owner. */
 struct adv_ops {
-	/* tickets came in: what waited for them may be started */
+	/* tickets have arrived: the tasks that wait for them may start */
 	void (*changed)(void *arg);
-	/* the time has come to call adv_line_look again */
-	void (*look)(void *arg);
+	/* adv_line_poll should be called again */
+	void (*poll)(void *arg);
 };
 
 struct adv_config {
 	struct event_base *base;
 	struct tmr *tmr;
 	const struct adv_codec *codec;
-	const char *addr; /* IP:PORT; or NULL: nobody gives advice */
+	const char *addr; /* IP:PORT; or NULL: no advice service */
 };
 
-/* Counters since the start. */
+/* Counters since the start of the process. */
 struct adv_stats {
 	uint64_t calls;
-	uint64_t failed; /* calls without a good answer */
-	uint64_t named; /* workers asked for */
-	uint64_t approved;
-	struct cnt_times answers; /* how long calls took to be answered */
+	uint64_t failed; /* calls without a usable answer */
+	uint64_t named; /* workers in all queries */
+	uint64_t approved; /* workers in all answers */
+	struct cnt_times answers; /* time from calls to answers */
 };
 
 struct adv_line *adv_line_new(const struct adv_config *config, struct adv *adv,
 			      const struct adv_ops *ops, void *arg);
 void adv_line_free(struct adv_line *l);
 void adv_line_lead(struct adv_line *l);
-void adv_line_rest(struct adv_line *l);
-void adv_line_look(struct adv_line *l, const struct sch_view *v);
+void adv_line_step_down(struct adv_line *l);
+void adv_line_poll(struct adv_line *l, const struct sch_view *v);
 void adv_line_set_addr(struct adv_line *l, const char *addr);
-bool adv_line_there(const struct adv_line *l);
+bool adv_line_configured(const struct adv_line *l);
 const struct adv_stats *adv_line_stats(const struct adv_line *l);
 
 #endif
--- a/src/adv_line.c
+++ b/src/adv_line.c
@@ -5,25 +5,29 @@
 #include "msg.h"
 
 /*
- * An answer may take so much longer than the queue says: twice, and this, ms.
- * A call that is given up is still worked on there, and the next of ours waits
- * behind it; too little patience would have each wait for the one before.
+ * A call times out after twice the time that the queue's figures predict, and
+ * this many ms more. The service goes on working on a call after its timeout,
+ * and the next call waits behind it: with too short a timeout each call would
+ * time out waiting for the previous one.
  */
-#define ADV_SLACK_MS 1500
-/* After calls without an answer the patience doubles, up to so long, ms. */
-#define ADV_PATIENCE_MAX_MS 60000
+#define ADV_TIMEOUT_SLACK_MS 1500
+/* The timeout doubles after each call without an answer, up to this, ms. */
+#define ADV_TIMEOUT_MAX_MS 60000
 #define ADV_CONNECT_MS 500
-/* Largest answer taken: 100 rows of an id and a ticket, ten times over. */
+/* Largest accepted answer, bytes: ten times 100 rows of an id and a ticket. */
 #define ADV_ANSWER_MAX (256 << 10)
 #define ADV_REUSE_MS 10000
-/* Between a call that failed and the next, ms, doubling; tried for ever. */
+/*
+ * Delay between a failed call and the next, ms, doubling up to the maximum;
+ * calls are retried for ever.
+ */
 #define ADV_RETRY_MIN_MS 100
 #define ADV_RETRY_MAX_MS 2000
 /*
- * Least time between two looks that found nothing to ask, ms: a look goes
- * through all jobs of queues with advice, and plans are made every few ms.
+ * Least interval between polls that found no query, ms: a poll scans all jobs
+ * of queues with advice, and plans are made every few ms.
  */
-#define ADV_LOOK_MS 50
+#define ADV_POLL_INTERVAL_MS 50
 
 struct adv_line {
 	struct adv_config config;
@@ -32,25 +36,25 @@
 	const struct adv_ops *ops;
 	void *arg;
 	struct ups *ups;
-	struct ups_call *call; /* the one on its way; or NULL */
-	struct evbuffer *body; /* of it */
-	struct adv_ask ask; /* what it asks */
+	struct ups_call *call; /* call in progress; or NULL */
+	struct evbuffer *body; /* of the call */
+	struct adv_ask ask; /* query of the call */
 	int64_t sent_ms;
-	int64_t not_before; /* no call until then */
-	int64_t retry_ms;
-	uint32_t silent; /* calls in a row without an answer */
-	uint64_t wake; /* timer of the next look */
+	int64_t not_before_ms; /* earliest time of the next call */
+	int64_t backoff_ms;
+	uint32_t timeouts; /* consecutive calls without an answer */
+	uint64_t poll_timer; /* calls the owner's poll */
 	bool leading;
 	struct adv_stats stats;
 };
 
-static void adv_send(struct adv_line *l);
+static void adv_send_query(struct adv_line *l);
 static void adv_on_end(void *arg, enum ups_end end, const struct ups_answer *a);
-static void adv_told(struct adv_line *l, const GPtrArray *rows);
-static void adv_failed(struct adv_line *l, const char *why);
-static void adv_call_over(struct adv_line *l);
-static void adv_wake_at(struct adv_line *l, int64_t at);
-static void adv_on_wake(void *arg, int64_t now);
+static void adv_on_answer(struct adv_line *l, const GPtrArray *rows);
+static void adv_on_failure(struct adv_line *l, const char *why);
+static void adv_release_call(struct adv_line *l);
+static void adv_schedule_poll(struct adv_line *l, int64_t at);
+static void adv_on_poll_timer(void *arg, int64_t now);
 
 static const struct ups_ops adv_ups_ops = {
 	.end = adv_on_end,
@@ -64,7 +68,10 @@
 	[ADV_UNREADABLE] = "not understood",
 };
 
-/* A session that rests until adv_line_lead; its parts must outlive it. */
+/*
+ * Returns a connection that stays idle until adv_line_lead; its parts must
+ * outlive it.
+ */
 struct adv_line *adv_line_new(const struct adv_config *config, struct adv *adv,
 			      const struct adv_ops *ops, void *arg)
 {
@@ -81,88 +88,92 @@
 	return l;
 }
 
-/* Ends the session. */
+/* Frees the connection. */
 void adv_line_free(struct adv_line *l)
 {
 	if (!l)
 		return;
-	adv_line_rest(l);
+	adv_line_step_down(l);
 	ups_free(l->ups);
 	g_free(l->addr);
 	g_free(l);
 }
 
-/* We lead: all is asked anew. */
+/* Becomes leader: starts without tickets. */
 void adv_line_lead(struct adv_line *l)
 {
-	adv_line_rest(l);
+	adv_line_step_down(l);
 	l->leading = true;
 }
 
-/* We don't lead any more. */
-void adv_line_rest(struct adv_line *l)
+/* Steps down as leader: cancels the call and drops all tickets. */
+void adv_line_step_down(struct adv_line *l)
 {
 	l->leading = false;
 	if (l->call) {
 		ups_cancel(l->call);
-		adv_call_over(l);
+		adv_release_call(l);
 	}
-	tmr_cancel(l->config.tmr, l->wake);
-	l->wake = 0;
-	l->not_before = 0;
-	l->retry_ms = 0;
-	l->silent = 0;
+	tmr_cancel(l->config.tmr, l->poll_timer);
+	l->poll_timer = 0;
+	l->not_before_ms = 0;
+	l->backoff_ms = 0;
+	l->timeouts = 0;
 	adv_clear(l->adv);
 }
 
 /*
- * Asks what matters most, unless a call is on its way: the service handles one
- * at a time for us, so that a second would only wait there, out of turn.
+ * Sends the next query unless a call is in progress: the service handles one
+ * call of a leader at a time, so a second call would only wait there,
+ * regardless of urgency.
  */
-void adv_line_look(struct adv_line *l, const struct sch_view *v)
+void adv_line_poll(struct adv_line *l, const struct sch_view *v)
 {
 	if (!l->leading || !l->addr || l->call || !adv_needed(l->adv))
 		return;
-	if (v->now_ms < l->not_before) {
-		adv_wake_at(l, l->not_before);
+	if (v->now_ms < l->not_before_ms) {
+		adv_schedule_poll(l, l->not_before_ms);
 		return;
 	}
 	if (adv_next(l->adv, v, &l->ask))
-		adv_send(l);
+		adv_send_query(l);
 	else
-		l->not_before = v->now_ms + ADV_LOOK_MS;
+		l->not_before_ms = v->now_ms + ADV_POLL_INTERVAL_MS;
 }
 
-/* Another address, from changed settings; or NULL. */
+/*
+ * Sets the address of the service, after the settings have changed; NULL: no
+ * service.
+ */
 void adv_line_set_addr(struct adv_line *l, const char *addr)
 {
 	if (g_strcmp0(l->addr, addr) == 0)
 		return;
 	if (l->call) {
 		ups_cancel(l->call);
-		adv_call_over(l);
+		adv_release_call(l);
 	}
 	g_free(l->addr);
 	l->addr = g_strdup(addr);
-	l->not_before = 0;
-	l->retry_ms = 0;
-	l->silent = 0;
+	l->not_before_ms = 0;
+	l->backoff_ms = 0;
+	l->timeouts = 0;
 }
 
-/* Whether there is a service to ask. */
-bool adv_line_there(const struct adv_line *l)
+/* Whether an advice service is configured. */
+bool adv_line_configured(const struct adv_line *l)
 {
 	return l->addr != NULL;
 }
 
-/* Counters since the start. */
+/* Returns the counters since the start of the process. */
 const struct adv_stats *adv_line_stats(const struct adv_line *l)
 {
 	return &l->stats;
 }
 
-/* Sends the question. */
-static void adv_send(struct adv_line *l)
+/* Sends the query. */
+static void adv_send_query(struct adv_line *l)
 {
 	const struct adv_codec *codec = l->config.codec;
 	struct ups_header type = {(char *)"Content-Type",
@@ -175,10 +186,10 @@
 		.connect_ms = ADV_CONNECT_MS,
 		.max_answer = ADV_ANSWER_MAX,
 	};
-	int64_t patience = 2 * l->ask.takes_ms + ADV_SLACK_MS;
+	int64_t timeout_ms = 2 * l->ask.takes_ms + ADV_TIMEOUT_SLACK_MS;
 
-	r.timeout_ms = MIN(patience << MIN(l->silent, 6),
-			   MAX(patience, ADV_PATIENCE_MAX_MS));
+	r.timeout_ms = MIN(timeout_ms << MIN(l->timeouts, 6),
+			   MAX(timeout_ms, ADV_TIMEOUT_MAX_MS));
 	l->body = evbuffer_new();
 	r.uri = codec->write(&l->ask, l->body);
 	r.body = l->body;
@@ -188,7 +199,7 @@
 	l->call = ups_start(l->ups, &r, &adv_ups_ops, l);
 }
 
-/* The call ended, with an answer or without. */
+/* The call ended, with or without an answer. */
 static void adv_on_end(void *arg, enum ups_end end, const struct ups_answer *a)
 {
 	struct adv_line *l = arg;
@@ -204,30 +215,30 @@
 	if (end == UPS_WHOLE)
 		result = l->config.codec->answer(a->status, body, rows,
 						 &l->ask.valid_ms);
-	l->silent = end == UPS_TIMEOUT ? l->silent + 1 : 0;
+	l->timeouts = end == UPS_TIMEOUT ? l->timeouts + 1 : 0;
 	if (end != UPS_WHOLE)
-		adv_failed(l, "no answer");
+		adv_on_failure(l, "no answer");
 	else if (result == ADV_TOLD)
-		adv_told(l, rows);
+		adv_on_answer(l, rows);
 	else
-		adv_failed(l, adv_results[result]);
+		adv_on_failure(l, adv_results[result]);
 	if (end == UPS_WHOLE &&
 	    (result == ADV_TURNED_DOWN || result == ADV_UNREADABLE))
-		adv_turned_down(l->adv, &l->ask, tmr_now(l->config.tmr));
+		adv_reject_query(l->adv, &l->ask, tmr_now(l->config.tmr));
 	g_ptr_array_free(rows, TRUE);
-	adv_call_over(l);
+	adv_release_call(l);
 	if (result == ADV_TOLD)
 		l->ops->changed(l->arg);
 }
 
-/* Takes a good answer in. */
-static void adv_told(struct adv_line *l, const GPtrArray *rows)
+/* Stores a valid answer. */
+static void adv_on_answer(struct adv_line *l, const GPtrArray *rows)
 {
 	int64_t now = tmr_now(l->config.tmr);
 
 	l->stats.approved += rows->len;
-	l->retry_ms = 0;
-	l->not_before = 0;
+	l->backoff_ms = 0;
+	l->not_before_ms = 0;
 	cnt_time_ms(&l->stats.answers, now - l->sent_ms);
 	adv_answered(l->adv, &l->ask, rows, l->sent_ms, now);
 	msg_job(MSG_ADV_TOLD, l->ask.step.id,
@@ -238,25 +249,25 @@
 		l->ask.valid_ms);
 }
 
-/* No good answer: the next call waits. */
-static void adv_failed(struct adv_line *l, const char *why)
+/* There was no valid answer: delays the next call. */
+static void adv_on_failure(struct adv_line *l, const char *why)
 {
 	int64_t now = tmr_now(l->config.tmr);
 
 	l->stats.failed++;
-	l->retry_ms = l->retry_ms ? MIN(2 * l->retry_ms, ADV_RETRY_MAX_MS)
-				  : ADV_RETRY_MIN_MS;
-	l->not_before = now + l->retry_ms;
-	adv_wake_at(l, l->not_before);
+	l->backoff_ms = l->backoff_ms ? MIN(2 * l->backoff_ms, ADV_RETRY_MAX_MS)
+				      : ADV_RETRY_MIN_MS;
+	l->not_before_ms = now + l->backoff_ms;
+	adv_schedule_poll(l, l->not_before_ms);
 	msg(MSG_ADV_FAILED,
 	    "job=%s turn=%u step=%u named=%u why=\"%s\" took_ms=%" PRId64
 	    " again_ms=%" PRId64,
 	    l->ask.step.id, l->ask.step.turn, l->ask.step.step,
-	    l->ask.workers->len, why, now - l->sent_ms, l->retry_ms);
+	    l->ask.workers->len, why, now - l->sent_ms, l->backoff_ms);
 }
 
-/* Frees what the call held. */
-static void adv_call_over(struct adv_line *l)
+/* Frees the data of the call. */
+static void adv_release_call(struct adv_line *l)
 {
 	l->call = NULL;
 	evbuffer_free(l->body);
@@ -264,21 +275,21 @@
 	adv_ask_clear(&l->ask);
 }
 
-/* Has the owner look again at that time. */
-static void adv_wake_at(struct adv_line *l, int64_t at)
+/* Schedules a call of the owner's poll, at ms on the timer service's clock. */
+static void adv_schedule_poll(struct adv_line *l, int64_t at)
 {
 	int64_t now = tmr_now(l->config.tmr);
 
-	if (!l->wake)
-		l->wake = tmr_once(l->config.tmr, MAX(0, at - now), adv_on_wake,
-				   l);
+	if (!l->poll_timer)
+		l->poll_timer = tmr_once(l->config.tmr, MAX(0, at - now),
+					 adv_on_poll_timer, l);
 }
 
-/* The time to look again has come. */
-static void adv_on_wake(void *arg, int64_t now)
+/* Calls the owner's poll. */
+static void adv_on_poll_timer(void *arg, int64_t now)
 {
 	struct adv_line *l = arg;
 
-	l->wake = 0;
-	l->ops->look(l->arg);
+	l->poll_timer = 0;
+	l->ops->poll(l->arg);
 }
--- a/src/hub.c
+++ b/src/hub.c
@@ -6,52 +6,54 @@
 #include "msg.h"
 #include "proto.h"
 
-/* How often runs and pools are looked after without a cause. */
+/* Interval of the periodic checks of runs and pools. */
 #define HUB_TICK_MS 200
-/* Longest wait for another replica to take leadership over at a stop. */
-#define HUB_DRAIN_MS 1500
-/* A sender that pauses for longer within a request is cut. */
-#define HUB_SLOW_MS 15000
+/*
+ * Longest wait at a planned stop until another replica takes over leadership.
+ */
+#define HUB_DRAIN_TIMEOUT_MS 1500
+/* A client that pauses for longer within a request is disconnected. */
+#define HUB_STALL_TIMEOUT_MS 15000
 
-static char *hub_control_of(const struct hub *h, const char *wire);
+static char *hub_control_addr(const struct hub *h, const char *wire);
 static bool hub_open_http(struct hub *h, GError **err);
 static void hub_apply(void *arg, uint64_t index, struct lstr cmd);
 static bool hub_restore(void *arg, struct lstr snap);
 static void hub_snapshot(void *arg, struct pk_out *o);
-static void hub_lead(void *arg, bool leading, uint64_t term);
+static void hub_on_lead(void *arg, bool leading, uint64_t term);
 static void hub_read_done(void *arg, uint64_t tag, bool ok);
 static void hub_message(void *arg, struct wire_conn *conn, uint64_t kind,
 			struct pk_in *in);
-static void hub_wire_gone(void *arg, struct wire_conn *conn);
+static void hub_on_wire_closed(void *arg, struct wire_conn *conn);
 static void hub_on_request(void *arg, struct srv_req *r);
-static void hub_on_gone(void *arg, struct srv_req *r);
+static void hub_on_disconnect(void *arg, struct srv_req *r);
 static void hub_on_metrics(void *arg, struct srv_req *r);
-static void hub_no_gone(void *arg, struct srv_req *r);
+static void hub_on_metrics_disconnect(void *arg, struct srv_req *r);
 static void hub_tick(void *arg, int64_t now);
 
 static const struct rep_ops hub_rep_ops = {
 	.apply = hub_apply,
 	.restore = hub_restore,
 	.snapshot = hub_snapshot,
-	.lead = hub_lead,
+	.lead = hub_on_lead,
 	.read_done = hub_read_done,
 	.message = hub_message,
-	.gone = hub_wire_gone,
+	.gone = hub_on_wire_closed,
 };
 
 static const struct srv_ops hub_srv_ops = {
 	.request = hub_on_request,
-	.gone = hub_on_gone,
+	.gone = hub_on_disconnect,
 };
 
 static const struct srv_ops hub_metrics_ops = {
 	.request = hub_on_metrics,
-	.gone = hub_no_gone,
+	.gone = hub_on_metrics_disconnect,
 };
 
 /*
- * Starts a control daemon on config's loop; config's parts must outlive it.
- * NULL with the step that failed.
+ * Starts a control daemon on the event loop of config, whose parts must outlive
+ * the daemon. Returns NULL and sets err if a step failed.
  */
 struct hub *hub_new(const struct hub_config *config, GError **err)
 {
@@ -62,12 +64,13 @@
 	h->calls = g_hash_table_new(NULL, NULL);
 	h->est = est_new();
 	h->crs = crs_new(&hub_crs_ops, h);
-	h->dirty = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	h->heard =
+	h->dirty_pools =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	h->report_seqs =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	hub_log_init(h);
 	h->jtb = jtb_new(&hub_watch, h);
-	hub_carry_init(h);
+	hub_relay_init(h);
 	h->wkr = wkr_new(
 		&(struct wkr_config){
 			.base = config->base,
@@ -80,7 +83,7 @@
 			.rly = h->rly,
 		},
 		&hub_wkr_ops, h);
-	h->carry = rly_carry_new(h->tmr, wkr_ups(h->wkr), wire_send);
+	h->relay_server = rly_carry_new(h->tmr, wkr_ups(h->wkr), wire_send);
 	h->adv = adv_new(h->jtb);
 	h->advice = adv_line_new(
 		&(struct adv_config){
@@ -110,27 +113,27 @@
 		hub_free(h);
 		return NULL;
 	}
-	h->tick = tmr_every(h->tmr, HUB_TICK_MS, hub_tick, h);
+	h->tick_timer = tmr_every(h->tmr, HUB_TICK_MS, hub_tick, h);
 	msg(MSG_START, "node=%s zone=%s wire=%s control=%s bootstrap=%d",
 	    config->node, config->zone, config->wire, config->control,
 	    config->bootstrap);
 	return h;
 }
 
-/* Ends it at once; what it promised is on its disk. */
+/* Stops the daemon at once; all that it acknowledged is on its disk. */
 void hub_free(struct hub *h)
 {
 	if (!h)
 		return;
-	tmr_cancel(h->tmr, h->tick);
+	tmr_cancel(h->tmr, h->tick_timer);
 	tmr_cancel(h->tmr, h->flush_timer);
 	tmr_cancel(h->tmr, h->plan_timer);
 	srv_free(h->srv);
 	srv_free(h->metrics);
 	rep_free(h->rep);
-	rly_carry_free(h->carry);
+	rly_carry_free(h->relay_server);
 	wkr_free(h->wkr);
-	hub_carry_free(h);
+	hub_relay_free(h);
 	hub_vm_free(h);
 	adv_line_free(h->advice);
 	adv_free(h->adv);
@@ -139,81 +142,88 @@
 	g_hash_table_destroy(h->calls);
 	est_free(h->est);
 	crs_free(h->crs);
-	g_hash_table_destroy(h->dirty);
-	g_hash_table_destroy(h->heard);
+	g_hash_table_destroy(h->dirty_pools);
+	g_hash_table_destroy(h->report_seqs);
 	tmr_free(h->tmr);
 	g_free(h);
 }
 
-/* Planned stop: hands leadership over, then ends the loop. */
+/* Begins a planned stop: hands over leadership, then ends the event loop. */
 void hub_drain(struct hub *h)
 {
-	if (h->drain_until)
+	if (h->drain_until_ms)
 		return;
-	h->drain_until = tmr_now(h->tmr) + HUB_DRAIN_MS;
+	h->drain_until_ms = tmr_now(h->tmr) + HUB_DRAIN_TIMEOUT_MS;
 	rep_hand_over(h->rep);
 }
 
-/* Whether the loop ended because the data folder failed. */
+/* Whether the event loop ended because the data folder failed. */
 bool hub_failed(const struct hub *h)
 {
 	return rep_failed(h->rep);
 }
 
-/* Other seeds, from changed settings. */
+/* Sets the seeds, after the settings have changed. */
 void hub_set_seeds(struct hub *h, char **seeds)
 {
 	rep_set_seeds(h->rep, seeds);
 }
 
-/* Another service for advice, from changed settings; NULL: none. */
+/*
+ * Sets the address of the advice service, after the settings have changed;
+ * NULL: no service.
+ */
 void hub_set_advice(struct hub *h, const char *addr)
 {
 	adv_line_set_addr(h->advice, addr);
 	if (h->leading)
-		hub_plan_all(h);
+		hub_mark_all_pools(h);
 }
 
-/* Whether we lead and hold all that was accepted before. */
+/* Whether this replica leads and has applied all entries accepted before. */
 bool hub_leads(const struct hub *h)
 {
 	return h->leading;
 }
 
-/* Where operators and workers reach the leader, to be freed; NULL: not known. */
+/*
+ * Returns the leader's control address, to be freed by the caller; NULL: not
+ * known, or this replica.
+ */
 char *hub_leader_control(const struct hub *h)
 {
 	char *addr = rep_leader_addr(h->rep);
 	char *out = NULL;
 
 	if (addr && strcmp(addr, h->config.wire) != 0)
-		out = hub_control_of(h, addr);
+		out = hub_control_addr(h, addr);
 	g_free(addr);
 	return out;
 }
 
 /*
- * Where a worker should report next, to be freed. A leader names another
- * replica, which knows the worker just as well: thousands of reports that say
- * nothing new would else take much of the leader's time.
+ * Returns the address for a worker's next report, to be freed by the caller.
+ * The leader names another replica, whose table has the worker as well:
+ * thousands of reports without changes would otherwise take much of the
+ * leader's time.
  */
 char *hub_reports_to(const struct hub *h, const char *worker)
 {
-	guint n = h->others->len;
+	guint n = h->peers->len;
 	char *addr = NULL;
 
 	if (h->leading && n)
-		addr = hub_control_of(
-			h,
-			g_ptr_array_index(h->others, g_str_hash(worker) % n));
+		addr = hub_control_addr(
+			h, g_ptr_array_index(h->peers, g_str_hash(worker) % n));
 	return addr ? addr : g_strdup(h->config.control);
 }
 
 /*
- * Where a replica takes calls, by its address for own processes, to be freed;
- * NULL: that is no address. Ports are the same on all VMs.
+ * Returns a replica's control address, to be freed by the caller, from its
+ * address for own processes; NULL: not an address. Ports are the same on all
+ * VMs.
  */
-static char *hub_control_of(const struct hub *h, const char *wire)
+static char *hub_control_addr(const struct hub *h, const char *wire)
 {
 	const char *colon = strrchr(wire, ':');
 
@@ -223,13 +233,13 @@
 			       strrchr(h->config.control, ':'));
 }
 
-/* The job table. */
+/* Returns the job table. */
 const struct jtb *hub_jobs(const struct hub *h)
 {
 	return h->jtb;
 }
 
-/* Opens the control address and that of metrics. */
+/* Opens the control address and, if configured, the metrics address. */
 static bool hub_open_http(struct hub *h, GError **err)
 {
 	struct srv_config c = {
@@ -238,7 +248,7 @@
 		.addr = h->config.control,
 		.max_body = (uint64_t)h->config.body_max,
 		.max_bytes = (uint64_t)h->config.bodies_max,
-		.slow_ms = HUB_SLOW_MS,
+		.slow_ms = HUB_STALL_TIMEOUT_MS,
 		.max_conns = h->config.descriptors->share[FDB_CALLERS],
 	};
 
@@ -251,7 +261,7 @@
 	return h->metrics != NULL;
 }
 
-/* A command that was agreed on: the table carries it out. */
+/* Applies a committed command to the table. */
 static void hub_apply(void *arg, uint64_t index, struct lstr cmd)
 {
 	struct hub *h = arg;
@@ -265,17 +275,17 @@
 	cpu_leave(before);
 }
 
-/* The table is read from a snapshot. */
+/* Loads the table from a snapshot. */
 static bool hub_restore(void *arg, struct lstr snap)
 {
 	struct hub *h = arg;
 
-	/* sessions hang on the workers that are about to be replaced */
+	/* Sessions point to the workers that the snapshot replaces. */
 	wkr_rest(h->wkr);
 	return jtb_restore(h->jtb, snap);
 }
 
-/* The table is written into a snapshot. */
+/* Writes the table into a snapshot. */
 static void hub_snapshot(void *arg, struct pk_out *o)
 {
 	struct hub *h = arg;
@@ -283,26 +293,29 @@
 	jtb_snapshot(h->jtb, o);
 }
 
-/* This replica begins or ends to lead. */
-static void hub_lead(void *arg, bool leading, uint64_t term)
+/* This replica became leader, or lost leadership. */
+static void hub_on_lead(void *arg, bool leading, uint64_t term)
 {
 	struct hub *h = arg;
 
 	if (leading) {
 		hub_plan_lead(h, term);
 	} else {
-		hub_plan_rest(h);
-		hub_log_drop(h);
+		hub_plan_step_down(h);
+		hub_log_abort(h);
 	}
 }
 
-/* A read may be answered from the table. */
+/* A read may be answered from the table, or leadership was lost. */
 static void hub_read_done(void *arg, uint64_t tag, bool ok)
 {
-	hub_log_read(arg, tag, ok);
+	hub_log_read_done(arg, tag, ok);
 }
 
-/* A call that an entry daemon passes on. */
+/*
+ * Handles a message: a call relayed by an entry daemon, or a relayed call to a
+ * worker.
+ */
 static void hub_message(void *arg, struct wire_conn *conn, uint64_t kind,
 			struct pk_in *in)
 {
@@ -316,7 +329,7 @@
 		return;
 	}
 	if (kind == PROTO_CARRY) {
-		rly_carry_calls(h->carry, conn, rep_term(h->rep), in);
+		rly_carry_calls(h->relay_server, conn, rep_term(h->rep), in);
 		return;
 	}
 	if (kind != PROTO_CALL)
@@ -331,25 +344,27 @@
 	body = pk_get_str(in);
 	c->body = g_bytes_new(body.p, body.len);
 	if (!pk_in_ok(in))
-		hub_call_gone(c);
+		hub_call_disconnect(c);
 	else if (!h->leading)
-		/* the entry daemon learns who leads on the same connection */
+		/* The entry daemon learns on the same connection who leads. */
 		hub_status(h, c, 421);
 	else
 		h->config.face->call(h, c);
 	cpu_leave(before);
 }
 
-/* An entry daemon's connection ended, with the calls it waited for. */
-static void hub_wire_gone(void *arg, struct wire_conn *conn)
+/*
+ * A connection of an own process was closed: ends the calls that it waited for.
+ */
+static void hub_on_wire_closed(void *arg, struct wire_conn *conn)
 {
 	struct hub *h = arg;
 
-	hub_conn_gone(h, conn);
-	rly_carry_gone(h->carry, conn);
+	hub_conn_closed(h, conn);
+	rly_carry_gone(h->relay_server, conn);
 }
 
-/* A request at the control address. */
+/* Handles a request at the control address. */
 static void hub_on_request(void *arg, struct srv_req *r)
 {
 	struct hub *h = arg;
@@ -368,13 +383,13 @@
 	cpu_leave(before);
 }
 
-/* Who sent a request at the control address left. */
-static void hub_on_gone(void *arg, struct srv_req *r)
+/* The client of a request at the control address disconnected. */
+static void hub_on_disconnect(void *arg, struct srv_req *r)
 {
 	struct hub_call *c = srv_user(r);
 
 	if (c)
-		hub_call_gone(c);
+		hub_call_disconnect(c);
 }
 
 /* Answers with the metrics. */
@@ -386,29 +401,29 @@
 				  (char *)"text/plain; version=0.0.4"};
 	struct evbuffer *body = evbuffer_new();
 
-	hub_tell_metrics(h, text);
+	hub_write_metrics(h, text);
 	evbuffer_add(body, text->str, text->len);
 	srv_reply(r, 200, &type, 1, body);
 	evbuffer_free(body);
 	g_string_free(text, TRUE);
 }
 
-/* For answers that are whole before anybody can leave. */
-static void hub_no_gone(void *arg, struct srv_req *r)
+/* Required by srv_ops; metrics are answered before a client can disconnect. */
+static void hub_on_metrics_disconnect(void *arg, struct srv_req *r)
 {
-	/* metrics are answered at once */
+	/* nothing to release */
 }
 
-/* What is looked after from time to time. */
+/* Periodic work of every replica. */
 static void hub_tick(void *arg, int64_t now)
 {
 	struct hub *h = arg;
 
-	hub_carry_tick(h);
+	hub_relay_tick(h);
 	hub_plan_tick(h, now);
-	if (!h->drain_until)
+	if (!h->drain_until_ms)
 		return;
-	if (!h->leading || now >= h->drain_until) {
+	if (!h->leading || now >= h->drain_until_ms) {
 		msg(MSG_STOP, "node=%s", h->config.node);
 		event_base_loopbreak(h->config.base);
 	} else {
--- a/src/hub.h
+++ b/src/hub.h
@@ -1,6 +1,8 @@
 #ifndef HUB_H
 #define HUB_H
 
+/* The hub is the control daemon of a fleet that runs jobs. */
+
 #include <event2/event.h>
 #include <glib.h>
 #include <stdbool.h>
@@ -14,59 +16,64 @@
 #include "wkr.h"
 
 /*
- * The control daemon of a fleet that runs jobs: a replica of the job table,
- * and, on the one that leads, all decisions. Whose words callers, workers and
- * operators use is the business of a face (struct hub_face).
+ * Each replica holds the job table; only the leading replica decides. The
+ * protocol layer (struct hub_face) translates the messages of callers, workers
+ * and operators.
  */
 struct hub;
 struct hub_call;
 
-/* Where a call came in. */
+/* How a call reached the daemon. */
 enum hub_door {
-	HUB_CALLERS, /* passed on by an entry daemon */
-	HUB_CONTROL, /* operators and workers, to us */
+	HUB_CALLERS, /* relayed by an entry daemon */
+	HUB_CONTROL, /* sent by an operator or worker to the control address */
 };
 
+/* An answer to a call. */
 struct hub_answer {
 	int status;
-	int retry_after_s; /* 0: not told */
-	const char *type; /* of body */
+	int retry_after_s; /* 0: no Retry-After header */
+	const char *type; /* media type of body */
 	struct lstr body;
-	const char *location; /* another replica to ask; or NULL */
+	const char *location; /* URL at another replica; or NULL */
 };
 
-/* Goes on with a call once the log has answered. */
-typedef void (*hub_then)(struct hub *h, struct hub_call *c);
+/* Resumes a call once the log has stored its entry or confirmed its read. */
+typedef void (*hub_resume_fn)(struct hub *h, struct hub_call *c);
 
+/* How the protocol layer is called, and its encodings. */
 struct hub_face {
-	/* on any replica; the answer may be given later */
+	/* takes a call on any replica; may answer later */
 	void (*call)(struct hub *h, struct hub_call *c);
 	const struct wkr_codec *codec;
 	const struct vms_codec *vm_codec;
 	const struct adv_codec *advice_codec;
 };
 
+/* What a control daemon is started with, from its settings. */
 struct hub_config {
 	struct event_base *base;
 	const struct keyring *keys;
 	const struct hub_face *face;
 	char *node;
 	char *zone;
-	char *wire; /* IP:PORT for own processes */
+	char *wire; /* IP:PORT for the fleet's own processes */
 	char *control; /* IP:PORT for operators and workers */
 	char *metrics; /* IP:PORT; or NULL */
-	char *vms; /* IP:PORT of the service that switches VMs; or NULL */
-	char *advice; /* IP:PORT of the service that gives it; or NULL */
+	char *vms; /* IP:PORT of the service that manages VMs; or NULL */
+	char *advice; /* IP:PORT of the advice service; or NULL */
 	char *data;
 	char **seeds; /* IP:PORT, as wire */
 	bool bootstrap;
 	long long voters_min;
-	long long hold_max_ms; /* longest lease workers take */
-	long long vm_lease_ms; /* between orders of two leaders for a VM */
-	long long carry_from; /* workers; other replicas call them then */
-	long long keep_ms; /* an ended job is told of for so long */
+	long long hold_max_ms; /* longest lease that workers accept */
+	/* least time between orders of two leaders to the same VM */
+	long long vm_lease_ms;
+	/* number of workers from which other replicas relay calls to them */
+	long long carry_from;
+	long long keep_ms; /* how long an ended job can be queried */
 	long long body_max; /* bytes */
-	long long bodies_max; /* bytes of all at once; 0: no bound */
+	long long bodies_max; /* bytes of all bodies together; 0: no limit */
 	const struct fdb *descriptors;
 };
 
@@ -77,7 +84,7 @@
 void hub_set_seeds(struct hub *h, char **seeds);
 void hub_set_advice(struct hub *h, const char *addr);
 
-/* For faces. */
+/* Used by the protocol layer. */
 enum hub_door hub_door(const struct hub_call *c);
 const char *hub_method(const struct hub_call *c);
 const char *hub_host(const struct hub_call *c);
@@ -93,17 +100,17 @@
 const struct jtb *hub_jobs(const struct hub *h);
 int64_t hub_wall_ms(void);
 struct pk_out *hub_put(struct hub *h);
-void hub_commit(struct hub *h, struct hub_call *c, hub_then then);
-void hub_read(struct hub *h, struct hub_call *c, hub_then then);
+void hub_commit(struct hub *h, struct hub_call *c, hub_resume_fn resume);
+void hub_read(struct hub *h, struct hub_call *c, hub_resume_fn resume);
 void hub_submit(struct hub *h, struct hub_call *c, const struct jtb_spec *spec,
-		hub_then then);
+		hub_resume_fn resume);
 void hub_cancel(struct hub *h, struct hub_call *c, const char *id,
-		hub_then then);
+		hub_resume_fn resume);
 void hub_told_worker(struct hub *h, struct hub_call *c,
 		     const struct jtb_worker_info *info, uint64_t sequence,
-		     int64_t clock_ms, hub_then then);
+		     int64_t clock_ms, hub_resume_fn resume);
 bool hub_knows_worker(struct hub *h, const struct jtb_worker_info *info);
 void hub_told_leave(struct hub *h, struct hub_call *c, const char *id,
-		    hub_then then);
+		    hub_resume_fn resume);
 
 #endif
--- a/src/hub_call.c
+++ b/src/hub_call.c
@@ -5,24 +5,27 @@
 static void hub_answer_wire(struct hub_call *c, const struct hub_answer *a);
 static void hub_answer_http(struct hub_call *c, const struct hub_answer *a);
 
-/* A call that nobody has answered yet; held once, by its origin. */
+/*
+ * Returns a new open call with one reference, released when the call is
+ * answered or its client disconnects.
+ */
 struct hub_call *hub_call_new(struct hub *h, enum hub_door door)
 {
 	struct hub_call *c = g_new0(struct hub_call, 1);
 
 	c->h = h;
 	c->door = door;
-	c->holds = 1;
-	c->came_ms = tmr_now(h->tmr);
+	c->refs = 1;
+	c->arrived_ms = tmr_now(h->tmr);
 	g_hash_table_add(h->calls, c);
 	h->counts[HUB_CALLS]++;
 	return c;
 }
 
-/* Lets go of a call; the last to do it frees it. */
+/* Releases a reference to a call, and frees the call with the last one. */
 void hub_call_unref(struct hub_call *c)
 {
-	if (--c->holds > 0)
+	if (--c->refs > 0)
 		return;
 	g_hash_table_remove(c->h->calls, c);
 	if (c->body)
@@ -34,8 +37,8 @@
 	g_free(c);
 }
 
-/* Whoever called has left. */
-void hub_call_gone(struct hub_call *c)
+/* Marks a call's client as disconnected. */
+void hub_call_disconnect(struct hub_call *c)
 {
 	c->conn = NULL;
 	c->req = NULL;
@@ -45,8 +48,8 @@
 	hub_call_unref(c);
 }
 
-/* An entry daemon's connection is gone, and its calls with it. */
-void hub_conn_gone(struct hub *h, const struct wire_conn *conn)
+/* An entry daemon's connection was closed: disconnects its calls. */
+void hub_conn_closed(struct hub *h, const struct wire_conn *conn)
 {
 	GList *all = g_hash_table_get_keys(h->calls);
 	GList *i;
@@ -55,36 +58,36 @@
 		struct hub_call *c = i->data;
 
 		if (c->conn == conn)
-			hub_call_gone(c);
+			hub_call_disconnect(c);
 	}
 	g_list_free(all);
 }
 
-/* Where a call came in. */
+/* Returns how a call reached the daemon. */
 enum hub_door hub_door(const struct hub_call *c)
 {
 	return c->door;
 }
 
-/* Its HTTP method. */
+/* Returns the HTTP method of a call. */
 const char *hub_method(const struct hub_call *c)
 {
 	return c->method;
 }
 
-/* The host it was sent to, without a port. */
+/* Returns the host of a call, without a port. */
 const char *hub_host(const struct hub_call *c)
 {
 	return c->host;
 }
 
-/* Its path, raw, without a query. */
+/* Returns the raw path of a call, without its query. */
 const char *hub_path(const struct hub_call *c)
 {
 	return c->path;
 }
 
-/* Its body; lives as long as the call. */
+/* Returns the body of a call, valid as long as the call. */
 struct lstr hub_body(const struct hub_call *c)
 {
 	gsize len = 0;
@@ -93,25 +96,25 @@
 	return lstr_n(p ? p : "", len);
 }
 
-/* Hangs something on a call, freed with it by g_free. */
+/* Attaches data to a call; g_free frees the data with the call. */
 void hub_set_user(struct hub_call *c, void *user)
 {
 	c->user = user;
 }
 
-/* What hangs on a call. */
+/* Returns the data attached to a call. */
 void *hub_user(const struct hub_call *c)
 {
 	return c->user;
 }
 
-/* Answers a call; only the first answer counts. */
+/* Answers a call; later answers to the same call are ignored. */
 void hub_answer(struct hub *h, struct hub_call *c, const struct hub_answer *a)
 {
 	if (c->answered)
 		return;
 	c->answered = true;
-	hub_time(h, HUB_ANSWER, tmr_now(h->tmr) - c->came_ms);
+	hub_record_time(h, HUB_ANSWER, tmr_now(h->tmr) - c->arrived_ms);
 	if (c->conn)
 		hub_answer_wire(c, a);
 	else if (c->req)
@@ -119,13 +122,13 @@
 	hub_call_unref(c);
 }
 
-/* Answers a call without a body. */
+/* Answers a call with a status and no body. */
 void hub_status(struct hub *h, struct hub_call *c, int status)
 {
 	hub_answer(h, c, &(struct hub_answer){.status = status});
 }
 
-/* Sends an answer to the entry daemon that asked. */
+/* Sends an answer to the entry daemon that relayed the call. */
 static void hub_answer_wire(struct hub_call *c, const struct hub_answer *a)
 {
 	struct pk_out o;
@@ -142,7 +145,7 @@
 	pk_out_done(&o);
 }
 
-/* Sends an answer to who asked at the control address. */
+/* Sends an answer to the client at the control address. */
 static void hub_answer_http(struct hub_call *c, const struct hub_answer *a)
 {
 	struct ups_header h[3];
--- a/src/hub_held.c
+++ b/src/hub_held.c
@@ -4,39 +4,44 @@
 
 #include "msg.h"
 
-/* How often all that is owed is looked at, ms. */
-#define HUB_HELD_MS 1000
+/* Interval between scans of all pending tasks, ms. */
+#define HUB_PENDING_INTERVAL_MS 1000
 
-static enum hld_reason hub_held_bar(void *arg, const struct jtb_worker *w);
-static enum hld_reason hub_held_run(void *arg, const struct jtb_run *run);
-static void hub_held_tell(void *arg, const struct jtb_job *job,
-			  const struct jtb_name *n, enum hld_reason why,
-			  int64_t why_ms, int64_t owed_ms);
+static enum hld_reason hub_pending_worker_reason(void *arg,
+						 const struct jtb_worker *w);
+static enum hld_reason hub_pending_run_reason(void *arg,
+					      const struct jtb_run *run);
+static void hub_pending_log(void *arg, const struct jtb_job *job,
+			    const struct jtb_name *n, enum hld_reason why,
+			    int64_t why_ms, int64_t owed_ms);
 
-/* We lead: what an earlier leader saw of waits isn't known. */
-void hub_held_lead(struct hub *h)
+/*
+ * Becomes leader: how long tasks have been pending under earlier leaders is not
+ * known.
+ */
+void hub_pending_reset(struct hub *h)
 {
 	hld_forget(h->jtb);
-	h->held = (struct hld_sum){0};
-	h->held_ms = tmr_now(h->tmr);
+	h->pending = (struct hld_sum){0};
+	h->pending_checked_ms = tmr_now(h->tmr);
 }
 
-/* Looks from time to time at what is owed and doesn't run. */
-void hub_held_tick(struct hub *h, int64_t now)
+/* Scans from time to time for tasks that are due and not running. */
+void hub_pending_tick(struct hub *h, int64_t now)
 {
 	GHashTable *closed;
 	enum cpu_kind before;
 	struct sch_view plan;
 	struct hld_view v = {
 		.sch = &plan,
-		.bar = hub_held_bar,
-		.run = hub_held_run,
+		.bar = hub_pending_worker_reason,
+		.run = hub_pending_run_reason,
 	};
 
-	if (now - h->held_ms < HUB_HELD_MS)
+	if (now - h->pending_checked_ms < HUB_PENDING_INTERVAL_MS)
 		return;
 	before = cpu_enter(CPU_UPKEEP);
-	h->held_ms = now;
+	h->pending_checked_ms = now;
 	closed = g_hash_table_new(g_str_hash, g_str_equal);
 	v.moving = g_hash_table_new(g_str_hash, g_str_equal);
 	v.upkeep = g_hash_table_new(g_str_hash, g_str_equal);
@@ -44,18 +49,22 @@
 	flo_closed(h->flo, v.moving);
 	upk_closed(h->upk, closed);
 	flo_closed(h->flo, closed);
-	hub_view(h, closed, &plan);
-	hld_look(&v, &h->held, hub_held_tell, h);
+	hub_init_sch_view(h, closed, &plan);
+	hld_look(&v, &h->pending, hub_pending_log, h);
 	g_hash_table_destroy(closed);
 	g_hash_table_destroy(v.moving);
 	g_hash_table_destroy(v.upkeep);
 	cpu_leave(before);
 }
 
-/* Why a worker may not be given work, but for being emptied. */
-static enum hld_reason hub_held_bar(void *arg, const struct jtb_worker *w)
+/*
+ * Returns why a worker may not be given work; a drain for upkeep or a move is
+ * not reported here.
+ */
+static enum hld_reason hub_pending_worker_reason(void *arg,
+						 const struct jtb_worker *w)
 {
-	static const enum hld_reason bars[] = {
+	static const enum hld_reason reasons[] = {
 		[WKR_FREE] = HLD_NONE,
 		[WKR_DRAINS] = HLD_DRAINING,
 		[WKR_UNHEARD] = HLD_UNREACHED,
@@ -63,19 +72,23 @@
 	};
 	const struct hub *h = arg;
 
-	return bars[wkr_bar(h->wkr, w)];
+	return reasons[wkr_bar(h->wkr, w)];
 }
 
-/* How a run stands: a task that has one may be owed all the same. */
-static enum hld_reason hub_held_run(void *arg, const struct jtb_run *run)
+/*
+ * Returns the state of a run: a task that has a run may be pending all the
+ * same.
+ */
+static enum hld_reason hub_pending_run_reason(void *arg,
+					      const struct jtb_run *run)
 {
-	static const enum hld_reason phases[] = {
+	static const enum hld_reason reasons[] = {
 		[WKR_NEW] = HLD_ORDERED,    [WKR_SENT] = HLD_ORDERED,
 		[WKR_ON] = HLD_RUNS,	    [WKR_OVER] = HLD_ENDING,
 		[WKR_DROPPED] = HLD_ENDING,
 	};
 	const struct hub *h = arg;
-	enum hld_reason why = phases[run->phase];
+	enum hld_reason why = reasons[run->phase];
 
 	if (why == HLD_ENDING)
 		return why;
@@ -85,12 +98,12 @@
 }
 
 /*
- * Tells what holds something back: of work that lasts always, as each moment
- * without it is lost, of the rest as much as the log takes.
+ * Logs what keeps a task from running. A long-running task is always logged, as
+ * all time that it does not run is lost; others are sampled.
  */
-static void hub_held_tell(void *arg, const struct jtb_job *job,
-			  const struct jtb_name *n, enum hld_reason why,
-			  int64_t why_ms, int64_t owed_ms)
+static void hub_pending_log(void *arg, const struct jtb_job *job,
+			    const struct jtb_name *n, enum hld_reason why,
+			    int64_t why_ms, int64_t owed_ms)
 {
 	const struct hub *h = arg;
 	const char *pool = jtb_pool_of(h->jtb, job);
--- a/src/hub_int.h
+++ b/src/hub_int.h
@@ -1,6 +1,8 @@
 #ifndef HUB_INT_H
 #define HUB_INT_H
 
+/* Declarations shared by the files of the control daemon. */
+
 #include "adv.h"
 #include "cnt.h"
 #include "cpu.h"
@@ -19,43 +21,45 @@
 #include "vms.h"
 
 /*
- * Files of the control daemon, each using only those before it: hub_call
- * (calls and their answers), hub_log (commands and reads on their way),
- * hub_carry (which replica makes calls to workers),
- * hub_lost (workers that crash), hub_plan (what runs, on the leader), hub_held (why something doesn't), hub_vm
- * (upkeep of VMs), hub_take (what faces ask for), hub_tell (metrics), hub (the
- * daemon itself).
+ * The files of the control daemon. Each file calls only the files before it:
+ * hub_call (calls and their answers), hub_log (commands and reads in progress
+ * in the log), hub_carry (which replica sends the calls to a worker), hub_lost
+ * (workers that crash), hub_plan (what the leader runs), hub_held (why a
+ * pending task does not run), hub_vm (upkeep of VMs), hub_take (requests that
+ * the protocol layer passes on), hub_tell (metrics), hub (start, stop and
+ * network input of the daemon).
  */
 
+/* A call of a caller, worker or operator, and its answer. */
 struct hub_call {
 	struct hub *h;
 	enum hub_door door;
-	struct wire_conn *conn; /* callers; NULL: its connection is gone */
-	uint64_t no; /* callers: of the call on its connection */
-	struct srv_req *req; /* control; NULL: the caller has left */
+	struct wire_conn *conn; /* of an entry daemon; NULL: disconnected */
+	uint64_t no; /* number of the call on its connection */
+	struct srv_req *req; /* at the control address; NULL: disconnected */
 	char *method;
 	char *host;
 	char *path;
 	GBytes *body;
-	void *user; /* freed with it */
+	void *user; /* freed with the call */
 	bool answered;
-	int holds; /* commands and reads that wait with it */
-	int64_t came_ms;
+	int refs; /* one until answered, one per waiting command or read */
+	int64_t arrived_ms;
 };
 
-/* A call that waits for the log. */
-struct hub_wait {
+/* A call that waits for an entry or a read of the log. */
+struct hub_waiter {
 	struct hub_call *c;
-	hub_then then;
+	hub_resume_fn resume;
 };
 
-/* A batch or a read on its way through the log. */
-struct hub_flight {
-	GArray *waits; /* struct hub_wait */
-	int64_t since_ms;
+/* A batch or a read in progress in the log. */
+struct hub_inflight {
+	GArray *waiters; /* struct hub_waiter */
+	int64_t started_ms;
 };
 
-/* What /metrics counts. */
+/* Counters in /metrics. */
 enum hub_count {
 	HUB_CALLS,
 	HUB_JOBS,
@@ -76,20 +80,20 @@
 	HUB_UNADVISED,
 	HUB_REPORTS,
 	HUB_CRASHES,
-	HUB_GIVEN_UP,
+	HUB_CRASHING_JOBS,
 	HUB_LATE_ENDS,
 	HUB_COUNTS
 };
 
-/* Whose times /metrics shows. */
-enum hub_time {
-	HUB_ANSWER, /* a call's, until its answer */
-	HUB_FIRST_START, /* a job's, until its first run is ordered */
-	HUB_COMPLETED, /* a completed job's, until its end is stored */
-	HUB_LATE, /* what a completed job took beyond its objective */
-	HUB_RUN, /* from an order to the end of a run that is done */
-	HUB_COMMIT, /* of a batch, until it is stored by a majority */
-	HUB_READ, /* until a majority has confirmed that we lead */
+/* Durations in /metrics. */
+enum hub_duration {
+	HUB_ANSWER, /* from a call to its answer */
+	HUB_FIRST_START, /* from a job's acceptance to its first order */
+	HUB_COMPLETED, /* from a completed job's acceptance to its stored end */
+	HUB_OVERRUN, /* a completed job's time beyond its objective */
+	HUB_RUN, /* from the order to the end of a completed run */
+	HUB_COMMIT, /* of a batch, until a majority has stored it */
+	HUB_READ, /* until a majority has confirmed leadership */
 	HUB_TIMES
 };
 
@@ -101,47 +105,49 @@
 	struct srv *metrics;
 	struct jtb *jtb;
 	struct wkr *wkr;
-	struct rly *rly; /* calls that other replicas make for us, */
-	struct rly_carry *carry; /* and that we make for a leader */
-	GPtrArray *others; /* addresses of the voters that are reached, */
-	GPtrArray *carriers; /* and of those that can make calls; others' */
-	struct vms *vms; /* NULL: nobody switches VMs */
+	struct rly *rly; /* calls that other replicas make for this leader */
+	struct rly_carry *relay_server; /* calls made here for the leader */
+	GPtrArray *peers; /* addresses of the reachable voters */
+	GPtrArray *relays; /* those of peers that can relay calls; borrowed */
+	struct vms *vms; /* unused if config.vms is NULL */
 	struct adv *adv;
 	struct adv_line *advice;
 	struct upk *upk;
 	struct flo *flo;
-	int64_t told_ms; /* when pools were logged last */
-	int64_t work_told_ms; /* when the work by kind was, */
-	uint64_t work_told_us[CPU_KINDS]; /* and how much of each then */
-	int64_t forgot_ms; /* when ended jobs were last looked through */
-	int64_t vm_from; /* no orders to VMs before */
-	uint64_t vm_timer; /* looks at them then */
-	int64_t rested_ms; /* when leadership was last lost; 0: never */
-	GHashTable *calls; /* struct hub_call, all */
-	/* the log */
-	struct pk_out batch; /* commands not proposed yet, one after another */
+	int64_t pools_logged_ms; /* when the pools were last logged */
+	/* when the time per kind of work was last logged, and those times */
+	int64_t work_logged_ms;
+	uint64_t work_logged_us[CPU_KINDS];
+	int64_t forget_checked_ms; /* when ended jobs were last checked */
+	int64_t vm_orders_from_ms; /* earliest time of an order to a VM */
+	uint64_t vm_timer; /* plans VM orders at vm_orders_from_ms */
+	int64_t lead_lost_ms; /* when leadership was last lost; 0: never */
+	GHashTable *calls; /* all open calls, struct hub_call */
+	/* The log. */
+	struct pk_out batch; /* packed commands that are not proposed yet */
 	uint32_t batch_n;
-	GArray *batch_waits; /* struct hub_wait */
-	GHashTable *flights; /* log index: struct hub_flight */
-	GArray *read_waits; /* struct hub_wait, for the next read */
-	GHashTable *reads; /* tag: struct hub_flight */
-	uint64_t next_tag;
+	GArray *batch_waiters; /* struct hub_waiter */
+	GHashTable *proposals; /* log index: struct hub_inflight */
+	GArray *read_waiters; /* struct hub_waiter, for the next read */
+	GHashTable *reads; /* tag: struct hub_inflight */
+	uint64_t next_read_tag;
 	uint64_t flush_timer;
-	struct gcm gcm; /* when the next batch goes */
-	/* planning */
+	struct gcm gcm; /* delay until the next batch */
+	/* Planning. */
 	bool leading;
-	GHashTable *heard; /* worker's id: number of its newest word */
-	int64_t led_ms; /* when we last began to lead */
-	struct est *est; /* how long tasks take */
-	struct crs *crs; /* what workers crashed under */
-	GHashTable *dirty; /* pools to be planned */
-	struct hld_sum held; /* what is owed and doesn't run */
-	int64_t held_ms; /* when that was last looked at */
-	bool looks; /* the next plan is of all pools: it may be looked at */
-	struct lod_plan planned; /* when the next plan is made */
+	/* worker's id: sequence number of its newest report */
+	GHashTable *report_seqs;
+	int64_t lead_since_ms; /* when this replica last became leader */
+	struct est *est; /* estimates of run times */
+	struct crs *crs; /* tasks that workers crashed under */
+	GHashTable *dirty_pools; /* pools to plan */
+	struct hld_sum pending; /* tasks that are due and not running */
+	int64_t pending_checked_ms; /* when pending was last computed */
+	bool pending_due; /* the next plan, of all pools, updates pending */
+	struct lod_plan plan_load; /* delay until the next plan */
 	uint64_t plan_timer;
-	uint64_t tick;
-	int64_t drain_until;
+	uint64_t tick_timer;
+	int64_t drain_until_ms;
 	uint64_t counts[HUB_COUNTS];
 	struct cnt_times times[HUB_TIMES];
 };
@@ -149,50 +155,52 @@
 /* hub_call */
 struct hub_call *hub_call_new(struct hub *h, enum hub_door door);
 void hub_call_unref(struct hub_call *c);
-void hub_call_gone(struct hub_call *c);
-void hub_conn_gone(struct hub *h, const struct wire_conn *conn);
+void hub_call_disconnect(struct hub_call *c);
+void hub_conn_closed(struct hub *h, const struct wire_conn *conn);
 /* hub_log */
 void hub_log_init(struct hub *h);
 void hub_log_free(struct hub *h);
 void hub_log_applied(struct hub *h, uint64_t index);
-void hub_log_read(struct hub *h, uint64_t tag, bool ok);
-void hub_log_drop(struct hub *h);
+void hub_log_read_done(struct hub *h, uint64_t tag, bool ok);
+void hub_log_abort(struct hub *h);
 /* hub_carry */
-void hub_carry_init(struct hub *h);
-void hub_carry_free(struct hub *h);
-void hub_carry_lead(struct hub *h, uint64_t term);
-void hub_carry_tick(struct hub *h);
-const char *hub_carrier(void *arg, const struct jtb_worker *w, uint32_t turn);
+void hub_relay_init(struct hub *h);
+void hub_relay_free(struct hub *h);
+void hub_relay_lead(struct hub *h, uint64_t term);
+void hub_relay_tick(struct hub *h);
+const char *hub_relay_addr(void *arg, const struct jtb_worker *w,
+			   uint32_t turn);
 /* hub_plan */
 extern const struct jtb_watch hub_watch;
 extern const struct wkr_ops hub_wkr_ops;
 extern const struct adv_ops hub_adv_ops;
-int64_t hub_sure(void *arg);
+int64_t hub_lead_confirmed_ms(void *arg);
 void hub_plan_lead(struct hub *h, uint64_t term);
-void hub_plan_rest(struct hub *h);
+void hub_plan_step_down(struct hub *h);
 void hub_plan_tick(struct hub *h, int64_t now);
-void hub_plan_all(struct hub *h);
-void hub_view(struct hub *h, GHashTable *closed, struct sch_view *v);
-void hub_stop(void *arg, struct jtb_run *run, const char *why);
+void hub_mark_all_pools(struct hub *h);
+void hub_init_sch_view(struct hub *h, GHashTable *closed, struct sch_view *v);
+void hub_stop_run(void *arg, struct jtb_run *run, const char *why);
 /* hub_lost */
 extern const struct crs_ops hub_crs_ops;
-void hub_worker_lost(struct hub *h, struct jtb_worker *w, const struct evd *e);
-void hub_worker_leaves(struct hub *h, struct jtb_worker *w);
-void hub_worker_left(struct hub *h, struct jtb_worker *w, enum evd_why why,
-		     int64_t as_of_ms);
-struct evd_moment hub_moment(const struct hub *h);
+void hub_remove_lost_worker(struct hub *h, struct jtb_worker *w,
+			    const struct evd *e);
+void hub_record_leave(struct hub *h, struct jtb_worker *w);
+void hub_remove_left_worker(struct hub *h, struct jtb_worker *w,
+			    enum evd_why why, int64_t as_of_ms);
+struct evd_moment hub_evd_moment(const struct hub *h);
 /* hub_held */
-void hub_held_lead(struct hub *h);
-void hub_held_tick(struct hub *h, int64_t now);
+void hub_pending_reset(struct hub *h);
+void hub_pending_tick(struct hub *h, int64_t now);
 /* hub_vm */
 void hub_vm_init(struct hub *h);
 void hub_vm_free(struct hub *h);
 void hub_vm_lead(struct hub *h, uint64_t term);
-void hub_vm_rest(struct hub *h);
+void hub_vm_step_down(struct hub *h);
 void hub_vm_tick(struct hub *h, int64_t now);
 /* hub_tell */
-void hub_time(struct hub *h, enum hub_time what, int64_t ms);
-void hub_tell_metrics(const struct hub *h, GString *out);
-void hub_tell_work(struct hub *h, int64_t now);
+void hub_record_time(struct hub *h, enum hub_duration what, int64_t ms);
+void hub_write_metrics(const struct hub *h, GString *out);
+void hub_log_work(struct hub *h, int64_t now);
 
 #endif
--- a/src/hub_log.c
+++ b/src/hub_log.c
@@ -2,42 +2,43 @@
 
 #include <time.h>
 
-/* Bytes of a batch that goes at once. */
-#define HUB_BATCH_MAX (256u << 10)
-
-static void hub_flush_soon(struct hub *h);
-static void hub_flush_timer(void *arg, int64_t now);
-static void hub_flush(struct hub *h);
-static void hub_flush_reads(struct hub *h);
-static void hub_go_on(struct hub *h, GArray *waits, bool ok);
-static GArray *hub_waits_new(void);
-static struct hub_flight *hub_flight_new(const struct hub *h, GArray *waits);
-static void hub_flight_free(struct hub_flight *f);
-
-/* Begins without commands. */
+/* Size at which a batch is proposed without delay, bytes. */
+#define HUB_BATCH_FLUSH_BYTES (256u << 10)
+
+static void hub_schedule_flush(struct hub *h);
+static void hub_on_flush_timer(void *arg, int64_t now);
+static void hub_propose_batch(struct hub *h);
+static void hub_start_read(struct hub *h);
+static void hub_resume_waiters(struct hub *h, GArray *waiters, bool ok);
+static GArray *hub_waiters_new(void);
+static struct hub_inflight *hub_inflight_new(const struct hub *h,
+					     GArray *waiters);
+static void hub_inflight_free(struct hub_inflight *f);
+
+/* Initialises the batch and the reads, with no commands. */
 void hub_log_init(struct hub *h)
 {
 	pk_out_init(&h->batch);
-	h->batch_waits = hub_waits_new();
-	h->read_waits = hub_waits_new();
-	h->flights = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					   NULL);
+	h->batch_waiters = hub_waiters_new();
+	h->read_waiters = hub_waiters_new();
+	h->proposals = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+					     g_free, NULL);
 	h->reads = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
 					 NULL);
 }
 
-/* Frees what waits; nobody is told. */
+/* Frees the batch and the waiting calls, which get no result. */
 void hub_log_free(struct hub *h)
 {
-	hub_log_drop(h);
+	hub_log_abort(h);
 	pk_out_done(&h->batch);
-	g_array_free(h->batch_waits, TRUE);
-	g_array_free(h->read_waits, TRUE);
-	g_hash_table_destroy(h->flights);
+	g_array_free(h->batch_waiters, TRUE);
+	g_array_free(h->read_waiters, TRUE);
+	g_hash_table_destroy(h->proposals);
 	g_hash_table_destroy(h->reads);
 }
 
-/* The time of day, ms since 1970. */
+/* Returns the time of day, ms since 1970. */
 int64_t hub_wall_ms(void)
 {
 	struct timespec ts;
@@ -46,131 +47,136 @@
 	return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-/* Where the next command is to be packed; it goes out with the batch. */
+/*
+ * Returns the buffer to pack the next command into; the command is proposed
+ * with the batch.
+ */
 struct pk_out *hub_put(struct hub *h)
 {
 	h->batch_n++;
-	hub_flush_soon(h);
+	hub_schedule_flush(h);
 	return &h->batch;
 }
 
 /*
- * Goes on with a call once all commands put so far are final. Where leadership
- * is lost before, the call ends without an answer: its outcome isn't known.
+ * Resumes a call once all commands packed so far are committed. If leadership
+ * is lost before, the call ends without an answer, since its outcome is not
+ * known.
  */
-void hub_commit(struct hub *h, struct hub_call *c, hub_then then)
+void hub_commit(struct hub *h, struct hub_call *c, hub_resume_fn resume)
 {
-	struct hub_wait w = {.c = c, .then = then};
+	struct hub_waiter w = {.c = c, .resume = resume};
 
-	c->holds++;
-	g_array_append_val(h->batch_waits, w);
-	hub_flush_soon(h);
+	c->refs++;
+	g_array_append_val(h->batch_waiters, w);
+	hub_schedule_flush(h);
 }
 
 /*
- * Goes on with a call once a majority has confirmed that we lead: what it then
- * reads is no older than the call, even if we were cut off or stood still.
+ * Resumes a call once a majority has confirmed that this replica leads: the
+ * state it then reads is no older than the call, even after a network partition
+ * or a process pause.
  */
-void hub_read(struct hub *h, struct hub_call *c, hub_then then)
+void hub_read(struct hub *h, struct hub_call *c, hub_resume_fn resume)
 {
-	struct hub_wait w = {.c = c, .then = then};
+	struct hub_waiter w = {.c = c, .resume = resume};
 
-	c->holds++;
-	g_array_append_val(h->read_waits, w);
-	hub_flush_soon(h);
+	c->refs++;
+	g_array_append_val(h->read_waiters, w);
+	hub_schedule_flush(h);
 }
 
-/* The batch at that place of the log was applied. */
+/* The entry at that log index was applied: resumes its calls. */
 void hub_log_applied(struct hub *h, uint64_t index)
 {
-	struct hub_flight *f = g_hash_table_lookup(h->flights, &index);
+	struct hub_inflight *f = g_hash_table_lookup(h->proposals, &index);
 	int64_t took_ms;
 
 	if (!f)
 		return;
-	g_hash_table_remove(h->flights, &index);
-	took_ms = tmr_now(h->tmr) - f->since_ms;
-	hub_time(h, HUB_COMMIT, took_ms);
+	g_hash_table_remove(h->proposals, &index);
+	took_ms = tmr_now(h->tmr) - f->started_ms;
+	hub_record_time(h, HUB_COMMIT, took_ms);
 	gcm_stored(&h->gcm, took_ms);
-	hub_go_on(h, f->waits, true);
-	hub_flight_free(f);
+	hub_resume_waiters(h, f->waiters, true);
+	hub_inflight_free(f);
 }
 
 /* The read of that tag may be served, or leadership was lost. */
-void hub_log_read(struct hub *h, uint64_t tag, bool ok)
+void hub_log_read_done(struct hub *h, uint64_t tag, bool ok)
 {
-	struct hub_flight *f = g_hash_table_lookup(h->reads, &tag);
+	struct hub_inflight *f = g_hash_table_lookup(h->reads, &tag);
 
 	if (!f)
 		return;
 	g_hash_table_remove(h->reads, &tag);
 	if (ok)
-		hub_time(h, HUB_READ, tmr_now(h->tmr) - f->since_ms);
-	hub_go_on(h, f->waits, ok);
-	hub_flight_free(f);
-	if (ok && h->read_waits->len)
-		hub_flush_soon(h);
+		hub_record_time(h, HUB_READ, tmr_now(h->tmr) - f->started_ms);
+	hub_resume_waiters(h, f->waiters, ok);
+	hub_inflight_free(f);
+	if (ok && h->read_waiters->len)
+		hub_schedule_flush(h);
 }
 
-/* Leadership was lost: what waited for the log is let go. */
-void hub_log_drop(struct hub *h)
+/* Leadership was lost: ends all calls that wait for the log. */
+void hub_log_abort(struct hub *h)
 {
-	GList *lists = g_hash_table_get_values(h->flights);
+	GList *lists = g_hash_table_get_values(h->proposals);
 	GList *i;
 
 	lists = g_list_concat(lists, g_hash_table_get_values(h->reads));
 	for (i = lists; i; i = i->next) {
-		struct hub_flight *f = i->data;
+		struct hub_inflight *f = i->data;
 
-		hub_go_on(h, f->waits, false);
-		hub_flight_free(f);
+		hub_resume_waiters(h, f->waiters, false);
+		hub_inflight_free(f);
 	}
 	g_list_free(lists);
-	g_hash_table_remove_all(h->flights);
+	g_hash_table_remove_all(h->proposals);
 	g_hash_table_remove_all(h->reads);
-	hub_go_on(h, h->batch_waits, false);
-	g_array_set_size(h->batch_waits, 0);
-	hub_go_on(h, h->read_waits, false);
-	g_array_set_size(h->read_waits, 0);
+	hub_resume_waiters(h, h->batch_waiters, false);
+	g_array_set_size(h->batch_waiters, 0);
+	hub_resume_waiters(h, h->read_waiters, false);
+	g_array_set_size(h->read_waiters, 0);
 	msgpack_sbuffer_clear(&h->batch.buf);
 	h->batch_n = 0;
 }
 
-/* Has what was collected proposed within this turn of the loop. */
-static void hub_flush_soon(struct hub *h)
+/* Schedules the proposal of the collected commands. */
+static void hub_schedule_flush(struct hub *h)
 {
 	int64_t wait = gcm_wait_ms(&h->gcm, tmr_now(h->tmr));
 
 	if (h->flush_timer)
 		return;
-	if (h->batch.buf.size > HUB_BATCH_MAX)
+	if (h->batch.buf.size > HUB_BATCH_FLUSH_BYTES)
 		wait = 0;
-	h->flush_timer = tmr_once(h->tmr, wait, hub_flush_timer, h);
+	h->flush_timer = tmr_once(h->tmr, wait, hub_on_flush_timer, h);
 }
 
-/* Proposes all commands that were collected, as one entry. */
-static void hub_flush_timer(void *arg, int64_t now)
+/* Proposes the collected commands and starts the next read. */
+static void hub_on_flush_timer(void *arg, int64_t now)
 {
 	struct hub *h = arg;
 
 	h->flush_timer = 0;
 	gcm_sent(&h->gcm, now);
 	if (!h->leading) {
-		hub_log_drop(h);
+		hub_log_abort(h);
 		return;
 	}
-	hub_flush(h);
-	hub_flush_reads(h);
+	hub_propose_batch(h);
+	hub_start_read(h);
 }
 
-/* Proposes all commands gathered as one entry. */
-static void hub_flush(struct hub *h)
+/* Proposes all collected commands as one entry. */
+static void hub_propose_batch(struct hub *h)
 {
 	struct pk_out o;
 	uint64_t index;
 	bool ok;
 
-	if (!h->batch_n && !h->batch_waits->len)
+	if (!h->batch_n && !h->batch_waiters->len)
 		return;
 	pk_out_init(&o);
 	pk_arr(&o, h->batch_n);
@@ -178,73 +184,82 @@
 	ok = rep_propose(h->rep, pk_out_view(&o), &index);
 	pk_out_done(&o);
 	if (!ok) {
-		/* leadership is being handed over, or the log is full */
-		hub_flush_soon(h);
+		/* Leadership is being handed over, or the log is full. */
+		hub_schedule_flush(h);
 		return;
 	}
 	h->counts[HUB_BATCHES]++;
-	g_hash_table_insert(h->flights, g_memdup2(&index, sizeof(index)),
-			    hub_flight_new(h, h->batch_waits));
-	h->batch_waits = hub_waits_new();
+	g_hash_table_insert(h->proposals, g_memdup2(&index, sizeof(index)),
+			    hub_inflight_new(h, h->batch_waiters));
+	h->batch_waiters = hub_waiters_new();
 	msgpack_sbuffer_clear(&h->batch.buf);
 	h->batch_n = 0;
 }
 
-/* One read at a time stands for all that came while the last was asked. */
-static void hub_flush_reads(struct hub *h)
+/*
+ * Starts a read for all calls that arrived while the previous read was in
+ * progress; only one read is in progress at a time.
+ */
+static void hub_start_read(struct hub *h)
 {
-	uint64_t tag = h->next_tag;
+	uint64_t tag = h->next_read_tag;
 
-	if (!h->read_waits->len || g_hash_table_size(h->reads))
+	if (!h->read_waiters->len || g_hash_table_size(h->reads))
 		return;
-	h->next_tag++;
+	h->next_read_tag++;
 	h->counts[HUB_READS]++;
 	g_hash_table_insert(h->reads, g_memdup2(&tag, sizeof(tag)),
-			    hub_flight_new(h, h->read_waits));
-	h->read_waits = hub_waits_new();
+			    hub_inflight_new(h, h->read_waiters));
+	h->read_waiters = hub_waiters_new();
 	if (!rep_read(h->rep, tag))
-		hub_log_read(h, tag, false);
+		hub_log_read_done(h, tag, false);
 }
 
-/* Tells all who waited for an entry whether it is stored. */
-static void hub_go_on(struct hub *h, GArray *waits, bool ok)
+/*
+ * Resumes the waiting calls of an entry or a read, or ends them if it failed.
+ */
+static void hub_resume_waiters(struct hub *h, GArray *waiters, bool ok)
 {
 	guint i;
 
-	for (i = 0; i < waits->len; i++) {
-		struct hub_wait *w = &g_array_index(waits, struct hub_wait, i);
+	for (i = 0; i < waiters->len; i++) {
+		struct hub_waiter *w =
+			&g_array_index(waiters, struct hub_waiter, i);
 
 		if (ok && !w->c->answered)
-			w->then(h, w->c);
+			w->resume(h, w->c);
 		else if (!ok && !w->c->answered && w->c->door == HUB_CONTROL)
 			hub_status(h, w->c, 503);
 		else if (!ok && !w->c->answered) {
 			h->counts[HUB_UNKNOWN_CALLS]++;
-			hub_call_gone(w->c);
+			hub_call_disconnect(w->c);
 		}
 		hub_call_unref(w->c);
 	}
 }
 
-/* Begins a list of who waits for an entry. */
-static GArray *hub_waits_new(void)
+/* Returns an empty list of waiting calls. */
+static GArray *hub_waiters_new(void)
 {
-	return g_array_new(FALSE, FALSE, sizeof(struct hub_wait));
+	return g_array_new(FALSE, FALSE, sizeof(struct hub_waiter));
 }
 
-/* Takes a list of those who wait for what goes out now. */
-static struct hub_flight *hub_flight_new(const struct hub *h, GArray *waits)
+/*
+ * Returns a record of a proposal or read that starts now; takes over waiters.
+ */
+static struct hub_inflight *hub_inflight_new(const struct hub *h,
+					     GArray *waiters)
 {
-	struct hub_flight *f = g_new0(struct hub_flight, 1);
+	struct hub_inflight *f = g_new0(struct hub_inflight, 1);
 
-	f->waits = waits;
-	f->since_ms = tmr_now(h->tmr);
+	f->waiters = waiters;
+	f->started_ms = tmr_now(h->tmr);
 	return f;
 }
 
-/* Frees it with its list. */
-static void hub_flight_free(struct hub_flight *f)
+/* Frees a record with its list. */
+static void hub_inflight_free(struct hub_inflight *f)
 {
-	g_array_free(f->waits, TRUE);
+	g_array_free(f->waiters, TRUE);
 	g_free(f);
 }
--- a/src/hub_lost.c
+++ b/src/hub_lost.c
@@ -4,38 +4,43 @@
 
 #include "msg.h"
 
-/* Workers that are lost by themselves, and what they may have crashed under. */
+/*
+ * Workers that are lost unexpectedly, and the tasks that they may have crashed
+ * under.
+ */
 
-static void hub_tell_left(const struct jtb_worker *w);
-static int64_t hub_seen_ms(void *arg, const struct jtb_run *run);
-static bool hub_rack_silent(void *arg, const struct jtb_worker *w);
-static bool hub_alive(void *arg, const struct jtb_worker *w);
-static bool hub_vm_down(const struct hub *h, const struct jtb_worker *w);
-static void hub_tell_suspects(const struct jtb_worker *w,
-			      const struct jtb_blame *b);
+static void hub_log_left(const struct jtb_worker *w);
+static int64_t hub_run_seen_ms(void *arg, const struct jtb_run *run);
+static bool hub_rack_unreachable(void *arg, const struct jtb_worker *w);
+static bool hub_worker_vm_up(void *arg, const struct jtb_worker *w);
+static bool hub_worker_vm_down(const struct hub *h, const struct jtb_worker *w);
+static void hub_log_suspects(const struct jtb_worker *w,
+			     const struct jtb_blame *b);
 
 const struct crs_ops hub_crs_ops = {
-	.seen_ms = hub_seen_ms,
-	.rack_silent = hub_rack_silent,
-	.alive = hub_alive,
+	.seen_ms = hub_run_seen_ms,
+	.rack_silent = hub_rack_unreachable,
+	.alive = hub_worker_vm_up,
 };
 
 /*
- * A worker is over without having said so, or was silent for longer than its
- * leases: its runs end, and what may have crashed it is counted in the table.
+ * Removes a worker that is over without having announced its end, or that has
+ * been unreachable for longer than its leases: its runs end, and the table
+ * counts the tasks that may have crashed it.
  */
-void hub_worker_lost(struct hub *h, struct jtb_worker *w, const struct evd *e)
+void hub_remove_lost_worker(struct hub *h, struct jtb_worker *w,
+			    const struct evd *e)
 {
 	bool for_good = evd_for_good(e);
 	struct jtb_blame b;
 
-	/* several calls may find the same end of it */
+	/* several kinds of evidence may show the same loss */
 	if (w->lost)
 		return;
 	w->lost = for_good;
 	w->over = *e;
 	if (w->info.draining) {
-		hub_tell_left(w);
+		hub_log_left(w);
 		jtb_put_gone(hub_put(h), w->info.id, for_good);
 		return;
 	}
@@ -47,35 +52,38 @@
 	    w->info.id, w->info.addr, w->runs->len, b.suspects->len, b.shared,
 	    jtb_blame_alone(&b), for_good, evd_name(e->why),
 	    e->at_ms - e->as_of_ms, e->lag_ms);
-	hub_tell_suspects(w, &b);
+	hub_log_suspects(w, &b);
 	jtb_put_lost(hub_put(h), w->info.id, for_good, &b, hub_wall_ms());
 	jtb_blame_clear(&b);
 }
 
-/* A worker ended as planned, with all that ran on it. */
-void hub_worker_left(struct hub *h, struct jtb_worker *w, enum evd_why why,
-		     int64_t as_of_ms)
+/* Removes a worker whose end was ordered or announced, with all its runs. */
+void hub_remove_left_worker(struct hub *h, struct jtb_worker *w,
+			    enum evd_why why, int64_t as_of_ms)
 {
-	struct evd_moment m = hub_moment(h);
+	struct evd_moment m = hub_evd_moment(h);
 
 	evd_of(why, as_of_ms, &m, &w->over);
-	hub_tell_left(w);
+	hub_log_left(w);
 	jtb_put_gone(hub_put(h), w->info.id, true);
 }
 
-/* A worker has said that it ends: it is over once nothing may run there. */
-void hub_worker_leaves(struct hub *h, struct jtb_worker *w)
+/*
+ * Records that a worker announced its end. The worker is over once it can have
+ * no runs left.
+ */
+void hub_record_leave(struct hub *h, struct jtb_worker *w)
 {
-	struct evd_moment m = hub_moment(h);
+	struct evd_moment m = hub_evd_moment(h);
 
 	w->leaves = true;
 	evd_of(EVD_LEFT, m.now_ms, &m, &w->over);
-	hub_tell_left(w);
+	hub_log_left(w);
 	jtb_put_left(hub_put(h), w->info.id);
 }
 
-/* Tells of a worker that wasn't lost by itself why it is taken for over. */
-static void hub_tell_left(const struct jtb_worker *w)
+/* Logs the evidence that a worker is over which was not lost unexpectedly. */
+static void hub_log_left(const struct jtb_worker *w)
 {
 	msg(MSG_HUB_LEFT,
 	    "worker=%s addr=%s runs=%u why=%s as_of_ms=%" PRId64
@@ -84,26 +92,32 @@
 	    w->over.at_ms - w->over.as_of_ms, w->over.lag_ms);
 }
 
-/* What evidence that is found now is judged by. */
-struct evd_moment hub_moment(const struct hub *h)
+/* Returns the moment by which evidence found now is judged. */
+struct evd_moment hub_evd_moment(const struct hub *h)
 {
 	return (struct evd_moment){
 		.now_ms = tmr_now(h->tmr),
 		.lag_ms = tmr_lag_ms(h->tmr),
-		.led_since_ms = h->led_ms,
+		.led_since_ms = h->lead_since_ms,
 	};
 }
 
-/* For how long a run had been seen at work when its worker last answered. */
-static int64_t hub_seen_ms(void *arg, const struct jtb_run *run)
+/*
+ * Returns how long a run had been seen running when its worker last answered,
+ * ms.
+ */
+static int64_t hub_run_seen_ms(void *arg, const struct jtb_run *run)
 {
 	const struct hub *h = arg;
 
 	return wkr_seen_ms(h->wkr, run);
 }
 
-/* Whether another worker of a rack fell silent just now, or its VM is down. */
-static bool hub_rack_silent(void *arg, const struct jtb_worker *w)
+/*
+ * Whether another worker of a worker's rack became unreachable just now, or its
+ * VM is down.
+ */
+static bool hub_rack_unreachable(void *arg, const struct jtb_worker *w)
 {
 	const struct hub *h = arg;
 	const char *rack = sch_rack_of(w);
@@ -117,13 +131,16 @@
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&other))
 		if (other != w && g_strcmp0(sch_rack_of(other), rack) == 0 &&
 		    (wkr_silent_since(h->wkr, other) > since ||
-		     hub_vm_down(h, other)))
+		     hub_worker_vm_down(h, other)))
 			return true;
 	return false;
 }
 
-/* Whether a list that was asked for since a worker is silent has it on a VM. */
-static bool hub_alive(void *arg, const struct jtb_worker *w)
+/*
+ * Whether a list of VMs requested after a worker became unreachable shows its
+ * VM as up.
+ */
+static bool hub_worker_vm_up(void *arg, const struct jtb_worker *w)
 {
 	const struct hub *h = arg;
 	const struct vms_vm *vm = vms_of_worker(h->vms, w->info.id);
@@ -132,17 +149,17 @@
 	       vms_listed_ms(h->vms) > wkr_silent_since(h->wkr, w);
 }
 
-/* Whether the newest list shows a worker's VM as down. */
-static bool hub_vm_down(const struct hub *h, const struct jtb_worker *w)
+/* Whether the newest list of VMs shows a worker's VM as down. */
+static bool hub_worker_vm_down(const struct hub *h, const struct jtb_worker *w)
 {
 	const struct vms_vm *vm = vms_of_worker(h->vms, w->info.id);
 
 	return vm && vm->state == VMS_DOWN;
 }
 
-/* Says of each suspect how many workers were lost as it began. */
-static void hub_tell_suspects(const struct jtb_worker *w,
-			      const struct jtb_blame *b)
+/* Logs for each suspect task how many workers were lost as the task started. */
+static void hub_log_suspects(const struct jtb_worker *w,
+			     const struct jtb_blame *b)
 {
 	char text[JTB_ID_MAX + 40];
 	guint i;
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -6,102 +6,111 @@
 #include "pac.h"
 
 /*
- * How much longer than its guess a run may stand still before it is taken as
- * hung, and the least such time, ms. Guesses are off by up to nine tenths, and
- * figures of a run come about once a second.
+ * A run counts as hung when its progress has not changed for HUB_HUNG_FACTOR
+ * times its estimate, and for at least HUB_HUNG_MIN_MS. Estimates are off by up
+ * to nine tenths, and a run's progress is reported about once a second.
  */
 #define HUB_HUNG_FACTOR 3
-#define HUB_HUNG_MS 4000
-/* How often ended jobs are looked through, and how many go at once. */
-#define HUB_FORGET_MS 5000
+#define HUB_HUNG_MIN_MS 4000
+/*
+ * Interval between checks for ended jobs to remove, and the most jobs removed
+ * per check.
+ */
+#define HUB_FORGET_INTERVAL_MS 5000
 #define HUB_FORGET_MAX 500
-/* A job's first start was an earlier leader's, who alone knew its time. */
-#define HUB_BEGUN_BEFORE (-1)
-
-static void hub_run_began(void *arg, struct jtb_run *run);
-static void hub_run_ends(void *arg, struct jtb_run *run, enum jtb_end how);
-static void hub_run_stops(void *arg, struct jtb_run *run);
-static void hub_late_end(void *arg, const struct jtb_worker *w,
-			 const struct jtb_name *n, uint32_t attempt,
-			 enum jtb_end how);
-static void hub_job_changed(void *arg, struct jtb_job *job);
-static void hub_job_over(struct hub *h, const struct jtb_job *job);
-static void hub_worker_changed(void *arg, struct jtb_worker *w);
-static void hub_worker_gone(void *arg, struct jtb_worker *w);
-static void hub_config_changed(void *arg);
-static void hub_ends(void *arg, struct jtb_worker *w, const struct wkr_end *e,
-		     size_t n);
-static void hub_lost(void *arg, struct jtb_run *run, const struct evd *e);
-static void hub_tell_end(const struct hub *h, const struct jtb_run *run,
-			 enum jtb_end how);
+/*
+ * The first start was ordered by an earlier leader, and its time is not stored.
+ */
+#define HUB_START_UNKNOWN (-1)
+
+static void hub_on_run_start(void *arg, struct jtb_run *run);
+static void hub_on_run_end(void *arg, struct jtb_run *run, enum jtb_end how);
+static void hub_on_run_stop(void *arg, struct jtb_run *run);
+static void hub_on_late_end(void *arg, const struct jtb_worker *w,
+			    const struct jtb_name *n, uint32_t attempt,
+			    enum jtb_end how);
+static void hub_on_job_change(void *arg, struct jtb_job *job);
+static void hub_record_job_end(struct hub *h, const struct jtb_job *job);
+static void hub_on_worker_change(void *arg, struct jtb_worker *w);
+static void hub_on_worker_removed(void *arg, struct jtb_worker *w);
+static void hub_on_config_change(void *arg);
+static void hub_on_worker_ends(void *arg, struct jtb_worker *w,
+			       const struct wkr_end *e, size_t n);
+static void hub_on_run_lost(void *arg, struct jtb_run *run,
+			    const struct evd *e);
+static void hub_log_run_end(const struct hub *h, const struct jtb_run *run,
+			    enum jtb_end how);
 static void hub_stop_gang(struct hub *h, const struct jtb_run *run);
-static void hub_gone(void *arg, struct jtb_worker *w, const struct evd *e);
-static void hub_seen(void *arg, struct jtb_worker *w);
-static void hub_pace(void *arg, struct jtb_run *run, int percent);
-static void hub_dirty(struct hub *h, const char *pool);
-static void hub_dirty_job(struct hub *h, const struct jtb_job *job);
-static void hub_plan_timer(void *arg, int64_t now);
-static void hub_plan(struct hub *h);
-static bool hub_usable(void *arg, const struct jtb_worker *w);
-static bool hub_leaving(void *arg, const struct jtb_worker *w);
-static bool hub_ticketed(void *arg, const struct jtb_job *job, uint32_t turn,
-			 uint32_t step, const struct jtb_worker *w);
-static bool hub_ticket(void *arg, const struct jtb_run *run, const char **out);
-static void hub_ticket_refused(void *arg, const struct jtb_run *run);
-static void hub_advised(void *arg);
-static void hub_look_for_advice(void *arg);
-static void hub_check_advice(const struct hub *h);
-static void hub_starved(void *arg, const char *pool);
-static void hub_start(void *arg, struct jtb_job *job, const struct jtb_name *n,
-		      uint32_t attempt, struct jtb_worker *w);
-static void hub_stop_job(struct hub *h, struct jtb_job *job);
+static void hub_on_worker_lost(void *arg, struct jtb_worker *w,
+			       const struct evd *e);
+static void hub_on_worker_listed(void *arg, struct jtb_worker *w);
+static void hub_set_pace(void *arg, struct jtb_run *run, int percent);
+static void hub_mark_pool(struct hub *h, const char *pool);
+static void hub_mark_job_pool(struct hub *h, const struct jtb_job *job);
+static void hub_on_plan_timer(void *arg, int64_t now);
+static void hub_plan_pools(struct hub *h);
+static bool hub_worker_usable(void *arg, const struct jtb_worker *w);
+static bool hub_worker_leaving(void *arg, const struct jtb_worker *w);
+static bool hub_has_ticket(void *arg, const struct jtb_job *job, uint32_t turn,
+			   uint32_t step, const struct jtb_worker *w);
+static bool hub_get_ticket(void *arg, const struct jtb_run *run,
+			   const char **out);
+static void hub_on_ticket_refused(void *arg, const struct jtb_run *run);
+static void hub_on_advice(void *arg);
+static void hub_poll_advice(void *arg);
+static void hub_warn_no_advice(const struct hub *h);
+static void hub_on_unschedulable(void *arg, const char *pool);
+static void hub_start_task(void *arg, struct jtb_job *job,
+			   const struct jtb_name *n, uint32_t attempt,
+			   struct jtb_worker *w);
+static void hub_stop_job_runs(struct hub *h, struct jtb_job *job);
 static void hub_check_runs(struct hub *h, struct jtb_worker *w, int64_t now);
-static void hub_learn(struct hub *h, const struct jtb_run *run,
-		      enum jtb_end how);
-static void hub_scale(struct hub *h);
-static bool hub_hung(const struct jtb_run *run, int64_t now);
+static void hub_record_run_time(struct hub *h, const struct jtb_run *run,
+				enum jtb_end how);
+static void hub_scale_estimates(struct hub *h);
+static bool hub_run_hung(const struct jtb_run *run, int64_t now);
 static int64_t hub_objective_ms(const struct hub *h, const struct jtb_job *job);
-static void hub_forget(struct hub *h, int64_t now);
+static void hub_forget_jobs(struct hub *h, int64_t now);
 
 const struct jtb_watch hub_watch = {
-	.run_began = hub_run_began,
-	.run_ends = hub_run_ends,
-	.run_stops = hub_run_stops,
-	.late_end = hub_late_end,
-	.job_changed = hub_job_changed,
-	.worker_changed = hub_worker_changed,
-	.worker_gone = hub_worker_gone,
-	.config_changed = hub_config_changed,
+	.run_began = hub_on_run_start,
+	.run_ends = hub_on_run_end,
+	.run_stops = hub_on_run_stop,
+	.late_end = hub_on_late_end,
+	.job_changed = hub_on_job_change,
+	.worker_changed = hub_on_worker_change,
+	.worker_gone = hub_on_worker_removed,
+	.config_changed = hub_on_config_change,
 };
 
 static const struct pac_ops hub_pac_ops = {
-	.pace = hub_pace,
+	.pace = hub_set_pace,
 };
 
 const struct wkr_ops hub_wkr_ops = {
-	.ends = hub_ends,
-	.lost = hub_lost,
-	.gone = hub_gone,
-	.seen = hub_seen,
-	.ticket = hub_ticket,
-	.ticket_refused = hub_ticket_refused,
-	.sure = hub_sure,
-	.carrier = hub_carrier,
+	.ends = hub_on_worker_ends,
+	.lost = hub_on_run_lost,
+	.gone = hub_on_worker_lost,
+	.seen = hub_on_worker_listed,
+	.ticket = hub_get_ticket,
+	.ticket_refused = hub_on_ticket_refused,
+	.sure = hub_lead_confirmed_ms,
+	.carrier = hub_relay_addr,
 };
 
-static const char *const hub_phases[] = {
+static const char *const hub_phase_names[] = {
 	[WKR_NEW] = "unsent",	[WKR_SENT] = "sent",	   [WKR_ON] = "there",
 	[WKR_OVER] = "stopped", [WKR_DROPPED] = "dropped",
 };
 
 const struct adv_ops hub_adv_ops = {
-	.changed = hub_advised,
-	.look = hub_look_for_advice,
+	.changed = hub_on_advice,
+	.poll = hub_poll_advice,
 };
 
 /*
- * We lead: what may run is in the table, so that work goes on at once, on each
- * worker as soon as it has told what it runs.
+ * Becomes leader. The table holds everything that may run, so work continues at
+ * once, on each worker as soon as it has listed its runs.
  */
 void hub_plan_lead(struct hub *h, uint64_t term)
 {
@@ -109,47 +118,47 @@
 	guint i;
 
 	h->leading = true;
-	h->led_ms = tmr_now(h->tmr);
+	h->lead_since_ms = tmr_now(h->tmr);
 	h->counts[HUB_LEADS]++;
 	jtb_unplan_all(h->jtb);
 	est_clear(h->est);
 	crs_clear(h->crs);
 	adv_line_lead(h->advice);
-	hub_carry_lead(h, term);
+	hub_relay_lead(h, term);
 	wkr_lead(h->wkr, term);
 	hub_vm_lead(h, term);
-	hub_held_lead(h);
+	hub_pending_reset(h);
 	for (i = 0; i < live->len; i++) {
 		struct jtb_job *job = g_ptr_array_index(live, i);
 
 		if (jtb_ended(job))
-			hub_stop_job(h, job);
-		job->begun_ms = job->started ? HUB_BEGUN_BEFORE : 0;
+			hub_stop_job_runs(h, job);
+		job->begun_ms = job->started ? HUB_START_UNKNOWN : 0;
 		job->unseen = false;
 	}
 	msg(MSG_HUB_LEAD,
 	    "term=%" PRIu64 " config=%" PRIu64 " workers=%u live=%u", term,
 	    jtb_config(h->jtb)->version, g_hash_table_size(jtb_workers(h->jtb)),
 	    live->len);
-	hub_check_advice(h);
+	hub_warn_no_advice(h);
 }
 
-/* We don't lead any more. */
-void hub_plan_rest(struct hub *h)
+/* Steps down as leader. */
+void hub_plan_step_down(struct hub *h)
 {
 	h->leading = false;
-	h->held = (struct hld_sum){0};
+	h->pending = (struct hld_sum){0};
 	wkr_rest(h->wkr);
 	rly_rest(h->rly);
-	adv_line_rest(h->advice);
-	hub_vm_rest(h);
+	adv_line_step_down(h->advice);
+	hub_vm_step_down(h);
 	jtb_unplan_all(h->jtb);
-	g_hash_table_remove_all(h->dirty);
-	g_hash_table_remove_all(h->heard);
+	g_hash_table_remove_all(h->dirty_pools);
+	g_hash_table_remove_all(h->report_seqs);
 	msg(MSG_HUB_REST, "term=%" PRIu64, rep_term(h->rep));
 }
 
-/* What is looked after from time to time while we lead. */
+/* Periodic work of the leader. */
 void hub_plan_tick(struct hub *h, int64_t now)
 {
 	GHashTableIter it;
@@ -162,21 +171,24 @@
 	g_hash_table_iter_init(&it, jtb_workers(h->jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w)) {
 		hub_check_runs(h, w, now);
-		/* what ran there as it said that it ends is over */
+		/*
+		 * the runs that the worker still had when it announced its end
+		 * are over
+		 */
 		if (w->leaves && w->info.draining && !w->runs->len)
-			hub_worker_leaves(h, w);
+			hub_record_leave(h, w);
 	}
-	hub_scale(h);
+	hub_scale_estimates(h);
 	hub_vm_tick(h, now);
-	hub_forget(h, now);
-	hub_plan_all(h);
-	h->looks = true;
-	hub_tell_work(h, now);
+	hub_forget_jobs(h, now);
+	hub_mark_all_pools(h);
+	h->pending_due = true;
+	hub_log_work(h, now);
 	cpu_leave(before);
 }
 
-/* All pools are to be planned. */
-void hub_plan_all(struct hub *h)
+/* Marks all pools for the next plan. */
+void hub_mark_all_pools(struct hub *h)
 {
 	const struct jtb_config *c = jtb_config(h->jtb);
 	guint i;
@@ -184,12 +196,12 @@
 	for (i = 0; i < c->pools->len; i++) {
 		const struct jtb_pool *p = g_ptr_array_index(c->pools, i);
 
-		hub_dirty(h, p->name);
+		hub_mark_pool(h, p->name);
 	}
 }
 
-/* A start is stored: its worker may be told. */
-static void hub_run_began(void *arg, struct jtb_run *run)
+/* A start is stored: sends the order to its worker. */
+static void hub_on_run_start(void *arg, struct jtb_run *run)
 {
 	struct hub *h = arg;
 	char task[JTB_ID_MAX + 40];
@@ -202,8 +214,8 @@
 	if (!run->job->begun_ms) {
 		run->job->begun_ms = hub_wall_ms();
 		run->job->unseen = true;
-		hub_time(h, HUB_FIRST_START,
-			 run->job->begun_ms - run->job->accepted_ms);
+		hub_record_time(h, HUB_FIRST_START,
+				run->job->begun_ms - run->job->accepted_ms);
 	}
 	jtb_name_of(run, &n);
 	jtb_name_text(&n, task, sizeof(task));
@@ -212,11 +224,11 @@
 		run->worker->info.id, run->worker->used_cpu);
 	wkr_run(h->wkr, run);
 	if (jtb_ended(run->job))
-		hub_stop(h, run, "job is over");
+		hub_stop_run(h, run, "job is over");
 }
 
 /* The end of a run is stored. */
-static void hub_run_ends(void *arg, struct jtb_run *run, enum jtb_end how)
+static void hub_on_run_end(void *arg, struct jtb_run *run, enum jtb_end how)
 {
 	struct hub *h = arg;
 	struct jtb_turn *turn = &run->job->turns[run->turn];
@@ -228,22 +240,22 @@
 	h->counts[HUB_LOST_RUNS] += how == JTB_LOST || how == JTB_LAPSED;
 	turn->parts[run->step].tasks[run->index].free_ms = tmr_now(h->tmr);
 	if (how == JTB_DONE)
-		hub_time(h, HUB_RUN, tmr_now(h->tmr) - run->ordered_ms);
+		hub_record_time(h, HUB_RUN, tmr_now(h->tmr) - run->ordered_ms);
 	else
-		hub_tell_end(h, run, how);
-	hub_learn(h, run, how);
+		hub_log_run_end(h, run, how);
+	hub_record_run_time(h, run, how);
 	wkr_run_over(h->wkr, run);
-	hub_dirty(h, run->worker->info.pool);
-	hub_dirty_job(h, run->job);
+	hub_mark_pool(h, run->worker->info.pool);
+	hub_mark_job_pool(h, run->job);
 }
 
 /*
- * Tells how a run ended other than done, and of one that its worker didn't tell
- * the end of by what evidence it was taken for over: each may be wrong in another
- * way, and the task runs twice then.
+ * Logs how a run ended that did not complete. For a run whose end was not
+ * reported by its worker, logs the evidence for the end: each kind of evidence
+ * can be wrong in a different way, and the task then runs twice.
  */
-static void hub_tell_end(const struct hub *h, const struct jtb_run *run,
-			 enum jtb_end how)
+static void hub_log_run_end(const struct hub *h, const struct jtb_run *run,
+			    enum jtb_end how)
 {
 	const struct evd *e = run->over.why ? &run->over : &run->worker->over;
 	int64_t now = tmr_now(h->tmr);
@@ -265,12 +277,12 @@
 		" phase=%s sends=%u unanswered=%u%s",
 		task, run->attempt, run->worker->info.id, jtb_end_name(how),
 		now - run->ordered_ms, run->percent, jtb_leaves(run),
-		wkr_seen_ms(h->wkr, run), hub_phases[run->phase], run->sends,
-		run->unanswered, why);
+		wkr_seen_ms(h->wkr, run), hub_phase_names[run->phase],
+		run->sends, run->unanswered, why);
 }
 
-/* A stop is stored: its worker may be told. */
-static void hub_run_stops(void *arg, struct jtb_run *run)
+/* A stop is stored: sends the order to its worker. */
+static void hub_on_run_stop(void *arg, struct jtb_run *run)
 {
 	struct hub *h = arg;
 
@@ -278,10 +290,12 @@
 		wkr_stop(h->wkr, run);
 }
 
-/* A run that had been taken for over did end, and that counts. */
-static void hub_late_end(void *arg, const struct jtb_worker *w,
-			 const struct jtb_name *n, uint32_t attempt,
-			 enum jtb_end how)
+/*
+ * A run that was assumed over reported its end after all, and the end counts.
+ */
+static void hub_on_late_end(void *arg, const struct jtb_worker *w,
+			    const struct jtb_name *n, uint32_t attempt,
+			    enum jtb_end how)
 {
 	struct hub *h = arg;
 	char task[JTB_ID_MAX + 40];
@@ -294,37 +308,37 @@
 		task, attempt, w->info.id, jtb_end_name(how));
 }
 
-/* A job became another: those who ask for it are told. */
-static void hub_job_changed(void *arg, struct jtb_job *job)
+/* A job's state changed: stops its runs if it is over, and plans its pool. */
+static void hub_on_job_change(void *arg, struct jtb_job *job)
 {
 	struct hub *h = arg;
 
 	if (!h->leading)
 		return;
 	if (jtb_ended(job)) {
-		hub_job_over(h, job);
-		hub_stop_job(h, job);
+		hub_record_job_end(h, job);
+		hub_stop_job_runs(h, job);
 	}
-	hub_dirty_job(h, job);
+	hub_mark_job_pool(h, job);
 }
 
-/* Tells how a job ended, and where its time went. */
-static void hub_job_over(struct hub *h, const struct jtb_job *job)
+/* Counts and logs how a job ended and where its time went. */
+static void hub_record_job_end(struct hub *h, const struct jtb_job *job)
 {
 	int64_t objective = hub_objective_ms(h, job);
 	int64_t took = job->ended_ms - job->accepted_ms;
 	int64_t waited =
 		job->begun_ms > 0 ? job->begun_ms - job->accepted_ms : -1;
-	/* of a queue that is gone nobody can say what is late */
+	/* without its queue, a job has no deadline to miss */
 	int64_t late = objective ? MAX(0, took - objective) : 0;
 	uint32_t crashes = jtb_crashes(job);
 	bool fails = job->state == JTB_FAILED ||
 		     (job->state == JTB_COMPLETED && late > 0);
 
-	h->counts[HUB_GIVEN_UP] += job->state == JTB_FAILED && crashes > 1;
+	h->counts[HUB_CRASHING_JOBS] += job->state == JTB_FAILED && crashes > 1;
 	if (job->state == JTB_COMPLETED) {
-		hub_time(h, HUB_COMPLETED, took);
-		hub_time(h, HUB_LATE, late);
+		hub_record_time(h, HUB_COMPLETED, took);
+		hub_record_time(h, HUB_OVERRUN, late);
 	}
 	msg_job_at(__FILE__, __LINE__, MSG_HUB_JOB_END, job->spec.id,
 		   fails ? MSG_FAILURE : MSG_SAMPLED,
@@ -336,8 +350,8 @@
 		   crashes);
 }
 
-/* A worker is new or told something else of itself. */
-static void hub_worker_changed(void *arg, struct jtb_worker *w)
+/* A worker is new or reported changed properties. */
+static void hub_on_worker_change(void *arg, struct jtb_worker *w)
 {
 	struct hub *h = arg;
 
@@ -347,11 +361,11 @@
 	    w->info.id, w->info.pool, w->info.addr, w->info.draining,
 	    w->runs->len);
 	wkr_worker(h->wkr, w);
-	hub_dirty(h, w->info.pool);
+	hub_mark_pool(h, w->info.pool);
 }
 
-/* A worker is no longer in the table. */
-static void hub_worker_gone(void *arg, struct jtb_worker *w)
+/* A worker was removed from the table. */
+static void hub_on_worker_removed(void *arg, struct jtb_worker *w)
 {
 	struct hub *h = arg;
 
@@ -359,13 +373,13 @@
 		return;
 	msg(MSG_HUB_WORKER_GONE, "worker=%s addr=%s", w->info.id, w->info.addr);
 	wkr_forget(h->wkr, w);
-	g_hash_table_remove(h->heard, w->info.id);
+	g_hash_table_remove(h->report_seqs, w->info.id);
 	vms_forget_worker(h->vms, w->info.id);
-	hub_dirty(h, w->info.pool);
+	hub_mark_pool(h, w->info.pool);
 }
 
-/* Another configuration is in force. */
-static void hub_config_changed(void *arg)
+/* A new configuration is in force. */
+static void hub_on_config_change(void *arg)
 {
 	struct hub *h = arg;
 
@@ -374,13 +388,13 @@
 	msg(MSG_HUB_CONFIG, "version=%" PRIu64 " queues=%u pools=%u",
 	    jtb_config(h->jtb)->version, jtb_config(h->jtb)->queues->len,
 	    jtb_config(h->jtb)->pools->len);
-	hub_check_advice(h);
-	hub_plan_all(h);
+	hub_warn_no_advice(h);
+	hub_mark_all_pools(h);
 }
 
-/* A worker told the end of a run. */
-static void hub_ends(void *arg, struct jtb_worker *w, const struct wkr_end *e,
-		     size_t n)
+/* A worker reported the ends of runs: puts them into the log. */
+static void hub_on_worker_ends(void *arg, struct jtb_worker *w,
+			       const struct wkr_end *e, size_t n)
 {
 	struct hub *h = arg;
 	int64_t wall = hub_wall_ms();
@@ -392,8 +406,8 @@
 			    wall);
 }
 
-/* A run is over, and its worker didn't tell its end. */
-static void hub_lost(void *arg, struct jtb_run *run, const struct evd *e)
+/* A run is over although its worker did not report its end. */
+static void hub_on_run_lost(void *arg, struct jtb_run *run, const struct evd *e)
 {
 	struct hub *h = arg;
 	struct jtb_name n;
@@ -407,8 +421,8 @@
 }
 
 /*
- * A member of a gang never began: the others would hold their room and wait for
- * it in vain.
+ * A member of a gang never started: stops the other members, which would hold
+ * their capacity and wait for the missing one in vain.
  */
 static void hub_stop_gang(struct hub *h, const struct jtb_run *run)
 {
@@ -419,38 +433,42 @@
 		struct jtb_run *other = part->tasks[i].run;
 
 		if (other && other != run && other->attempt == run->attempt)
-			hub_stop(h, other, "a member of its gang never began");
+			hub_stop_run(h, other,
+				     "a member of its gang never started");
 	}
 }
 
-/* A worker is over, or was silent beyond its leases. */
-static void hub_gone(void *arg, struct jtb_worker *w, const struct evd *e)
+/* A worker is over, or has been unreachable for longer than its leases. */
+static void hub_on_worker_lost(void *arg, struct jtb_worker *w,
+			       const struct evd *e)
 {
 	struct hub *h = arg;
 
-	hub_worker_lost(h, w, e);
+	hub_remove_lost_worker(h, w, e);
 }
 
-/* A worker has told all that it runs. */
-static void hub_seen(void *arg, struct jtb_worker *w)
+/* A worker has listed all its runs. */
+static void hub_on_worker_listed(void *arg, struct jtb_worker *w)
 {
 	struct hub *h = arg;
 
-	hub_dirty(h, w->info.pool);
+	hub_mark_pool(h, w->info.pool);
 	hub_check_runs(h, w, tmr_now(h->tmr));
 	pac_look(w, tmr_now(h->tmr), &hub_pac_ops, h);
 }
 
-/* When we last knew that we lead, on the timer service's clock. */
-int64_t hub_sure(void *arg)
+/*
+ * Returns when leadership was last confirmed, ms on the timer service's clock.
+ */
+int64_t hub_lead_confirmed_ms(void *arg)
 {
 	const struct hub *h = arg;
 
 	return rep_sure_ms(h->rep);
 }
 
-/* What fills a worker should work faster or slower. */
-static void hub_pace(void *arg, struct jtb_run *run, int percent)
+/* Tells a run that fills up a worker to work faster or slower. */
+static void hub_set_pace(void *arg, struct jtb_run *run, int percent)
 {
 	struct hub *h = arg;
 
@@ -462,32 +480,32 @@
 	wkr_pace(h->wkr, run, percent);
 }
 
-/* A pool has something new to plan. */
-static void hub_dirty(struct hub *h, const char *pool)
+/* Marks a pool for the next plan, and schedules that plan. */
+static void hub_mark_pool(struct hub *h, const char *pool)
 {
 	int64_t now;
 
-	g_hash_table_add(h->dirty, g_strdup(pool));
+	g_hash_table_add(h->dirty_pools, g_strdup(pool));
 	if (h->plan_timer || !h->leading)
 		return;
 	now = tmr_now(h->tmr);
 	h->plan_timer = tmr_once(
 		h->tmr,
-		lod_plan_wait_ms(&h->planned, gcm_wait_ms(&h->gcm, now), now),
-		hub_plan_timer, h);
+		lod_plan_wait_ms(&h->plan_load, gcm_wait_ms(&h->gcm, now), now),
+		hub_on_plan_timer, h);
 }
 
-/* The pool of a job has something new to plan. */
-static void hub_dirty_job(struct hub *h, const struct jtb_job *job)
+/* Marks the pool of a job for the next plan. */
+static void hub_mark_job_pool(struct hub *h, const struct jtb_job *job)
 {
 	const char *pool = jtb_pool_of(h->jtb, job);
 
 	if (pool)
-		hub_dirty(h, pool);
+		hub_mark_pool(h, pool);
 }
 
-/* Plans all pools in which something changed. */
-static void hub_plan_timer(void *arg, int64_t now)
+/* Plans the marked pools. */
+static void hub_on_plan_timer(void *arg, int64_t now)
 {
 	struct hub *h = arg;
 	enum cpu_kind before = cpu_enter(CPU_PLAN);
@@ -495,15 +513,18 @@
 
 	h->plan_timer = 0;
 	if (h->leading)
-		hub_plan(h);
+		hub_plan_pools(h);
 	cpu_leave(before);
-	lod_planned(&h->planned,
+	lod_planned(&h->plan_load,
 		    (double)(cpu_used_us(CPU_PLAN) - from_us) / 1000,
 		    tmr_now(h->tmr));
 }
 
-/* Starts what can be started in one pool. */
-static void hub_plan(struct hub *h)
+/*
+ * Starts what can be started in the marked pools, and queries the advice
+ * service.
+ */
+static void hub_plan_pools(struct hub *h)
 {
 	GHashTable *closed = g_hash_table_new(g_str_hash, g_str_equal);
 	struct sch_view v;
@@ -512,21 +533,27 @@
 
 	upk_closed(h->upk, closed);
 	flo_closed(h->flo, closed);
-	hub_view(h, closed, &v);
-	g_hash_table_iter_init(&it, h->dirty);
+	hub_init_sch_view(h, closed, &v);
+	g_hash_table_iter_init(&it, h->dirty_pools);
 	while (g_hash_table_iter_next(&it, (gpointer *)&pool, NULL))
 		sch_plan(&v, pool);
-	g_hash_table_remove_all(h->dirty);
-	adv_line_look(h->advice, &v);
+	g_hash_table_remove_all(h->dirty_pools);
+	adv_line_poll(h->advice, &v);
 	g_hash_table_destroy(closed);
-	/* right after a plan of all pools: what has no reason then is a fault */
-	if (h->looks)
-		hub_held_tick(h, v.now_ms);
-	h->looks = false;
+	/*
+	 * Right after a plan of all pools, a pending task without a reason is a
+	 * fault.
+	 */
+	if (h->pending_due)
+		hub_pending_tick(h, v.now_ms);
+	h->pending_due = false;
 }
 
-/* What plans go by now; closed are workers that are being emptied. */
-void hub_view(struct hub *h, GHashTable *closed, struct sch_view *v)
+/*
+ * Fills in the scheduler's input. closed: ids of the workers that are being
+ * drained.
+ */
+void hub_init_sch_view(struct hub *h, GHashTable *closed, struct sch_view *v)
 {
 	*v = (struct sch_view){
 		.jtb = h->jtb,
@@ -534,41 +561,47 @@
 		.now_ms = tmr_now(h->tmr),
 		.wall_ms = hub_wall_ms(),
 		.arg = h,
-		.usable = hub_usable,
-		.leaving = hub_leaving,
-		.ticketed = hub_ticketed,
-		.start = hub_start,
-		.starved = hub_starved,
+		.usable = hub_worker_usable,
+		.leaving = hub_worker_leaving,
+		.ticketed = hub_has_ticket,
+		.start = hub_start_task,
+		.starved = hub_on_unschedulable,
 	};
 }
 
 /* Whether a worker may be given work now. */
-static bool hub_usable(void *arg, const struct jtb_worker *w)
+static bool hub_worker_usable(void *arg, const struct jtb_worker *w)
 {
 	const struct hub *h = arg;
 
 	return wkr_usable(h->wkr, w);
 }
 
-/* Whether a worker is being emptied. */
-static bool hub_leaving(void *arg, const struct jtb_worker *w)
+/* Whether a worker's VM is due for upkeep. */
+static bool hub_worker_leaving(void *arg, const struct jtb_worker *w)
 {
 	const struct hub *h = arg;
 
 	return upk_due(h->upk, w->info.id);
 }
 
-/* Whether a step of a queue with advice may be started on a worker. */
-static bool hub_ticketed(void *arg, const struct jtb_job *job, uint32_t turn,
-			 uint32_t step, const struct jtb_worker *w)
+/*
+ * Whether a ticket allows a step of a queue with advice to start on a worker.
+ */
+static bool hub_has_ticket(void *arg, const struct jtb_job *job, uint32_t turn,
+			   uint32_t step, const struct jtb_worker *w)
 {
 	const struct hub *h = arg;
 
 	return adv_ticketed(h->adv, job, turn, step, w, tmr_now(h->tmr));
 }
 
-/* The ticket that an order to start carries; false: it needs one it hasn't. */
-static bool hub_ticket(void *arg, const struct jtb_run *run, const char **out)
+/*
+ * Sets the ticket that an order to start must carry, or NULL if it needs none.
+ * Returns false if it needs a ticket and none is valid.
+ */
+static bool hub_get_ticket(void *arg, const struct jtb_run *run,
+			   const char **out)
 {
 	const struct hub *h = arg;
 	const struct jtb_queue *q =
@@ -582,28 +615,28 @@
 	return *out != NULL;
 }
 
-/* A worker refused a ticket: another is asked for. */
-static void hub_ticket_refused(void *arg, const struct jtb_run *run)
+/* A worker refused a ticket: drops it, so that another is requested. */
+static void hub_on_ticket_refused(void *arg, const struct jtb_run *run)
 {
 	struct hub *h = arg;
 
 	msg(MSG_ADV_REFUSED, "job=%s turn=%u step=%u index=%u worker=%s",
 	    run->job->spec.id, run->turn, run->step, run->index,
 	    run->worker->info.id);
-	adv_drop(h->adv, run, tmr_now(h->tmr));
+	adv_drop_ticket(h->adv, run, tmr_now(h->tmr));
 }
 
-/* Tickets came in: what waited for them may be started. */
-static void hub_advised(void *arg)
+/* Tickets have arrived: plans the tasks that waited for them. */
+static void hub_on_advice(void *arg)
 {
 	struct hub *h = arg;
 
 	if (h->leading)
-		hub_plan_all(h);
+		hub_mark_all_pools(h);
 }
 
-/* It is time to look what to ask; no plan is needed for that. */
-static void hub_look_for_advice(void *arg)
+/* Queries the advice service again; no plan is needed for that. */
+static void hub_poll_advice(void *arg)
 {
 	struct hub *h = arg;
 	GHashTable *closed = g_hash_table_new(g_str_hash, g_str_equal);
@@ -611,13 +644,13 @@
 
 	upk_closed(h->upk, closed);
 	flo_closed(h->flo, closed);
-	hub_view(h, closed, &v);
-	adv_line_look(h->advice, &v);
+	hub_init_sch_view(h, closed, &v);
+	adv_line_poll(h->advice, &v);
 	g_hash_table_destroy(closed);
 }
 
-/* Says loudly that queues need advice and nobody gives it. */
-static void hub_check_advice(const struct hub *h)
+/* Logs that queues need advice while no advice service is configured. */
+static void hub_warn_no_advice(const struct hub *h)
 {
 	const struct jtb_config *c = jtb_config(h->jtb);
 	uint32_t n = 0;
@@ -628,23 +661,24 @@
 
 		n += q->advised;
 	}
-	if (n && !adv_line_there(h->advice))
+	if (n && !adv_line_configured(h->advice))
 		msg(MSG_ADV_NOBODY,
 		    "queues=%u config=%" PRIu64 " setting=\"[node] advice\"", n,
 		    c->version);
 }
 
-/* Work that lasts found no room in a pool. */
-static void hub_starved(void *arg, const char *pool)
+/* A long-running task found no capacity in a pool. */
+static void hub_on_unschedulable(void *arg, const char *pool)
 {
 	struct hub *h = arg;
 
 	flo_starved(h->flo, pool, tmr_now(h->tmr));
 }
 
-/* A task is to start on a worker: a command for the log. */
-static void hub_start(void *arg, struct jtb_job *job, const struct jtb_name *n,
-		      uint32_t attempt, struct jtb_worker *w)
+/* Puts the start of a task on a worker into the log. */
+static void hub_start_task(void *arg, struct jtb_job *job,
+			   const struct jtb_name *n, uint32_t attempt,
+			   struct jtb_worker *w)
 {
 	struct hub *h = arg;
 
@@ -653,18 +687,19 @@
 }
 
 /*
- * Ends a run as soon as its worker can be told. Of work that lasts that is put
- * into the log first: a worker lists the run as at work until it has ended, and
- * the next leader would stop another of its step meanwhile.
+ * Stops a run as soon as its worker can be reached. The stop of a long-running
+ * task is put into the log first: a worker lists the run as running until it
+ * has ended, and without the stored stop the next leader would stop another run
+ * of the same step in the meantime.
  */
-void hub_stop(void *arg, struct jtb_run *run, const char *why)
+void hub_stop_run(void *arg, struct jtb_run *run, const char *why)
 {
 	struct hub *h = arg;
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
-	bool agree = s->flags & JTB_LASTS && !jtb_ended(run->job);
+	bool log_first = s->flags & JTB_LASTS && !jtb_ended(run->job);
 	struct jtb_name n;
 
-	if (run->stop || (agree && jtb_leaves(run)))
+	if (run->stop || (log_first && jtb_leaves(run)))
 		return;
 	h->counts[HUB_STOPS]++;
 	msg_job(MSG_HUB_STOP, run->job->spec.id,
@@ -674,7 +709,7 @@
 		run->attempt, run->worker->info.id, run->percent,
 		s->flags & JTB_LASTS ? upk_away(h->upk, run) : 0, s->may_miss,
 		why);
-	if (!agree) {
+	if (!log_first) {
 		wkr_stop(h->wkr, run);
 		return;
 	}
@@ -683,8 +718,8 @@
 	jtb_put_stop(hub_put(h), &n, run->attempt, run->worker->info.id);
 }
 
-/* Nothing of a job that is over may go on running. */
-static void hub_stop_job(struct hub *h, struct jtb_job *job)
+/* Stops all runs of a job that is over. */
+static void hub_stop_job_runs(struct hub *h, struct jtb_job *job)
 {
 	uint32_t t;
 	uint32_t s;
@@ -698,15 +733,15 @@
 
 			for (i = 0; i < job->spec.steps[s].count; i++)
 				if (part->tasks[i].run)
-					hub_stop(h, part->tasks[i].run,
-						 "job is over");
+					hub_stop_run(h, part->tasks[i].run,
+						     "job is over");
 		}
 	}
 }
 
 /*
- * Work on some workers stands still though they answer: a run whose figures
- * don't move is stopped and done again elsewhere.
+ * Stops hung runs, so that their tasks run again elsewhere: on some workers
+ * runs make no progress although the worker answers.
  */
 static void hub_check_runs(struct hub *h, struct jtb_worker *w, int64_t now)
 {
@@ -720,24 +755,27 @@
 	for (i = 0; i < w->runs->len; i++) {
 		struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-		if (!run->stop && hub_hung(run, now))
-			hub_stop(h, run, "it stands still");
+		if (!run->stop && hub_run_hung(run, now))
+			hub_stop_run(h, run, "it stands still");
 	}
 }
 
-/* Learns from a run that is done how long its queue's tasks take. */
-static void hub_learn(struct hub *h, const struct jtb_run *run,
-		      enum jtb_end how)
+/* Updates the estimates of a queue's run times from the end of a run. */
+static void hub_record_run_time(struct hub *h, const struct jtb_run *run,
+				enum jtb_end how)
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 
-	if (sch_tells_time(run, how, h->led_ms))
+	if (sch_tells_time(run, how, h->lead_since_ms))
 		est_learn(h->est, run->job->spec.queue, s->guess_ms,
 			  tmr_now(h->tmr) - run->ordered_ms);
 }
 
-/* Gives each job that isn't over the scale of its guesses. */
-static void hub_scale(struct hub *h)
+/*
+ * Sets, for each job that is not over, the factor between its declared and its
+ * estimated run times.
+ */
+static void hub_scale_estimates(struct hub *h)
 {
 	GPtrArray *live = jtb_live(h->jtb);
 	guint i;
@@ -761,20 +799,25 @@
 	}
 }
 
-/* Whether a run went on far beyond what its owner expects. */
-static bool hub_hung(const struct jtb_run *run, int64_t now)
+/*
+ * Whether a run has made no progress for far longer than its declared run time.
+ */
+static bool hub_run_hung(const struct jtb_run *run, int64_t now)
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
-	int64_t patience =
-		MAX(HUB_HUNG_MS, (int64_t)s->guess_ms * HUB_HUNG_FACTOR);
+	int64_t timeout_ms =
+		MAX(HUB_HUNG_MIN_MS, (int64_t)s->guess_ms * HUB_HUNG_FACTOR);
 
 	if (s->flags & (JTB_LASTS | JTB_GANG | JTB_FILLS) || !run->began_ms ||
 	    run->percent >= 100 || run->pace < 100)
 		return false;
-	return now - run->moved_ms > patience;
+	return now - run->moved_ms > timeout_ms;
 }
 
-/* How long a job may take to be in time, ms; 0: its queue is gone. */
+/*
+ * Returns how long a job may take to meet its deadline, ms; 0: its queue no
+ * longer exists.
+ */
 static int64_t hub_objective_ms(const struct hub *h, const struct jtb_job *job)
 {
 	const struct jtb_queue *q =
@@ -784,19 +827,19 @@
 }
 
 /*
- * Jobs that ended long ago leave the table; it would else grow with every job
- * that there ever was, and each snapshot with it.
+ * Removes jobs that ended long ago. The table and each snapshot would otherwise
+ * grow with every job ever accepted.
  */
-static void hub_forget(struct hub *h, int64_t now)
+static void hub_forget_jobs(struct hub *h, int64_t now)
 {
-	int64_t keep_ms = h->config.keep_ms + HUB_FORGET_MS;
+	int64_t keep_ms = h->config.keep_ms + HUB_FORGET_INTERVAL_MS;
 	GHashTableIter it;
 	struct jtb_job *job;
 	int n = 0;
 
-	if (now - h->forgot_ms < HUB_FORGET_MS)
+	if (now - h->forget_checked_ms < HUB_FORGET_INTERVAL_MS)
 		return;
-	h->forgot_ms = now;
+	h->forget_checked_ms = now;
 	g_hash_table_iter_init(&it, jtb_jobs(h->jtb));
 	while (n < HUB_FORGET_MAX &&
 	       g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
--- a/src/hub_take.c
+++ b/src/hub_take.c
@@ -4,28 +4,29 @@
 
 #include "msg.h"
 
-static bool hub_late_word(struct hub *h, const char *id, uint64_t sequence);
-static void hub_addr_taken(struct hub *h, const struct jtb_worker_info *info);
+static bool hub_report_outdated(struct hub *h, const char *id,
+				uint64_t sequence);
+static void hub_probe_addr(struct hub *h, const struct jtb_worker_info *info);
 
 /*
- * A job of a queue with advice, while nobody gives any, could never run: it is
- * refused at once, instead of being owed for good. Settings are changed by
- * hand, so that callers needn't come back soon, s.
+ * Retry-After, s, of a job that is refused because its queue needs advice and
+ * no advice service is configured: it could never run, and would be pending for
+ * ever. Settings are changed by hand, so callers need not retry soon.
  */
-#define HUB_UNADVISED_S 30
+#define HUB_NO_ADVICE_RETRY_S 30
 
-/* Takes a job in; then goes on once it is stored for good. */
+/* Accepts a job, and resumes the call once the job is stored permanently. */
 void hub_submit(struct hub *h, struct hub_call *c, const struct jtb_spec *spec,
-		hub_then then)
+		hub_resume_fn resume)
 {
 	const struct jtb_queue *q = jtb_queue(jtb_config(h->jtb), spec->queue);
 
-	if (q && q->advised && !adv_line_there(h->advice)) {
+	if (q && q->advised && !adv_line_configured(h->advice)) {
 		h->counts[HUB_UNADVISED]++;
 		hub_answer(h, c,
 			   &(struct hub_answer){.status = 503,
 						.retry_after_s =
-							HUB_UNADVISED_S});
+							HUB_NO_ADVICE_RETRY_S});
 		return;
 	}
 	h->counts[HUB_JOBS]++;
@@ -34,27 +35,30 @@
 		spec->queue, spec->n_steps, jtb_config(h->jtb)->version,
 		jtb_live(h->jtb)->len);
 	jtb_put_job(hub_put(h), spec, hub_wall_ms());
-	hub_commit(h, c, then);
+	hub_commit(h, c, resume);
 }
 
-/* Ends a job; then goes on once nothing of it is started any more. */
+/*
+ * Cancels a job, and resumes the call once no task of the job can be started
+ * any more.
+ */
 void hub_cancel(struct hub *h, struct hub_call *c, const char *id,
-		hub_then then)
+		hub_resume_fn resume)
 {
 	h->counts[HUB_CANCELS]++;
 	msg_job(MSG_HUB_CANCEL, id, "job=%s", id);
 	jtb_put_cancel(hub_put(h), id, hub_wall_ms());
-	hub_commit(h, c, then);
+	hub_commit(h, c, resume);
 }
 
 /*
- * A worker told of itself. Only what is new goes into the log; that it leaves
- * must be there before it is told that we know, since the next leader must
- * give it no work either.
+ * Accepts a worker's report on itself. Only changes are put into the log. That
+ * a worker leaves must be stored before the report is acknowledged, since the
+ * next leader must give it no work either.
  */
 void hub_told_worker(struct hub *h, struct hub_call *c,
 		     const struct jtb_worker_info *info, uint64_t sequence,
-		     int64_t clock_ms, hub_then then)
+		     int64_t clock_ms, hub_resume_fn resume)
 {
 	struct jtb_worker *w = jtb_worker(h->jtb, info->id);
 
@@ -63,30 +67,30 @@
 		    "what=\"word of a worker that is over\" worker=%s addr=%s "
 		    "sequence=%" PRIu64,
 		    info->id, info->addr, sequence);
-		then(h, c);
+		resume(h, c);
 		return;
 	}
-	if (hub_late_word(h, info->id, sequence)) {
-		then(h, c);
+	if (hub_report_outdated(h, info->id, sequence)) {
+		resume(h, c);
 		return;
 	}
 	if (w)
 		wkr_clock(h->wkr, w, clock_ms);
 	else
-		hub_addr_taken(h, info);
+		hub_probe_addr(h, info);
 	if (w && jtb_worker_known(&w->info, info)) {
 		h->counts[HUB_REPORTS]++;
-		then(h, c);
+		resume(h, c);
 		return;
 	}
 	jtb_put_worker(hub_put(h), info);
-	hub_commit(h, c, then);
+	hub_commit(h, c, resume);
 }
 
 /*
- * Whether a replica that doesn't lead may acknowledge what a worker told of
- * itself: it is all in the table, so that any leader knows it too. One that has
- * lost its leader may be far behind, and sends the worker elsewhere.
+ * Whether a replica that does not lead may acknowledge a worker's report: all
+ * of the report is in the table, so any leader knows it too. A replica without
+ * a leader may be far behind, and redirects the worker instead.
  */
 bool hub_knows_worker(struct hub *h, const struct jtb_worker_info *info)
 {
@@ -99,37 +103,41 @@
 	return knows;
 }
 
-/* A worker says that it ends; it may still run something for a moment. */
+/*
+ * Accepts a worker's announcement of its end; the worker may still run tasks
+ * for a moment.
+ */
 void hub_told_leave(struct hub *h, struct hub_call *c, const char *id,
-		    hub_then then)
+		    hub_resume_fn resume)
 {
 	struct jtb_worker *w = jtb_worker(h->jtb, id);
 
 	if (w) {
-		hub_worker_leaves(h, w);
+		hub_record_leave(h, w);
 		if (w->runs->len)
 			wkr_ask(h->wkr, w);
 	}
-	hub_commit(h, c, then);
+	hub_commit(h, c, resume);
 }
 
-/* Whether a later word of that worker came before this one. */
-static bool hub_late_word(struct hub *h, const char *id, uint64_t sequence)
+/* Whether a newer report of that worker was received before. */
+static bool hub_report_outdated(struct hub *h, const char *id,
+				uint64_t sequence)
 {
-	uint64_t *last = g_hash_table_lookup(h->heard, id);
+	uint64_t *last = g_hash_table_lookup(h->report_seqs, id);
 
 	if (last && sequence <= *last)
 		return true;
-	g_hash_table_replace(h->heard, g_strdup(id),
+	g_hash_table_replace(h->report_seqs, g_strdup(id),
 			     g_memdup2(&sequence, sizeof(sequence)));
 	return false;
 }
 
 /*
- * Another lifetime at the address of one that we know: the older is asked for
- * by its id, and is over if somebody else answers.
+ * A new worker reports an address that a known worker has: asks the known
+ * worker for its runs by its id. It is over if another worker answers.
  */
-static void hub_addr_taken(struct hub *h, const struct jtb_worker_info *info)
+static void hub_probe_addr(struct hub *h, const struct jtb_worker_info *info)
 {
 	GHashTableIter it;
 	struct jtb_worker *w;
--- a/src/hub_tell.c
+++ b/src/hub_tell.c
@@ -4,13 +4,13 @@
 
 #include "msg.h"
 
-/* What a control daemon tells monitoring of itself. */
+/* Metrics of the control daemon, and the log line on the leader's own work. */
 
-/* Between two lines on the leader's own work, ms. */
-#define HUB_WORK_MS 1000
+/* Interval between log lines on the leader's own work, ms. */
+#define HUB_WORK_LOG_INTERVAL_MS 1000
 
-static void hub_tell_state(const struct hub *h, GString *out);
-static void hub_tell_descriptors(const struct hub *h, GString *out);
+static void hub_write_state(const struct hub *h, GString *out);
+static void hub_write_descriptors(const struct hub *h, GString *out);
 
 static const struct cnt_def hub_counters[HUB_COUNTS] = {
 	[HUB_CALLS] = {"endive_calls_total", "counter",
@@ -45,8 +45,8 @@
 			 "Reports of workers with nothing new"},
 	[HUB_CRASHES] = {"endive_workers_crashed_total", "counter",
 			 "Workers that ended by themselves"},
-	[HUB_GIVEN_UP] = {"endive_jobs_crashing_total", "counter",
-			  "Jobs given up as a task crashed its workers"},
+	[HUB_CRASHING_JOBS] = {"endive_jobs_crashing_total", "counter",
+			       "Jobs given up as a task crashed its workers"},
 	[HUB_LATE_ENDS] = {"endive_late_ends_total", "counter",
 			   "Ends of runs that had been taken for over"},
 	[HUB_UNADVISED] =
@@ -57,14 +57,14 @@
 static const struct {
 	const char *name;
 	const char *help;
-} hub_times[HUB_TIMES] = {
+} hub_time_defs[HUB_TIMES] = {
 	[HUB_ANSWER] = {"endive_call_seconds", "Calls, until their answer"},
 	[HUB_FIRST_START] = {"endive_job_first_start_seconds",
 			     "Jobs, from acceptance to their first start"},
 	[HUB_COMPLETED] = {"endive_job_seconds",
 			   "Completed jobs, from acceptance to their end"},
-	[HUB_LATE] = {"endive_job_late_seconds",
-		      "What completed jobs took beyond their objective"},
+	[HUB_OVERRUN] = {"endive_job_late_seconds",
+			 "What completed jobs took beyond their objective"},
 	[HUB_RUN] = {"endive_run_seconds",
 		     "Runs that are done, from their order to their end"},
 	[HUB_COMMIT] = {"endive_commit_seconds",
@@ -73,25 +73,25 @@
 		      "Reads, until a majority has confirmed the leader"},
 };
 
-/* Counts how long something took. */
-void hub_time(struct hub *h, enum hub_time what, int64_t ms)
+/* Adds a duration to its histogram. */
+void hub_record_time(struct hub *h, enum hub_duration what, int64_t ms)
 {
 	cnt_time_ms(&h->times[what], ms);
 }
 
-/* Appends all metrics in the text form that monitoring reads. */
-void hub_tell_metrics(const struct hub *h, GString *out)
+/* Appends all metrics in the Prometheus text format. */
+void hub_write_metrics(const struct hub *h, GString *out)
 {
 	const struct wkr_stats *s = wkr_stats(h->wkr);
 	const struct adv_stats *a = adv_line_stats(h->advice);
 	size_t i;
 
 	cnt_text(out, hub_counters, h->counts, HUB_COUNTS, "");
-	hub_tell_state(h, out);
-	hld_text(&h->held, out);
+	hub_write_state(h, out);
+	hld_text(&h->pending, out);
 	for (i = 0; i < HUB_TIMES; i++)
-		cnt_times_text(out, hub_times[i].name, hub_times[i].help,
-			       &h->times[i]);
+		cnt_times_text(out, hub_time_defs[i].name,
+			       hub_time_defs[i].help, &h->times[i]);
 	cnt_times_text(out, "endive_order_seconds",
 		       "Orders to workers, until their answer", &s->answers);
 	cnt_times_text(out, "endive_lease_margin_seconds",
@@ -104,7 +104,7 @@
 	cnt_times_text(out, "endive_leaderless_seconds",
 		       "Times without a leader, as this replica saw them",
 		       rep_leaderless(h->rep));
-	hub_tell_descriptors(h, out);
+	hub_write_descriptors(h, out);
 	cpu_text(out);
 	cnt_times_text(out, "endive_loop_lag_seconds",
 		       "How late timers are called", tmr_lag(h->tmr));
@@ -112,34 +112,35 @@
 }
 
 /*
- * Tells each second where the leader's time went, us by kind of work: after a
- * bad day it says whether the leader was behind, and with what.
+ * Logs each second the time that the leader spent on each kind of work, us.
+ * After an incident the lines show whether the leader fell behind, and with
+ * which work.
  */
-void hub_tell_work(struct hub *h, int64_t now)
+void hub_log_work(struct hub *h, int64_t now)
 {
 	GString *text;
 	int i;
 
-	if (now - h->work_told_ms < HUB_WORK_MS)
+	if (now - h->work_logged_ms < HUB_WORK_LOG_INTERVAL_MS)
 		return;
 	text = g_string_new(NULL);
 	g_string_append_printf(text, "for_ms=%" PRId64 " lag_ms=%" PRId64,
-			       h->work_told_ms ? now - h->work_told_ms : 0,
+			       h->work_logged_ms ? now - h->work_logged_ms : 0,
 			       tmr_lag_ms(h->tmr));
 	for (i = CPU_LOOP + 1; i < CPU_KINDS; i++) {
 		uint64_t used = cpu_used_us(i);
 
 		g_string_append_printf(text, " %s=%" PRIu64, cpu_name(i),
-				       used - h->work_told_us[i]);
-		h->work_told_us[i] = used;
+				       used - h->work_logged_us[i]);
+		h->work_logged_us[i] = used;
 	}
 	msg(MSG_HUB_WORK, "%s", text->str);
 	g_string_free(text, TRUE);
-	h->work_told_ms = now;
+	h->work_logged_ms = now;
 }
 
-/* Appends how many descriptors each part has in use, and may have. */
-static void hub_tell_descriptors(const struct hub *h, GString *out)
+/* Appends how many descriptors each part uses and its limit. */
+static void hub_write_descriptors(const struct hub *h, GString *out)
 {
 	struct srv_stats callers = srv_stats(h->srv);
 	struct srv_stats operators = srv_stats(h->metrics);
@@ -155,14 +156,14 @@
 	fdb_text(h->config.descriptors, use, out);
 }
 
-/* Appends how things stand now, and what other parts count. */
-static void hub_tell_state(const struct hub *h, GString *out)
+/* Appends the current state, and the counters of other modules. */
+static void hub_write_state(const struct hub *h, GString *out)
 {
 	const struct wkr_stats *s = wkr_stats(h->wkr);
 	struct rep_quorum q = rep_quorum(h->rep);
 	const struct adv_stats *a = adv_line_stats(h->advice);
 	struct rly_stats r = rly_stats(h->rly);
-	struct rly_stats rc = rly_carry_stats(h->carry);
+	struct rly_stats rc = rly_carry_stats(h->relay_server);
 	const struct cnt_def defs[] = {
 		{"endive_leading", "gauge", "1 on the replica that leads"},
 		{"endive_voters", "gauge", "Replicas that vote"},
@@ -228,7 +229,7 @@
 		s->refused,
 		s->lapses,
 		adv_waiting(h->adv, tmr_now(h->tmr), hub_wall_ms()),
-		adv_kept(h->adv),
+		adv_step_count(h->adv),
 		a->calls,
 		a->failed,
 		a->named,
--- a/src/hub_vm.c
+++ b/src/hub_vm.c
@@ -4,60 +4,64 @@
 
 #include "msg.h"
 
-/* How young the list of VMs is kept while a wave is on, ms. */
-#define HUB_LIST_MS 700
-/* Between two lines on each pool. */
-#define HUB_TELL_MS 1000
+/* Age at which the leader requests a new list of VMs, ms. */
+#define HUB_LIST_AGE_MAX_MS 700
+/* Interval between log lines on each pool, ms. */
+#define HUB_POOL_LOG_INTERVAL_MS 1000
 /*
- * A new leader orders nothing for so long, ms: what the last one wrote before
- * it broke off (see VMS_BREAK_MS), or before it handed over, is in the network
- * for less. Its first list takes most of that anyway.
+ * Grace period, ms: a new leader sends no orders to VMs until it is over.
+ * Orders that the previous leader wrote before it aborted them (see
+ * VMS_BREAK_MS) or handed over leadership are in the network for less. The new
+ * leader's first list of VMs takes most of that time anyway.
  */
-#define HUB_PASS_MS 100
-
-static int64_t hub_vm_sure(void *arg);
-static void hub_vm_listed(void *arg);
-static void hub_vm_answered(void *arg, enum vms_kind kind, const char *vm,
-			    enum vms_answer answer);
-static void hub_vm_order(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm);
-static void hub_vm_note(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm,
-			enum jtb_vm_state state, const char *worker_before);
-static bool hub_vm_reached(void *arg, const struct jtb_worker *w);
-static bool hub_vm_spared(void *arg, const char *vm);
+#define HUB_VM_GRACE_MS 100
+
+static int64_t hub_vm_lead_confirmed_ms(void *arg);
+static void hub_vm_on_list(void *arg);
+static void hub_vm_on_answer(void *arg, enum vms_kind kind, const char *vm,
+			     enum vms_answer answer);
+static void hub_vm_order_upkeep(void *arg, struct jtb_wave *w,
+				struct jtb_wave_vm *vm);
+static void hub_vm_record_upkeep(void *arg, struct jtb_wave *w,
+				 struct jtb_wave_vm *vm,
+				 enum jtb_vm_state state,
+				 const char *worker_before);
+static bool hub_vm_worker_reachable(void *arg, const struct jtb_worker *w);
+static bool hub_vm_is_spare(void *arg, const char *vm);
 static bool hub_vm_moving(void *arg, const char *vm);
-static void hub_vm_move(void *arg, const char *vm, const char *pool);
-static bool hub_vm_may_stop(void *arg, const struct jtb_run *run);
-static bool hub_vm_held(void *arg, const char *vm);
-static void hub_vm_passed(void *arg, int64_t now);
-static void hub_vm_decide(struct hub *h, int64_t now);
-static void hub_vm_dead(struct hub *h);
-static void hub_vm_listed_worker(const struct hub *h, struct jtb_worker *w,
-				 int64_t since, struct evd_vm *out);
-static void hub_vm_tell(struct hub *h, int64_t now);
+static void hub_vm_order_move(void *arg, const char *vm, const char *pool);
+static bool hub_vm_may_stop_run(void *arg, const struct jtb_run *run);
+static bool hub_vm_in_upkeep(void *arg, const char *vm);
+static void hub_vm_on_grace_over(void *arg, int64_t now);
+static void hub_vm_plan(struct hub *h, int64_t now);
+static void hub_vm_check_workers(struct hub *h);
+static void hub_vm_worker_evidence(const struct hub *h, struct jtb_worker *w,
+				   int64_t since, struct evd_vm *out);
+static void hub_vm_log_pools(struct hub *h, int64_t now);
 
 static const struct vms_ops hub_vms_ops = {
-	.listed = hub_vm_listed,
-	.answered = hub_vm_answered,
-	.sure = hub_vm_sure,
+	.listed = hub_vm_on_list,
+	.answered = hub_vm_on_answer,
+	.sure = hub_vm_lead_confirmed_ms,
 };
 
 static const struct upk_ops hub_upk_ops = {
-	.stop = hub_stop,
-	.order = hub_vm_order,
-	.note = hub_vm_note,
+	.stop = hub_stop_run,
+	.order = hub_vm_order_upkeep,
+	.note = hub_vm_record_upkeep,
 	.held = hub_vm_moving,
-	.spared = hub_vm_spared,
-	.reached = hub_vm_reached,
+	.spared = hub_vm_is_spare,
+	.reached = hub_vm_worker_reachable,
 };
 
 static const struct flo_ops hub_flo_ops = {
-	.order = hub_vm_move,
-	.stop = hub_stop,
-	.may_stop = hub_vm_may_stop,
-	.held = hub_vm_held,
+	.order = hub_vm_order_move,
+	.stop = hub_stop_run,
+	.may_stop = hub_vm_may_stop_run,
+	.held = hub_vm_in_upkeep,
 };
 
-static const char *const hub_vm_answers[] = {
+static const char *const hub_vm_answer_names[] = {
 	[VMS_YES] = "yes",
 	[VMS_FENCED] = "fenced",
 	[VMS_BUSY] = "busy",
@@ -67,7 +71,10 @@
 	[VMS_UNANSWERED] = "unanswered",
 };
 
-/* Begins without a list. */
+/*
+ * Creates the VM service's client, upkeep and pool moves; no list of VMs is
+ * known yet.
+ */
 void hub_vm_init(struct hub *h)
 {
 	h->vms = vms_new(
@@ -83,7 +90,7 @@
 	h->flo = flo_new(h->jtb, h->vms, &hub_flo_ops, h);
 }
 
-/* Frees list and waves. */
+/* Frees the client, upkeep and pool moves. */
 void hub_vm_free(struct hub *h)
 {
 	tmr_cancel(h->tmr, h->vm_timer);
@@ -92,70 +99,73 @@
 	vms_free(h->vms);
 }
 
-/* We lead: orders carry our term as fence. */
+/* Becomes leader: orders carry term as their fence. */
 void hub_vm_lead(struct hub *h, uint64_t term)
 {
 	vms_lead(h->vms, term);
 	upk_lead(h->upk);
 	flo_lead(h->flo);
 	/*
-	 * Two leaders must not give a VM orders by turns: one that leads again
-	 * soon after it lost its place lets the other's orders pass first. For
-	 * the next leader the higher fence is enough, once the last leader's
-	 * orders can't arrive any more.
+	 * Two leaders must not send a VM orders by turns: a replica that leads
+	 * again soon after it lost leadership first waits until the other
+	 * leader's orders have arrived. For any other new leader the higher
+	 * fence is enough, once the previous leader's orders can no longer
+	 * arrive.
 	 */
-	h->vm_from = tmr_now(h->tmr) + HUB_PASS_MS;
-	if (h->rested_ms)
-		h->vm_from =
-			MAX(h->vm_from, h->rested_ms + h->config.vm_lease_ms);
-	/* not with the next list or tick, which are up to 200 ms later */
-	h->vm_timer = tmr_once(h->tmr, h->vm_from - tmr_now(h->tmr),
-			       hub_vm_passed, h);
+	h->vm_orders_from_ms = tmr_now(h->tmr) + HUB_VM_GRACE_MS;
+	if (h->lead_lost_ms)
+		h->vm_orders_from_ms =
+			MAX(h->vm_orders_from_ms,
+			    h->lead_lost_ms + h->config.vm_lease_ms);
+	/* The next list or tick may be up to 200 ms later. */
+	h->vm_timer = tmr_once(h->tmr, h->vm_orders_from_ms - tmr_now(h->tmr),
+			       hub_vm_on_grace_over, h);
 	if (h->config.vms)
 		vms_refresh(h->vms);
 }
 
-/* The orders of the last leader have passed. */
-static void hub_vm_passed(void *arg, int64_t now)
+/* The previous leader's orders can no longer arrive: sends the first orders. */
+static void hub_vm_on_grace_over(void *arg, int64_t now)
 {
 	struct hub *h = arg;
 
 	h->vm_timer = 0;
 	if (h->config.vms)
-		hub_vm_decide(h, now);
+		hub_vm_plan(h, now);
 }
 
-/* We don't lead any more. */
-void hub_vm_rest(struct hub *h)
+/* Steps down as leader. */
+void hub_vm_step_down(struct hub *h)
 {
 	tmr_cancel(h->tmr, h->vm_timer);
 	h->vm_timer = 0;
 	vms_rest(h->vms);
-	h->rested_ms = tmr_now(h->tmr);
+	h->lead_lost_ms = tmr_now(h->tmr);
 }
 
 /*
- * Goes on with upkeep and moves, on a list that is young enough.
+ * Continues upkeep and moves, and requests a new list of VMs when the list is
+ * old.
  */
 void hub_vm_tick(struct hub *h, int64_t now)
 {
 	if (!h->config.vms || !h->leading)
 		return;
-	if (now - vms_listed_ms(h->vms) > HUB_LIST_MS)
+	if (now - vms_listed_ms(h->vms) > HUB_LIST_AGE_MAX_MS)
 		vms_refresh(h->vms);
-	hub_vm_decide(h, now);
-	hub_vm_tell(h, now);
+	hub_vm_plan(h, now);
+	hub_vm_log_pools(h, now);
 }
 
-/* What the decisions on pools rest on, once a second. */
-static void hub_vm_tell(struct hub *h, int64_t now)
+/* Logs once a second the figures that pool decisions rest on. */
+static void hub_vm_log_pools(struct hub *h, int64_t now)
 {
 	GPtrArray *pools = flo_pools(h->flo);
 	guint i;
 
-	if (now - h->told_ms < HUB_TELL_MS)
+	if (now - h->pools_logged_ms < HUB_POOL_LOG_INTERVAL_MS)
 		return;
-	h->told_ms = now;
+	h->pools_logged_ms = now;
 	for (i = 0; i < pools->len; i++) {
 		const struct flo_pool *p = g_ptr_array_index(pools, i);
 
@@ -168,40 +178,42 @@
 	}
 }
 
-/* Has upkeep and moves decide, by the list that just came. */
-static void hub_vm_decide(struct hub *h, int64_t now)
+/* Lets upkeep and pool moves decide by the newest list of VMs. */
+static void hub_vm_plan(struct hub *h, int64_t now)
 {
 	int64_t wall = hub_wall_ms();
 
-	if (!h->leading || now < h->vm_from)
+	if (!h->leading || now < h->vm_orders_from_ms)
 		return;
 	upk_tick(h->upk, now, wall);
 	flo_tick(h->flo, now, wall);
 }
 
-/* When we last knew that we lead; one that hands over knows no more. */
-static int64_t hub_vm_sure(void *arg)
+/*
+ * Returns when leadership was last confirmed, ms; 0: it is being handed over.
+ */
+static int64_t hub_vm_lead_confirmed_ms(void *arg)
 {
 	struct hub *h = arg;
 
-	return rep_hands_over(h->rep) ? 0 : hub_sure(h);
+	return rep_hands_over(h->rep) ? 0 : hub_lead_confirmed_ms(h);
 }
 
-/* The list of VMs is whole. */
-static void hub_vm_listed(void *arg)
+/* The list of VMs is complete. */
+static void hub_vm_on_list(void *arg)
 {
 	struct hub *h = arg;
 	enum cpu_kind before = cpu_enter(CPU_UPKEEP);
 
-	hub_vm_dead(h);
-	hub_vm_decide(h, tmr_now(h->tmr));
+	hub_vm_check_workers(h);
+	hub_vm_plan(h, tmr_now(h->tmr));
 	cpu_leave(before);
 }
 
-/* Looks for workers that are over by the list of VMs that just came in. */
-static void hub_vm_dead(struct hub *h)
+/* Finds workers that are over by the newest list of VMs. */
+static void hub_vm_check_workers(struct hub *h)
 {
-	struct evd_moment m = hub_moment(h);
+	struct evd_moment m = hub_evd_moment(h);
 	GHashTableIter it;
 	struct jtb_worker *w;
 
@@ -211,19 +223,22 @@
 		struct evd_vm vm;
 		struct evd e;
 
-		hub_vm_listed_worker(h, w, since, &vm);
+		hub_vm_worker_evidence(h, w, since, &vm);
 		if (evd_vm_over(&vm, since, &m, &e))
-			hub_worker_lost(h, w, &e);
+			hub_remove_lost_worker(h, w, &e);
 	}
 }
 
-/* What the newest list says of a worker that is silent since then; 0: it isn't. */
-static void hub_vm_listed_worker(const struct hub *h, struct jtb_worker *w,
-				 int64_t since, struct evd_vm *out)
+/*
+ * Sets out to what the newest list says of a worker that has been unreachable
+ * since then; 0: the worker is reachable.
+ */
+static void hub_vm_worker_evidence(const struct hub *h, struct jtb_worker *w,
+				   int64_t since, struct evd_vm *out)
 {
-	const struct vms_vm *on = vms_of_worker(h->vms, w->info.id);
+	const struct vms_vm *current = vms_of_worker(h->vms, w->info.id);
 	const struct vms_vm *vm =
-		on ? on : vms_last_of_worker(h->vms, w->info.id);
+		current ? current : vms_last_of_worker(h->vms, w->info.id);
 	int64_t asked = vms_listed_ms(h->vms);
 
 	w->unlisted = vm || !since || since >= asked ? 0 : w->unlisted + 1;
@@ -231,15 +246,15 @@
 		.asked_ms = asked,
 		.listed = vm != NULL,
 		.up = vm && vm->state == VMS_UP,
-		.other = vm && !on && *vm->worker,
+		.other = vm && !current && *vm->worker,
 		.unread = vms_unread(h->vms),
 		.without = w->unlisted,
 	};
 }
 
-/* The service of VMs answered an order. */
-static void hub_vm_answered(void *arg, enum vms_kind kind, const char *vm,
-			    enum vms_answer answer)
+/* The VM service answered an order. */
+static void hub_vm_on_answer(void *arg, enum vms_kind kind, const char *vm,
+			     enum vms_answer answer)
 {
 	struct hub *h = arg;
 	const char *worker = kind == VMS_DO_UPKEEP ? upk_worker(h->upk, vm)
@@ -247,22 +262,24 @@
 	struct jtb_worker *w;
 
 	msg(MSG_HUB_VM, "vm=%s does=%s answer=%s", vm,
-	    kind == VMS_DO_UPKEEP ? "upkeep" : "move", hub_vm_answers[answer]);
+	    kind == VMS_DO_UPKEEP ? "upkeep" : "move",
+	    hub_vm_answer_names[answer]);
 	if (kind == VMS_DO_UPKEEP)
 		upk_answered(h->upk, vm, answer, tmr_now(h->tmr));
 	else
 		flo_answered(h->flo, vm, answer, tmr_now(h->tmr));
 	if (answer != VMS_YES)
 		return;
-	/* The lifetime that was on it is over, with all that it ran. */
+	/* The lifetime of the worker on that VM is over, with all its runs. */
 	w = worker ? jtb_worker(h->jtb, worker) : NULL;
 	if (w)
-		hub_worker_left(h, w, EVD_VM_ORDER, tmr_now(h->tmr));
+		hub_remove_left_worker(h, w, EVD_VM_ORDER, tmr_now(h->tmr));
 	vms_refresh(h->vms);
 }
 
-/* Upkeep orders something of a VM. */
-static void hub_vm_order(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm)
+/* Orders the upkeep of a VM. */
+static void hub_vm_order_upkeep(void *arg, struct jtb_wave *w,
+				struct jtb_wave_vm *vm)
 {
 	struct hub *h = arg;
 
@@ -270,9 +287,11 @@
 	vms_upkeep(h->vms, vm->vm, w->no);
 }
 
-/* What upkeep did with a VM goes into the log. */
-static void hub_vm_note(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm,
-			enum jtb_vm_state state, const char *worker_before)
+/* Puts a state of a VM's upkeep into the log. */
+static void hub_vm_record_upkeep(void *arg, struct jtb_wave *w,
+				 struct jtb_wave_vm *vm,
+				 enum jtb_vm_state state,
+				 const char *worker_before)
 {
 	struct hub *h = arg;
 
@@ -283,23 +302,23 @@
 	jtb_put_vm(hub_put(h), w->no, vm->vm, state, worker_before);
 }
 
-/* Whether nobody would miss a VM now. */
-static bool hub_vm_spared(void *arg, const char *vm)
+/* Whether a VM is spare now. */
+static bool hub_vm_is_spare(void *arg, const char *vm)
 {
 	const struct hub *h = arg;
 
 	return flo_spared(h->flo, vm);
 }
 
-/* Whether a worker answers. */
-static bool hub_vm_reached(void *arg, const struct jtb_worker *w)
+/* Whether a worker is reachable. */
+static bool hub_vm_worker_reachable(void *arg, const struct jtb_worker *w)
 {
 	const struct hub *h = arg;
 
 	return wkr_reached(h->wkr, w);
 }
 
-/* Whether a VM is on its way to another pool. */
+/* Whether a VM is being moved to another pool. */
 static bool hub_vm_moving(void *arg, const char *vm)
 {
 	const struct hub *h = arg;
@@ -307,8 +326,8 @@
 	return flo_holds(h->flo, vm);
 }
 
-/* A VM is to be moved to a pool. */
-static void hub_vm_move(void *arg, const char *vm, const char *pool)
+/* Orders the move of a VM to a pool. */
+static void hub_vm_order_move(void *arg, const char *vm, const char *pool)
 {
 	struct hub *h = arg;
 
@@ -316,16 +335,16 @@
 	vms_move(h->vms, vm, pool);
 }
 
-/* Whether a run may be stopped to empty its worker. */
-static bool hub_vm_may_stop(void *arg, const struct jtb_run *run)
+/* Whether a run may be stopped to drain its worker. */
+static bool hub_vm_may_stop_run(void *arg, const struct jtb_run *run)
 {
 	const struct hub *h = arg;
 
 	return upk_may_stop(h->upk, run);
 }
 
-/* Whether upkeep holds a VM, or will at once. */
-static bool hub_vm_held(void *arg, const char *vm)
+/* Whether a VM is in upkeep, or will be at once. */
+static bool hub_vm_in_upkeep(void *arg, const char *vm)
 {
 	const struct hub *h = arg;
 
--- a/tests/fuzz/advice_fuzz.c
+++ b/tests/fuzz/advice_fuzz.c
@@ -1,7 +1,10 @@
 #include "fuzz.h"
 #include "plt.h"
 
-/* Rows are whole, and what is told of the tickets' time is one. */
+/*
+ * A decoded answer has complete rows, and a validity of the tickets within its
+ * range.
+ */
 static void check(struct lstr input)
 {
 	GPtrArray *rows = g_ptr_array_new_with_free_func(adv_row_free);
--- a/tests/unit/adv_line_test.c
+++ b/tests/unit/adv_line_test.c
@@ -11,12 +11,12 @@
 #include "jobs_make.h"
 #include "net.h"
 
-/* Long enough for some retries, ms. */
+/* Enough time for some retries, ms. */
 #define SETTLE_MS 500
 #define WAIT_MS 10000
 
-/* A service that answers as a test tells it, and the leader's side. */
-struct bed {
+/* An advice service that answers as the test sets it, and the leader's side. */
+struct fixture {
 	struct event_base *base;
 	struct tmr *tmr;
 	struct evhttp *http;
@@ -26,27 +26,27 @@
 	struct adv_line *line;
 	GHashTable *closed;
 	int calls;
-	int waiting; /* calls that got no answer yet */
-	int most_waiting;
-	int looks;
-	int refuse; /* so many are told that too many wait */
-	int sick; /* so many are told that it can't now */
-	int odd; /* so many are turned down */
-	int cut; /* so many get no answer, their connection ends */
-	bool silent; /* none gets an answer */
-	char last[256]; /* the last question */
-	GPtrArray *kept; /* struct evhttp_request without an answer */
+	int unanswered; /* calls without an answer so far */
+	int max_unanswered;
+	int polls;
+	int busy_replies; /* calls to answer with 429 */
+	int unavailable_replies; /* calls to answer with 503 */
+	int rejections; /* calls to answer with 400 */
+	int dropped_connections; /* calls to drop without an answer */
+	bool no_answers; /* no call is answered */
+	char last_query[256]; /* body of the last query */
+	GPtrArray *open_requests; /* struct evhttp_request without an answer */
 };
 
-static const char *bed_write(const struct adv_ask *ask, struct evbuffer *body)
+static const char *fake_write(const struct adv_ask *ask, struct evbuffer *body)
 {
 	evbuffer_add_printf(body, "%s %u", ask->step.id, ask->workers->len);
 	return "/ask";
 }
 
-/* The body is who is approved. */
-static enum adv_result bed_answer(int status, struct lstr body, GPtrArray *rows,
-				  int64_t *valid_ms)
+/* The body is the id of the approved worker. */
+static enum adv_result fake_answer(int status, struct lstr body,
+				   GPtrArray *rows, int64_t *valid_ms)
 {
 	struct adv_row *row;
 
@@ -61,281 +61,295 @@
 	return ADV_TOLD;
 }
 
-static const struct adv_codec bed_codec = {
+static const struct adv_codec fake_codec = {
 	.content_type = "text/plain",
-	.write = bed_write,
-	.answer = bed_answer,
+	.write = fake_write,
+	.answer = fake_answer,
 };
 
-static void bed_reply(struct bed *b, struct evhttp_request *req, int status)
+static void fake_reply(struct fixture *f, struct evhttp_request *req,
+		       int status)
 {
 	struct evbuffer *body = evbuffer_new();
 
-	b->waiting--;
+	f->unanswered--;
 	evbuffer_add_printf(body, "w");
 	evhttp_send_reply(req, status, "x", status == 200 ? body : NULL);
 	evbuffer_free(body);
 }
 
-static void bed_on_request(struct evhttp_request *req, void *arg)
+static void fake_on_request(struct evhttp_request *req, void *arg)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 	struct evbuffer *in = evhttp_request_get_input_buffer(req);
-	size_t n = MIN(evbuffer_get_length(in), sizeof(b->last) - 1);
-
-	evbuffer_copyout(in, b->last, n);
-	b->last[n] = '\0';
-	b->calls++;
-	b->waiting++;
-	b->most_waiting = MAX(b->most_waiting, b->waiting);
-	if (b->cut > 0) {
-		b->cut--;
-		b->waiting--;
+	size_t n = MIN(evbuffer_get_length(in), sizeof(f->last_query) - 1);
+
+	evbuffer_copyout(in, f->last_query, n);
+	f->last_query[n] = '\0';
+	f->calls++;
+	f->unanswered++;
+	f->max_unanswered = MAX(f->max_unanswered, f->unanswered);
+	if (f->dropped_connections > 0) {
+		f->dropped_connections--;
+		f->unanswered--;
 		evhttp_connection_free(evhttp_request_get_connection(req));
-	} else if (b->refuse > 0) {
-		b->refuse--;
-		bed_reply(b, req, 429);
-	} else if (b->sick > 0) {
-		b->sick--;
-		bed_reply(b, req, 503);
-	} else if (b->odd > 0) {
-		b->odd--;
-		bed_reply(b, req, 400);
-	} else if (b->silent) {
-		g_ptr_array_add(b->kept, req);
+	} else if (f->busy_replies > 0) {
+		f->busy_replies--;
+		fake_reply(f, req, 429);
+	} else if (f->unavailable_replies > 0) {
+		f->unavailable_replies--;
+		fake_reply(f, req, 503);
+	} else if (f->rejections > 0) {
+		f->rejections--;
+		fake_reply(f, req, 400);
+	} else if (f->no_answers) {
+		g_ptr_array_add(f->open_requests, req);
 	} else {
-		bed_reply(b, req, 200);
+		fake_reply(f, req, 200);
 	}
 }
 
-static bool bed_usable(void *arg, const struct jtb_worker *w)
+static bool is_usable(void *arg, const struct jtb_worker *w)
 {
 	return true;
 }
 
-static void look(struct bed *b)
+static void poll_line(struct fixture *f)
 {
 	struct sch_view v = {
-		.jtb = b->jtb,
-		.closed = b->closed,
-		.now_ms = tmr_now(b->tmr),
+		.jtb = f->jtb,
+		.closed = f->closed,
+		.now_ms = tmr_now(f->tmr),
 		.wall_ms = JOBS_WALL_MS,
-		.arg = b,
-		.usable = bed_usable,
+		.arg = f,
+		.usable = is_usable,
 	};
 
-	adv_line_look(b->line, &v);
+	adv_line_poll(f->line, &v);
 }
 
-static void bed_changed(void *arg)
+static void on_changed(void *arg)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	look(b);
+	poll_line(f);
 }
 
-static void bed_look(void *arg)
+static void on_poll(void *arg)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->looks++;
-	look(b);
+	f->polls++;
+	poll_line(f);
 }
 
-static const struct adv_ops bed_ops = {
-	.changed = bed_changed,
-	.look = bed_look,
+static const struct adv_ops fixture_ops = {
+	.changed = on_changed,
+	.poll = on_poll,
 };
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
+	struct fixture *f = g_new0(struct fixture, 1);
 	struct jtb_queue *q;
 	int port;
 
 	close(net_listen(&port));
-	g_snprintf(b->addr, sizeof(b->addr), "127.0.0.1:%d", port);
-	b->kept = g_ptr_array_new();
-	b->base = event_base_new();
-	b->tmr = tmr_new(b->base);
-	b->http = evhttp_new(b->base);
-	evhttp_set_gencb(b->http, bed_on_request, b);
+	g_snprintf(f->addr, sizeof(f->addr), "127.0.0.1:%d", port);
+	f->open_requests = g_ptr_array_new();
+	f->base = event_base_new();
+	f->tmr = tmr_new(f->base);
+	f->http = evhttp_new(f->base);
+	evhttp_set_gencb(f->http, fake_on_request, f);
 	assert_int_equal(
-		evhttp_bind_socket(b->http, "127.0.0.1", (uint16_t)port), 0);
-	b->jtb = jtb_new(NULL, NULL);
-	b->closed = g_hash_table_new(g_str_hash, g_str_equal);
-	jobs_config(b->jtb, 1, "p", 3);
-	q = (struct jtb_queue *)jtb_queue(jtb_config(b->jtb), "q");
+		evhttp_bind_socket(f->http, "127.0.0.1", (uint16_t)port), 0);
+	f->jtb = jtb_new(NULL, NULL);
+	f->closed = g_hash_table_new(g_str_hash, g_str_equal);
+	jobs_config(f->jtb, 1, "p", 3);
+	q = (struct jtb_queue *)jtb_queue(jtb_config(f->jtb), "q");
 	q->advised = true;
-	jobs_worker(b->jtb, "w", 4000, false);
-	b->adv = adv_new(b->jtb);
-	b->line = adv_line_new(&(struct adv_config){.base = b->base,
-						    .tmr = b->tmr,
-						    .codec = &bed_codec,
-						    .addr = b->addr},
-			       b->adv, &bed_ops, b);
-	adv_line_lead(b->line);
-	*state = b;
+	jobs_worker(f->jtb, "w", 4000, false);
+	f->adv = adv_new(f->jtb);
+	f->line = adv_line_new(&(struct adv_config){.base = f->base,
+						    .tmr = f->tmr,
+						    .codec = &fake_codec,
+						    .addr = f->addr},
+			       f->adv, &fixture_ops, f);
+	adv_line_lead(f->line);
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
-
-	adv_line_free(b->line);
-	adv_free(b->adv);
-	jtb_free(b->jtb);
-	g_hash_table_destroy(b->closed);
-	evhttp_free(b->http);
-	tmr_free(b->tmr);
-	event_base_free(b->base);
-	g_ptr_array_free(b->kept, TRUE);
-	g_free(b);
+	struct fixture *f = *state;
+
+	adv_line_free(f->line);
+	adv_free(f->adv);
+	jtb_free(f->jtb);
+	g_hash_table_destroy(f->closed);
+	evhttp_free(f->http);
+	tmr_free(f->tmr);
+	event_base_free(f->base);
+	g_ptr_array_free(f->open_requests, TRUE);
+	g_free(f);
 	return 0;
 }
 
-static void job(struct bed *b, const char *id)
+static void add_job(struct fixture *f, const char *id)
 {
 	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 3000};
 
-	jobs_job(b->jtb, id, &s, 1, JOBS_WALL_MS);
+	jobs_job(f->jtb, id, &s, 1, JOBS_WALL_MS);
 }
 
-static bool ticketed(struct bed *b, const char *id)
+static bool has_ticket(struct fixture *f, const char *id)
 {
-	return adv_ticketed(b->adv, jtb_job(b->jtb, id), 0, 0,
-			    jtb_worker(b->jtb, "w"), tmr_now(b->tmr));
+	return adv_ticketed(f->adv, jtb_job(f->jtb, id), 0, 0,
+			    jtb_worker(f->jtb, "w"), tmr_now(f->tmr));
 }
 
-static void wait_for_ticket(struct bed *b, const char *id)
+static void wait_for_ticket(struct fixture *f, const char *id)
 {
 	int ms;
 
-	for (ms = 0; ms < WAIT_MS && !ticketed(b, id); ms += 20)
-		net_run(b->base, 20);
-	assert_true(ticketed(b, id));
+	for (ms = 0; ms < WAIT_MS && !has_ticket(f, id); ms += 20)
+		net_run(f->base, 20);
+	assert_true(has_ticket(f, id));
 }
 
-/* The service works on one call of ours at a time: others would wait there. */
+/*
+ * Guards against concurrent calls: the service works on one call of a leader at
+ * a time, so others would only wait there.
+ */
 static void one_call_at_a_time_is_sent(void **state)
 {
-	struct bed *b = *state;
-
-	job(b, "j");
-	job(b, "k");
-	look(b);
-	look(b);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->calls, 2);
-	assert_int_equal(b->most_waiting, 1);
-	assert_true(ticketed(b, "j"));
-	assert_true(ticketed(b, "k"));
-	assert_int_equal(adv_line_stats(b->line)->approved, 2);
-	assert_int_equal(adv_line_stats(b->line)->failed, 0);
+	struct fixture *f = *state;
+
+	add_job(f, "j");
+	add_job(f, "k");
+	poll_line(f);
+	poll_line(f);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->calls, 2);
+	assert_int_equal(f->max_unanswered, 1);
+	assert_true(has_ticket(f, "j"));
+	assert_true(has_ticket(f, "k"));
+	assert_int_equal(adv_line_stats(f->line)->approved, 2);
+	assert_int_equal(adv_line_stats(f->line)->failed, 0);
 }
 
 /*
- * Accepted work stands still for good: the call for its ticket got no answer,
- * or a bad one. It is made again, each time a little later.
+ * Guards against accepted work that never runs because the call for its ticket
+ * got no valid answer: the call must be repeated, after a
+ * growing delay.
  */
-static void a_call_that_failed_is_made_again(void **state)
+static void failed_call_is_retried(void **state)
 {
-	struct bed *b = *state;
-
-	b->cut = 1;
-	b->refuse = 1;
-	b->sick = 1;
-	job(b, "j");
-	look(b);
-	wait_for_ticket(b, "j");
-	assert_int_equal(b->calls, 4);
-	assert_int_equal(adv_line_stats(b->line)->failed, 3);
+	struct fixture *f = *state;
+
+	f->dropped_connections = 1;
+	f->busy_replies = 1;
+	f->unavailable_replies = 1;
+	add_job(f, "j");
+	poll_line(f);
+	wait_for_ticket(f, "j");
+	assert_int_equal(f->calls, 4);
+	assert_int_equal(adv_line_stats(f->line)->failed, 3);
 }
 
-/* A question that isn't taken is put off; the one after it has its turn. */
-static void a_question_turned_down_lets_others_pass(void **state)
+/* Guards against a rejected query that blocks the query after it. */
+static void rejected_query_does_not_block_others(void **state)
 {
-	struct bed *b = *state;
-
-	b->odd = 1;
-	job(b, "j");
-	job(b, "k");
-	look(b);
-	wait_for_ticket(b, "j");
-	assert_false(ticketed(b, "k"));
+	struct fixture *f = *state;
+
+	f->rejections = 1;
+	add_job(f, "j");
+	add_job(f, "k");
+	poll_line(f);
+	wait_for_ticket(f, "j");
+	assert_false(has_ticket(f, "k"));
 }
 
-/* An answer that comes after its call was given up: asked again. */
-static void a_service_that_is_silent_is_asked_again(void **state)
+/*
+ * Guards against a service that does not answer in time: the query must be sent
+ * again.
+ */
+static void call_without_answer_is_retried(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int ms;
 
-	b->silent = true;
-	job(b, "j");
-	look(b);
-	for (ms = 0; ms < WAIT_MS && b->calls < 2; ms += 20)
-		net_run(b->base, 20);
-	assert_int_equal(b->calls, 2);
-	assert_int_equal(adv_line_stats(b->line)->failed, 1);
+	f->no_answers = true;
+	add_job(f, "j");
+	poll_line(f);
+	for (ms = 0; ms < WAIT_MS && f->calls < 2; ms += 20)
+		net_run(f->base, 20);
+	assert_int_equal(f->calls, 2);
+	assert_int_equal(adv_line_stats(f->line)->failed, 1);
 }
 
-/* Who leads no more asks nothing, and keeps no ticket for when it does. */
-static void who_doesnt_lead_asks_nothing(void **state)
+/*
+ * Guards against queries by a replica that does not lead, and against tickets
+ * kept until it leads again.
+ */
+static void follower_sends_no_query(void **state)
 {
-	struct bed *b = *state;
-
-	job(b, "j");
-	look(b);
-	adv_line_rest(b->line);
-	net_run(b->base, SETTLE_MS);
-	assert_false(ticketed(b, "j"));
-	b->calls = 0;
-	look(b);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->calls, 0);
-	adv_line_lead(b->line);
-	look(b);
-	wait_for_ticket(b, "j");
+	struct fixture *f = *state;
+
+	add_job(f, "j");
+	poll_line(f);
+	adv_line_step_down(f->line);
+	net_run(f->base, SETTLE_MS);
+	assert_false(has_ticket(f, "j"));
+	f->calls = 0;
+	poll_line(f);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->calls, 0);
+	adv_line_lead(f->line);
+	poll_line(f);
+	wait_for_ticket(f, "j");
 }
 
-/* Settings change the service's address while a call is on its way. */
-static void another_address_is_asked_at_once(void **state)
+/*
+ * Guards against a call that is lost when the settings change the service's
+ * address during the call.
+ */
+static void changed_address_is_used_at_once(void **state)
 {
-	struct bed *b = *state;
-
-	adv_line_set_addr(b->line, NULL);
-	assert_false(adv_line_there(b->line));
-	job(b, "j");
-	look(b);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->calls, 0);
-	adv_line_set_addr(b->line, "127.0.0.1:1");
-	look(b);
-	adv_line_set_addr(b->line, b->addr);
-	look(b);
-	wait_for_ticket(b, "j");
-	assert_int_equal(b->calls, 1);
+	struct fixture *f = *state;
+
+	adv_line_set_addr(f->line, NULL);
+	assert_false(adv_line_configured(f->line));
+	add_job(f, "j");
+	poll_line(f);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->calls, 0);
+	adv_line_set_addr(f->line, "127.0.0.1:1");
+	poll_line(f);
+	adv_line_set_addr(f->line, f->addr);
+	poll_line(f);
+	wait_for_ticket(f, "j");
+	assert_int_equal(f->calls, 1);
 }
 
 /*
- * A leader looks for advice twenty times a second, for good, on a site where no
- * queue needs any.
+ * Guards against polls twenty times a second for ever at a site where no queue
+ * needs advice.
  */
-static void nothing_is_looked_for_where_no_queue_needs_it(void **state)
+static void no_poll_if_no_queue_needs_advice(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_queue *q =
-		(struct jtb_queue *)jtb_queue(jtb_config(b->jtb), "q");
+		(struct jtb_queue *)jtb_queue(jtb_config(f->jtb), "q");
 
 	q->advised = false;
-	job(b, "j");
-	look(b);
-	look(b);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->looks, 0);
-	assert_int_equal(b->calls, 0);
+	add_job(f, "j");
+	poll_line(f);
+	poll_line(f);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->polls, 0);
+	assert_int_equal(f->calls, 0);
 }
 
 #define T(fn) cmocka_unit_test_setup_teardown(fn, setup, teardown)
@@ -344,12 +358,12 @@
 {
 	const struct CMUnitTest tests[] = {
 		T(one_call_at_a_time_is_sent),
-		T(a_call_that_failed_is_made_again),
-		T(a_question_turned_down_lets_others_pass),
-		T(a_service_that_is_silent_is_asked_again),
-		T(who_doesnt_lead_asks_nothing),
-		T(another_address_is_asked_at_once),
-		T(nothing_is_looked_for_where_no_queue_needs_it),
+		T(failed_call_is_retried),
+		T(rejected_query_does_not_block_others),
+		T(call_without_answer_is_retried),
+		T(follower_sends_no_query),
+		T(changed_address_is_used_at_once),
+		T(no_poll_if_no_queue_needs_advice),
 	};
 
 	return cmocka_run_group_tests_name("adv_line", tests, NULL, NULL);
--- a/tests/unit/adv_test.c
+++ b/tests/unit/adv_test.c
@@ -11,10 +11,10 @@
 #define CALL_MS 200
 #define EACH_MS 5
 #define VALID_MS 20000
-/* Beyond any pause of ours, and any ticket. */
+/* Longer than any backoff and the validity of any ticket. */
 #define LONG_MS 100000
 
-struct bed {
+struct fixture {
 	struct jtb *jtb;
 	struct adv *adv;
 	GHashTable *closed;
@@ -24,289 +24,303 @@
 	int64_t wall;
 };
 
-static bool bed_usable(void *arg, const struct jtb_worker *w)
+static bool is_usable(void *arg, const struct jtb_worker *w)
 {
 	return !w->info.draining;
 }
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
+	struct fixture *f = g_new0(struct fixture, 1);
 	struct jtb_queue *q;
 
-	b->jtb = jtb_new(NULL, NULL);
-	b->adv = adv_new(b->jtb);
-	b->closed = g_hash_table_new(g_str_hash, g_str_equal);
-	b->service.yes = 'a';
-	b->now = LONG_MS;
-	b->wall = JOBS_WALL_MS;
-	jobs_config(b->jtb, 1, "p", 3);
-	q = (struct jtb_queue *)jtb_queue(jtb_config(b->jtb), "q");
+	f->jtb = jtb_new(NULL, NULL);
+	f->adv = adv_new(f->jtb);
+	f->closed = g_hash_table_new(g_str_hash, g_str_equal);
+	f->service.approved_prefix = 'a';
+	f->now = LONG_MS;
+	f->wall = JOBS_WALL_MS;
+	jobs_config(f->jtb, 1, "p", 3);
+	q = (struct jtb_queue *)jtb_queue(jtb_config(f->jtb), "q");
 	q->advised = true;
 	q->advice_ms = CALL_MS;
 	q->advice_each_ms = EACH_MS;
 	q->advice_valid_ms = VALID_MS;
-	*state = b;
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	adv_ask_clear(&b->ask);
-	adv_free(b->adv);
-	jtb_free(b->jtb);
-	g_hash_table_destroy(b->closed);
-	g_free(b);
+	adv_ask_clear(&f->ask);
+	adv_free(f->adv);
+	jtb_free(f->jtb);
+	g_hash_table_destroy(f->closed);
+	g_free(f);
 	return 0;
 }
 
-/* Longer than a step that wanted nothing isn't looked at. */
-#define QUIET_MS 250
+/* Longer than the time for which a step that needs no query is skipped. */
+#define SKIP_MS 250
 
-/* What is asked next is in b->ask; false: nothing is. */
-static bool next(struct bed *b)
+/* Sets f->ask to the next query; returns false if none is needed. */
+static bool next_query(struct fixture *f)
 {
 	struct sch_view v = {
-		.jtb = b->jtb,
-		.closed = b->closed,
-		.now_ms = b->now,
-		.wall_ms = b->wall,
-		.arg = b,
-		.usable = bed_usable,
+		.jtb = f->jtb,
+		.closed = f->closed,
+		.now_ms = f->now,
+		.wall_ms = f->wall,
+		.arg = f,
+		.usable = is_usable,
 	};
 
-	adv_ask_clear(&b->ask);
-	return adv_next(b->adv, &v, &b->ask);
+	adv_ask_clear(&f->ask);
+	return adv_next(f->adv, &v, &f->ask);
 }
 
-/* The same, a moment later. */
-static bool next_later(struct bed *b)
+/* As next_query(), after SKIP_MS. */
+static bool next_query_later(struct fixture *f)
 {
-	b->now += QUIET_MS;
-	return next(b);
+	f->now += SKIP_MS;
+	return next_query(f);
 }
 
-/* The service answers what was asked, after the time that takes. */
-static void answer(struct bed *b)
+/* Answers f->ask as the fake service does, after the expected time. */
+static void answer_query(struct fixture *f)
 {
-	GPtrArray *rows = fake_advice_rows(&b->service, &b->ask);
-	int64_t asked = b->now;
+	GPtrArray *rows = fake_advice_rows(&f->service, &f->ask);
+	int64_t asked = f->now;
 
-	b->now += b->ask.takes_ms;
-	b->wall += b->ask.takes_ms;
-	adv_answered(b->adv, &b->ask, rows, asked, b->now);
+	f->now += f->ask.takes_ms;
+	f->wall += f->ask.takes_ms;
+	adv_answered(f->adv, &f->ask, rows, asked, f->now);
 	g_ptr_array_free(rows, TRUE);
 }
 
-/* Asks until nothing is left to be asked; returns how many calls that took. */
-static int ask_all(struct bed *b)
+/* Queries until no query is needed; returns the number of calls. */
+static int query_all(struct fixture *f)
 {
 	int n = 0;
 
-	while (next(b) && n < 1000) {
-		answer(b);
+	while (next_query(f) && n < 1000) {
+		answer_query(f);
 		n++;
 	}
 	return n;
 }
 
-static void workers(struct bed *b, const char *prefix, int n, uint32_t cpu)
+static void add_workers(struct fixture *f, const char *prefix, int n,
+			uint32_t cpu)
 {
 	int i;
 
 	for (i = 0; i < n; i++) {
 		char *id = g_strdup_printf("%s%03d", prefix, i);
 
-		jobs_worker(b->jtb, id, cpu, false);
+		jobs_worker(f->jtb, id, cpu, false);
 		g_free(id);
 	}
 }
 
-static struct jtb_job *job(struct bed *b, const char *id, uint32_t count,
-			   uint32_t flags)
+static struct jtb_job *add_job(struct fixture *f, const char *id,
+			       uint32_t count, uint32_t flags)
 {
 	struct jtb_step s = {
 		.count = count, .cpu = 1000, .guess_ms = 3000, .flags = flags};
 
-	jobs_job(b->jtb, id, &s, 1, b->wall);
-	return jtb_job(b->jtb, id);
+	jobs_job(f->jtb, id, &s, 1, f->wall);
+	return jtb_job(f->jtb, id);
 }
 
-static bool ticketed(struct bed *b, const struct jtb_job *j, const char *worker)
+static bool has_ticket(struct fixture *f, const struct jtb_job *j,
+		       const char *worker)
 {
-	return adv_ticketed(b->adv, j, 0, 0, jtb_worker(b->jtb, worker),
-			    b->now);
+	return adv_ticketed(f->adv, j, 0, 0, jtb_worker(f->jtb, worker),
+			    f->now);
 }
 
-static bool names(const struct bed *b, const char *worker)
+static bool query_lists(const struct fixture *f, const char *worker)
 {
-	return g_ptr_array_find_with_equal_func(b->ask.workers, worker,
+	return g_ptr_array_find_with_equal_func(f->ask.workers, worker,
 						g_str_equal, NULL);
 }
 
 /*
- * A job that was accepted never runs: its workers refuse what has no ticket,
- * over and over. A ticket is asked for before anything is started.
+ * Guards against an accepted job that never runs: its start is ordered without
+ * a ticket, and the worker refuses it again and again.
  */
-static void a_step_is_asked_for_and_gets_tickets(void **state)
+static void step_is_queried_and_gets_tickets(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_job *j;
 
-	workers(b, "a", 1, 4000);
-	workers(b, "n", 1, 4000);
-	assert_false(next(b));
-	j = job(b, "j", 1, 0);
-	assert_true(next(b));
-	assert_int_equal(adv_waiting(b->adv, b->now, b->wall), 1);
-	assert_string_equal(b->ask.step.id, "j");
-	assert_int_equal(b->ask.workers->len, 2);
-	assert_int_equal(b->ask.takes_ms, CALL_MS + 2 * EACH_MS);
-	assert_false(ticketed(b, j, "a000"));
-	answer(b);
-	assert_true(ticketed(b, j, "a000"));
-	assert_false(ticketed(b, j, "n000"));
-	assert_string_equal(adv_ticket(b->adv, j, 0, 0,
-				       jtb_worker(b->jtb, "a000"), b->now),
+	add_workers(f, "a", 1, 4000);
+	add_workers(f, "n", 1, 4000);
+	assert_false(next_query(f));
+	j = add_job(f, "j", 1, 0);
+	assert_true(next_query(f));
+	assert_int_equal(adv_waiting(f->adv, f->now, f->wall), 1);
+	assert_string_equal(f->ask.step.id, "j");
+	assert_int_equal(f->ask.workers->len, 2);
+	assert_int_equal(f->ask.takes_ms, CALL_MS + 2 * EACH_MS);
+	assert_false(has_ticket(f, j, "a000"));
+	answer_query(f);
+	assert_true(has_ticket(f, j, "a000"));
+	assert_false(has_ticket(f, j, "n000"));
+	assert_string_equal(adv_ticket(f->adv, j, 0, 0,
+				       jtb_worker(f->jtb, "a000"), f->now),
 			    "a000/1");
-	assert_false(next(b));
-	assert_int_equal(adv_waiting(b->adv, b->now, b->wall), 0);
+	assert_false(next_query(f));
+	assert_int_equal(adv_waiting(f->adv, f->now, f->wall), 0);
 }
 
-/* Each worker named makes the answer later, and all others wait behind it. */
-static void no_more_are_named_than_are_needed(void **state)
+/*
+ * Guards against queries with more workers than needed: each worker lengthens
+ * the call, and all other queries wait behind it.
+ */
+static void query_lists_only_needed_workers(void **state)
 {
-	struct bed *b = *state;
-
-	workers(b, "a", 150, 4000);
-	job(b, "one", 1, 0);
-	assert_true(next(b));
-	/* half of two for the task, half of four others to spare */
-	assert_int_equal(b->ask.workers->len, 6);
-	answer(b);
-	job(b, "many", 600, 0);
-	assert_true(next(b));
-	assert_int_equal(b->ask.workers->len, ADV_NAMES_MAX);
+	struct fixture *f = *state;
+
+	add_workers(f, "a", 150, 4000);
+	add_job(f, "one", 1, 0);
+	assert_true(next_query(f));
+	/* half of two approved for the task, half of four approved to spare */
+	assert_int_equal(f->ask.workers->len, 6);
+	answer_query(f);
+	add_job(f, "many", 600, 0);
+	assert_true(next_query(f));
+	assert_int_equal(f->ask.workers->len, ADV_NAMES_MAX);
 }
 
 /*
- * The queue's policy approves few. More workers are asked for until the tasks
- * have room, nobody twice, and ever more at once.
+ * Guards against tasks without capacity where the service approves few workers:
+ * further workers must be queried, none twice, and more in each call.
  */
-static void more_are_asked_for_where_few_are_approved(void **state)
+static void more_workers_are_queried_if_few_are_approved(void **state)
 {
-	struct bed *b = *state;
-	struct jtb_job *j = job(b, "j", 2, 0);
-
-	workers(b, "n", 60, 9000);
-	workers(b, "a", 2, 1000);
-	/* 6 by half, 24 by an eighth, then all that are left */
-	assert_int_equal(ask_all(b), 3);
-	assert_int_equal(b->service.named, 62);
-	assert_true(ticketed(b, j, "a000"));
-	assert_true(ticketed(b, j, "a001"));
+	struct fixture *f = *state;
+	struct jtb_job *j = add_job(f, "j", 2, 0);
+
+	add_workers(f, "n", 60, 9000);
+	add_workers(f, "a", 2, 1000);
+	/* 6 at one half, 24 at one eighth, then all that are left */
+	assert_int_equal(query_all(f), 3);
+	assert_int_equal(f->service.queried, 62);
+	assert_true(has_ticket(f, j, "a000"));
+	assert_true(has_ticket(f, j, "a001"));
 }
 
-/* Where nobody is approved nothing is asked again, and it shows. */
-static void a_step_that_nobody_may_run_is_shown(void **state)
+/*
+ * Guards against endless queries of a step that no worker may run; the step
+ * must be counted as waiting.
+ */
+static void step_without_approved_worker_counts_as_waiting(void **state)
 {
-	struct bed *b = *state;
-
-	workers(b, "n", 5, 9000);
-	job(b, "j", 1, 0);
-	ask_all(b);
-	assert_int_equal(b->service.named, 5);
-	b->now += LONG_MS;
-	assert_false(next(b));
-	assert_int_equal(adv_waiting(b->adv, b->now, b->wall), 1);
-	/* the lifetime that comes after an upkeep is another worker */
-	workers(b, "a", 1, 9000);
-	assert_true(next_later(b));
-	assert_int_equal(b->ask.workers->len, 1);
-	answer(b);
-	assert_false(next(b));
-	assert_int_equal(adv_waiting(b->adv, b->now, b->wall), 0);
+	struct fixture *f = *state;
+
+	add_workers(f, "n", 5, 9000);
+	add_job(f, "j", 1, 0);
+	query_all(f);
+	assert_int_equal(f->service.queried, 5);
+	f->now += LONG_MS;
+	assert_false(next_query(f));
+	assert_int_equal(adv_waiting(f->adv, f->now, f->wall), 1);
+	/* after an upkeep the VM has a worker with a new lifetime */
+	add_workers(f, "a", 1, 9000);
+	assert_true(next_query_later(f));
+	assert_int_equal(f->ask.workers->len, 1);
+	answer_query(f);
+	assert_false(next_query(f));
+	assert_int_equal(adv_waiting(f->adv, f->now, f->wall), 0);
 }
 
 /*
- * Tasks wait though others have room: each worker with a ticket is full, or
- * runs as many of the step as it may.
+ * Guards against tasks that wait although workers have free capacity: each
+ * worker with a ticket is full, or runs its limit of the step's tasks.
  */
-static void workers_with_room_are_asked_for(void **state)
+static void workers_with_free_capacity_are_queried(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 2, .cpu = 1000, .guess_ms = 3000, .per_worker = 1};
 
-	workers(b, "a", 1, 4000);
-	jobs_job(b->jtb, "j", &s, 1, b->wall);
-	assert_int_equal(ask_all(b), 1);
-	jobs_start(b->jtb, "j", 0, 0, 1, "a000");
-	assert_false(next_later(b));
-	workers(b, "b", 1, 500);
-	assert_false(next_later(b));
-	workers(b, "c", 1, 4000);
-	assert_true(next_later(b));
-	assert_true(names(b, "c000"));
-	assert_false(names(b, "b000"));
-	answer(b);
-	/* another job's tasks fill the only worker that k may run on */
-	jobs_start(b->jtb, "j", 0, 1, 1, "c000");
-	job(b, "k", 1, 0);
-	jobs_gone(b->jtb, "c000", true);
-	ask_all(b);
-	assert_true(ticketed(b, jtb_job(b->jtb, "k"), "a000"));
-	job(b, "full", 3, 0);
-	jobs_start(b->jtb, "full", 0, 0, 1, "a000");
-	jobs_start(b->jtb, "full", 0, 1, 1, "a000");
-	jobs_start(b->jtb, "full", 0, 2, 1, "a000");
-	jobs_cancel(b->jtb, "j");
-	assert_false(next_later(b));
-	workers(b, "d", 1, 4000);
-	assert_true(next_later(b));
-	assert_string_equal(b->ask.step.id, "k");
-	assert_true(names(b, "d000"));
+	add_workers(f, "a", 1, 4000);
+	jobs_job(f->jtb, "j", &s, 1, f->wall);
+	assert_int_equal(query_all(f), 1);
+	jobs_start(f->jtb, "j", 0, 0, 1, "a000");
+	assert_false(next_query_later(f));
+	add_workers(f, "b", 1, 500);
+	assert_false(next_query_later(f));
+	add_workers(f, "c", 1, 4000);
+	assert_true(next_query_later(f));
+	assert_true(query_lists(f, "c000"));
+	assert_false(query_lists(f, "b000"));
+	answer_query(f);
+	/* the tasks of another job fill the only worker that k may run on */
+	jobs_start(f->jtb, "j", 0, 1, 1, "c000");
+	add_job(f, "k", 1, 0);
+	jobs_gone(f->jtb, "c000", true);
+	query_all(f);
+	assert_true(has_ticket(f, jtb_job(f->jtb, "k"), "a000"));
+	add_job(f, "full", 3, 0);
+	jobs_start(f->jtb, "full", 0, 0, 1, "a000");
+	jobs_start(f->jtb, "full", 0, 1, 1, "a000");
+	jobs_start(f->jtb, "full", 0, 2, 1, "a000");
+	jobs_cancel(f->jtb, "j");
+	assert_false(next_query_later(f));
+	add_workers(f, "d", 1, 4000);
+	assert_true(next_query_later(f));
+	assert_string_equal(f->ask.step.id, "k");
+	assert_true(query_lists(f, "d000"));
 }
 
-/* One call at a time: what stands still goes before what may be needed later. */
-static void the_most_urgent_step_goes_first(void **state)
+/*
+ * Guards against a wrong order of the queries, which are answered one at a
+ * time: a blocked step must precede steps that need tickets only later.
+ */
+static void most_urgent_step_is_queried_first(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s[] = {
 		{.count = 1, .cpu = 1000, .guess_ms = 1000},
 		{.count = 1, .cpu = 1000, .guess_ms = 1000, .after = 1},
 	};
 
-	workers(b, "a", 20, 4000);
-	jobs_job(b->jtb, "first", s, 2, b->wall);
-	assert_true(next(b));
-	answer(b);
-	/* what waits for others isn't asked for before they begin */
-	assert_false(next(b));
-	jobs_start(b->jtb, "first", 0, 0, 1, "a000");
-	job(b, "late", 1, 0);
-	jtb_job(b->jtb, "late")->accepted_ms -= LONG_MS;
-	job(b, "new", 1, 0);
-	assert_true(next(b));
-	assert_string_equal(b->ask.step.id, "new");
-	answer(b);
-	/* the second step of the first, while its first has yet to run */
-	assert_true(next(b));
-	assert_string_equal(b->ask.step.id, "first");
-	assert_int_equal(b->ask.step.step, 1);
-	answer(b);
-	assert_true(next(b));
-	assert_string_equal(b->ask.step.id, "late");
-	answer(b);
-	assert_false(next(b));
+	add_workers(f, "a", 20, 4000);
+	jobs_job(f->jtb, "first", s, 2, f->wall);
+	assert_true(next_query(f));
+	answer_query(f);
+	/* steps that follow others are not queried before those start */
+	assert_false(next_query(f));
+	jobs_start(f->jtb, "first", 0, 0, 1, "a000");
+	add_job(f, "late", 1, 0);
+	jtb_job(f->jtb, "late")->accepted_ms -= LONG_MS;
+	add_job(f, "new", 1, 0);
+	assert_true(next_query(f));
+	assert_string_equal(f->ask.step.id, "new");
+	answer_query(f);
+	/* the second step of the first job, while its first step runs */
+	assert_true(next_query(f));
+	assert_string_equal(f->ask.step.id, "first");
+	assert_int_equal(f->ask.step.step, 1);
+	answer_query(f);
+	assert_true(next_query(f));
+	assert_string_equal(f->ask.step.id, "late");
+	answer_query(f);
+	assert_false(next_query(f));
 }
 
-/* Tickets of a turn that is far away would end before it. */
-static void a_repeat_is_asked_for_shortly_before(void **state)
+/*
+ * Guards against tickets for a distant repeat, which would expire before it is
+ * due.
+ */
+static void repeat_is_queried_shortly_before_it_is_due(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 1000};
 	struct jtb_spec spec = {
 		.id = "r",
@@ -320,208 +334,224 @@
 	};
 	struct pk_out o;
 
-	workers(b, "a", 4, 4000);
+	add_workers(f, "a", 4, 4000);
 	pk_out_init(&o);
-	jtb_put_job(&o, &spec, b->wall);
-	jobs_apply(b->jtb, &o);
-	assert_false(next(b));
-	b->wall = spec.first_ms - VALID_MS / 2;
-	assert_true(next(b));
-	assert_int_equal(b->ask.step.turn, 0);
-	answer(b);
-	assert_false(next(b));
-	b->wall = spec.first_ms + spec.every_ms - 1000;
-	b->now += 60000;
-	/* the first is due and still open, its tickets are over */
-	assert_true(next(b));
-	assert_int_equal(b->ask.step.turn, 0);
-	answer(b);
-	assert_true(next(b));
-	assert_int_equal(b->ask.step.turn, 1);
+	jtb_put_job(&o, &spec, f->wall);
+	jobs_apply(f->jtb, &o);
+	assert_false(next_query(f));
+	f->wall = spec.first_ms - VALID_MS / 2;
+	assert_true(next_query(f));
+	assert_int_equal(f->ask.step.turn, 0);
+	answer_query(f);
+	assert_false(next_query(f));
+	f->wall = spec.first_ms + spec.every_ms - 1000;
+	f->now += 60000;
+	/* the first repeat is due and not done, and its tickets have expired */
+	assert_true(next_query(f));
+	assert_int_equal(f->ask.step.turn, 0);
+	answer_query(f);
+	assert_true(next_query(f));
+	assert_int_equal(f->ask.step.turn, 1);
 }
 
-/* A task is started by a ticket that ends on the way, and refused. */
-static void tickets_are_renewed_before_they_end(void **state)
+/*
+ * Guards against a start with a ticket that expires on the way to the worker,
+ * which refuses the start.
+ */
+static void tickets_are_renewed_before_they_expire(void **state)
 {
-	struct bed *b = *state;
-	struct jtb_job *j = job(b, "j", 2, 0);
-	int64_t given = b->now;
-
-	workers(b, "a", 1, 1000);
-	assert_int_equal(ask_all(b), 1);
-	jobs_start(b->jtb, "j", 0, 0, 1, "a000");
-	/* one waits for the other: its ticket is kept fresh meanwhile */
-	b->now = given + VALID_MS / 2;
-	assert_false(next(b));
-	b->now = given + VALID_MS - 1;
-	assert_false(ticketed(b, j, "a000"));
-	jobs_end(b->jtb, "j", 0, 0, 1, "a000", JTB_DONE);
-	b->now = given + VALID_MS - 1000;
-	assert_true(ticketed(b, j, "a000"));
-	assert_true(next(b));
-	answer(b);
-	assert_true(ticketed(b, j, "a000"));
-	b->now = given + VALID_MS + 1000;
-	assert_true(ticketed(b, j, "a000"));
-	/* and once nothing is left to start, no more */
-	jobs_start(b->jtb, "j", 0, 1, 1, "a000");
-	b->now += LONG_MS;
-	assert_false(next(b));
+	struct fixture *f = *state;
+	struct jtb_job *j = add_job(f, "j", 2, 0);
+	int64_t issued_ms = f->now;
+
+	add_workers(f, "a", 1, 1000);
+	assert_int_equal(query_all(f), 1);
+	jobs_start(f->jtb, "j", 0, 0, 1, "a000");
+	/* one task waits for the other; its ticket is renewed meanwhile */
+	f->now = issued_ms + VALID_MS / 2;
+	assert_false(next_query(f));
+	f->now = issued_ms + VALID_MS - 1;
+	assert_false(has_ticket(f, j, "a000"));
+	jobs_end(f->jtb, "j", 0, 0, 1, "a000", JTB_DONE);
+	f->now = issued_ms + VALID_MS - 1000;
+	assert_true(has_ticket(f, j, "a000"));
+	assert_true(next_query(f));
+	answer_query(f);
+	assert_true(has_ticket(f, j, "a000"));
+	f->now = issued_ms + VALID_MS + 1000;
+	assert_true(has_ticket(f, j, "a000"));
+	/* no renewal once no task is left to start */
+	jobs_start(f->jtb, "j", 0, 1, 1, "a000");
+	f->now += LONG_MS;
+	assert_false(next_query(f));
 }
 
-/* Work that lasts may end at any moment, and would then wait for a call. */
-static void work_that_lasts_keeps_a_ticket(void **state)
+/*
+ * Guards against a long-running task that ends and must wait for a call before
+ * its next start.
+ */
+static void long_running_step_keeps_a_ticket(void **state)
 {
-	struct bed *b = *state;
-
-	job(b, "l", 1, JTB_LASTS);
-	workers(b, "a", 2, 4000);
-	ask_all(b);
-	jobs_start(b->jtb, "l", 0, 0, 1, "a000");
-	b->now += LONG_MS;
-	assert_true(next(b));
+	struct fixture *f = *state;
+
+	add_job(f, "l", 1, JTB_LASTS);
+	add_workers(f, "a", 2, 4000);
+	query_all(f);
+	jobs_start(f->jtb, "l", 0, 0, 1, "a000");
+	f->now += LONG_MS;
+	assert_true(next_query(f));
 }
 
-/* A worker refuses a ticket: it isn't used again, and asked for after a pause. */
-static void a_refused_ticket_is_dropped(void **state)
+/*
+ * Guards against reuse of a refused ticket, and against a new query without
+ * delay.
+ */
+static void refused_ticket_is_dropped(void **state)
 {
-	struct bed *b = *state;
-	struct jtb_job *j = job(b, "j", 1, 0);
+	struct fixture *f = *state;
+	struct jtb_job *j = add_job(f, "j", 1, 0);
 	struct jtb_run run = {.job = j};
 
-	workers(b, "a", 1, 4000);
-	ask_all(b);
-	run.worker = jtb_worker(b->jtb, "a000");
-	adv_drop(b->adv, &run, b->now);
-	assert_false(ticketed(b, j, "a000"));
-	assert_false(next(b));
-	b->now += 1000;
-	assert_true(next(b));
-	answer(b);
-	assert_true(ticketed(b, j, "a000"));
-	/* the second time the pause is longer */
-	adv_drop(b->adv, &run, b->now);
-	b->now += 600;
-	assert_false(next(b));
-	b->now += 1000;
-	assert_true(next(b));
+	add_workers(f, "a", 1, 4000);
+	query_all(f);
+	run.worker = jtb_worker(f->jtb, "a000");
+	adv_drop_ticket(f->adv, &run, f->now);
+	assert_false(has_ticket(f, j, "a000"));
+	assert_false(next_query(f));
+	f->now += 1000;
+	assert_true(next_query(f));
+	answer_query(f);
+	assert_true(has_ticket(f, j, "a000"));
+	/* the delay is longer the second time */
+	adv_drop_ticket(f->adv, &run, f->now);
+	f->now += 600;
+	assert_false(next_query(f));
+	f->now += 1000;
+	assert_true(next_query(f));
 }
 
 /*
- * The service turns one question down each time. Others have their turn
- * meanwhile, and that one is tried for ever.
+ * Guards against a query that the service always rejects: other steps must get
+ * their turn, and the rejected query must be retried for ever.
  */
-static void a_question_turned_down_is_asked_again(void **state)
+static void rejected_query_is_retried(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int i;
 
-	workers(b, "a", 4, 4000);
-	job(b, "other", 1, 0);
-	job(b, "odd", 1, 0);
+	add_workers(f, "a", 4, 4000);
+	add_job(f, "other", 1, 0);
+	add_job(f, "rejected", 1, 0);
 	for (i = 0; i < 20; i++) {
-		assert_true(next(b));
-		assert_string_equal(b->ask.step.id, "odd");
-		adv_turned_down(b->adv, &b->ask, b->now);
+		assert_true(next_query(f));
+		assert_string_equal(f->ask.step.id, "rejected");
+		adv_reject_query(f->adv, &f->ask, f->now);
 		if (i == 0) {
-			assert_true(next(b));
-			assert_string_equal(b->ask.step.id, "other");
-			answer(b);
+			assert_true(next_query(f));
+			assert_string_equal(f->ask.step.id, "other");
+			answer_query(f);
 		}
-		assert_false(next(b));
-		/* once, as its tickets end meanwhile */
-		jobs_cancel(b->jtb, "other");
-		b->now += 16000;
+		assert_false(next_query(f));
+		/* takes effect once; the tickets of "other" would expire */
+		jobs_cancel(f->jtb, "other");
+		f->now += 16000;
 	}
 }
 
 /*
- * Tickets are over when they come, each time, and the step never runs: they
- * hold for less than the answer took, since the call had to wait.
+ * Guards against a step that never runs because its tickets have expired on
+ * arrival each time: they are valid for less time than the call took, as it had
+ * to wait.
  */
-static void short_tickets_are_of_use(void **state)
+static void short_tickets_are_usable(void **state)
 {
-	struct bed *b = *state;
-	struct jtb_job *j = job(b, "j", 100, 0);
+	struct fixture *f = *state;
+	struct jtb_job *j = add_job(f, "j", 100, 0);
 	struct jtb_queue *q =
-		(struct jtb_queue *)jtb_queue(jtb_config(b->jtb), "q");
+		(struct jtb_queue *)jtb_queue(jtb_config(f->jtb), "q");
 
 	q->advice_valid_ms = 1000;
-	workers(b, "a", 100, 1000);
-	assert_true(next(b));
-	/* half of the time that tickets hold, and not more */
-	assert_int_equal(b->ask.takes_ms, 500);
-	b->ask.takes_ms = 5000;
-	answer(b);
-	assert_true(ticketed(b, j, "a000"));
-	b->now += 400;
-	assert_true(ticketed(b, j, "a000"));
-	b->now += 400;
-	assert_false(ticketed(b, j, "a000"));
+	add_workers(f, "a", 100, 1000);
+	assert_true(next_query(f));
+	/* limited to half of the tickets' validity */
+	assert_int_equal(f->ask.takes_ms, 500);
+	f->ask.takes_ms = 5000;
+	answer_query(f);
+	assert_true(has_ticket(f, j, "a000"));
+	f->now += 400;
+	assert_true(has_ticket(f, j, "a000"));
+	f->now += 400;
+	assert_false(has_ticket(f, j, "a000"));
 }
 
-/* The next leader knows no ticket, and starts nothing before it has some. */
-static void a_new_leader_asks_anew(void **state)
+/* Guards against a new leader that uses tickets it has not obtained itself. */
+static void new_leader_starts_without_tickets(void **state)
 {
-	struct bed *b = *state;
-	struct jtb_job *j = job(b, "j", 1, 0);
-
-	workers(b, "a", 1, 4000);
-	ask_all(b);
-	assert_true(ticketed(b, j, "a000"));
-	adv_clear(b->adv);
-	assert_false(ticketed(b, j, "a000"));
-	assert_int_equal(ask_all(b), 1);
-	assert_true(ticketed(b, j, "a000"));
+	struct fixture *f = *state;
+	struct jtb_job *j = add_job(f, "j", 1, 0);
+
+	add_workers(f, "a", 1, 4000);
+	query_all(f);
+	assert_true(has_ticket(f, j, "a000"));
+	adv_clear(f->adv);
+	assert_false(has_ticket(f, j, "a000"));
+	assert_int_equal(query_all(f), 1);
+	assert_true(has_ticket(f, j, "a000"));
 }
 
-/* Those that may not be given work are asked for by nobody. */
-static void workers_that_get_nothing_arent_named(void **state)
+/* Guards against queries for workers that may not be given work. */
+static void unusable_workers_are_not_queried(void **state)
 {
-	struct bed *b = *state;
-
-	job(b, "j", 1, 0);
-	workers(b, "a", 2, 4000);
-	jobs_worker(b->jtb, "a000", 4000, true);
-	g_hash_table_add(b->closed, (gpointer) "a001");
-	assert_false(next(b));
-	g_hash_table_remove(b->closed, "a001");
-	assert_true(next_later(b));
-	assert_int_equal(b->ask.workers->len, 1);
+	struct fixture *f = *state;
+
+	add_job(f, "j", 1, 0);
+	add_workers(f, "a", 2, 4000);
+	jobs_worker(f->jtb, "a000", 4000, true);
+	g_hash_table_add(f->closed, (gpointer) "a001");
+	assert_false(next_query(f));
+	g_hash_table_remove(f->closed, "a001");
+	assert_true(next_query_later(f));
+	assert_int_equal(f->ask.workers->len, 1);
 }
 
-/* What is kept goes with its job and its worker. */
-static void what_is_over_is_forgotten(void **state)
+/*
+ * Guards against growth of the collection: what is stored goes with its job and
+ * its worker.
+ */
+static void ended_jobs_and_workers_are_removed(void **state)
 {
-	struct bed *b = *state;
-
-	workers(b, "a", 3, 4000);
-	job(b, "j", 1, 0);
-	job(b, "k", 1, 0);
-	ask_all(b);
-	assert_int_equal(adv_kept(b->adv), 2);
-	jobs_gone(b->jtb, "a000", true);
-	jobs_cancel(b->jtb, "j");
-	b->now += 2000;
-	next(b);
-	assert_int_equal(adv_kept(b->adv), 1);
+	struct fixture *f = *state;
+
+	add_workers(f, "a", 3, 4000);
+	add_job(f, "j", 1, 0);
+	add_job(f, "k", 1, 0);
+	query_all(f);
+	assert_int_equal(adv_step_count(f->adv), 2);
+	jobs_gone(f->jtb, "a000", true);
+	jobs_cancel(f->jtb, "j");
+	f->now += 2000;
+	next_query(f);
+	assert_int_equal(adv_step_count(f->adv), 1);
 }
 
-/* A gang starts whole, so that tickets for half of it are none. */
-static void a_gang_needs_tickets_for_all(void **state)
+/*
+ * Guards against a gang that is treated as able to start with tickets for some
+ * of its members.
+ */
+static void gang_needs_tickets_for_all_members(void **state)
 {
-	struct bed *b = *state;
-
-	workers(b, "a", 1, 1000);
-	workers(b, "n", 30, 9000);
-	job(b, "g", 2, JTB_GANG);
-	ask_all(b);
-	assert_int_equal(b->service.named, 31);
-	/* one that may run is no more asked for once there are two */
-	workers(b, "a1", 2, 1000);
-	b->now += 1000;
-	assert_int_equal(ask_all(b), 1);
-	assert_int_equal(b->service.named, 33);
+	struct fixture *f = *state;
+
+	add_workers(f, "a", 1, 1000);
+	add_workers(f, "n", 30, 9000);
+	add_job(f, "g", 2, JTB_GANG);
+	query_all(f);
+	assert_int_equal(f->service.queried, 31);
+	/* the worker with a ticket is not queried again once two more exist */
+	add_workers(f, "a1", 2, 1000);
+	f->now += 1000;
+	assert_int_equal(query_all(f), 1);
+	assert_int_equal(f->service.queried, 33);
 }
 
 #define T(fn) cmocka_unit_test_setup_teardown(fn, setup, teardown)
@@ -529,22 +559,22 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		T(a_step_is_asked_for_and_gets_tickets),
-		T(no_more_are_named_than_are_needed),
-		T(more_are_asked_for_where_few_are_approved),
-		T(a_step_that_nobody_may_run_is_shown),
-		T(workers_with_room_are_asked_for),
-		T(the_most_urgent_step_goes_first),
-		T(a_repeat_is_asked_for_shortly_before),
-		T(tickets_are_renewed_before_they_end),
-		T(work_that_lasts_keeps_a_ticket),
-		T(a_refused_ticket_is_dropped),
-		T(a_question_turned_down_is_asked_again),
-		T(short_tickets_are_of_use),
-		T(a_new_leader_asks_anew),
-		T(workers_that_get_nothing_arent_named),
-		T(what_is_over_is_forgotten),
-		T(a_gang_needs_tickets_for_all),
+		T(step_is_queried_and_gets_tickets),
+		T(query_lists_only_needed_workers),
+		T(more_workers_are_queried_if_few_are_approved),
+		T(step_without_approved_worker_counts_as_waiting),
+		T(workers_with_free_capacity_are_queried),
+		T(most_urgent_step_is_queried_first),
+		T(repeat_is_queried_shortly_before_it_is_due),
+		T(tickets_are_renewed_before_they_expire),
+		T(long_running_step_keeps_a_ticket),
+		T(refused_ticket_is_dropped),
+		T(rejected_query_is_retried),
+		T(short_tickets_are_usable),
+		T(new_leader_starts_without_tickets),
+		T(unusable_workers_are_not_queried),
+		T(ended_jobs_and_workers_are_removed),
+		T(gang_needs_tickets_for_all_members),
 	};
 
 	return cmocka_run_group_tests_name("adv", tests, NULL, NULL);
--- a/tests/unit/fake_advice.h
+++ b/tests/unit/fake_advice.h
@@ -4,16 +4,16 @@
 #include "adv.h"
 
 /*
- * A service that gives advice, in virtual time: it approves the workers whose
- * ids begin with one letter, and gives each answer its own tickets.
+ * Fake advice service in virtual time: approves the workers whose ids begin
+ * with one letter, and issues different tickets in each answer.
  */
 struct fake_advice {
-	char yes; /* first letter of whom it approves */
+	char approved_prefix; /* first letter of approved workers */
 	uint32_t answers;
-	uint32_t named; /* workers, in all questions */
+	uint32_t queried; /* workers in all queries */
 };
 
-/* Its answer to a question. */
+/* Returns the service's answer to a query. */
 static inline GPtrArray *fake_advice_rows(struct fake_advice *f,
 					  const struct adv_ask *ask)
 {
@@ -21,12 +21,12 @@
 	guint i;
 
 	f->answers++;
-	f->named += ask->workers->len;
+	f->queried += ask->workers->len;
 	for (i = 0; i < ask->workers->len; i++) {
 		const char *id = g_ptr_array_index(ask->workers, i);
 		struct adv_row *row;
 
-		if (id[0] != f->yes)
+		if (id[0] != f->approved_prefix)
 			continue;
 		row = g_new0(struct adv_row, 1);
 		row->worker = g_strdup(id);
