--- a/tests/system/jobs.sh
+++ b/tests/system/jobs.sh
@@ -1,7 +1,8 @@
-# A fleet that runs jobs, on loopback: three control daemons, two entry
-# daemons and four stand-in workers, each control daemon at an address of its
-# own, as own processes use the same port on all VMs. To be read by a script
-# that has set BIN, tmp and JOBS_PORT. Ends all it started on every way out.
+# Functions for tests of a fleet that runs jobs, on loopback: three control
+# daemons, an entry daemon and four stand-in workers. Each control daemon has
+# its own address, as the fleet's own processes use the same port on all VMs.
+# Sourced by a script that has set BIN, tmp and JOBS_PORT. Kills all processes
+# it started on every exit.
 
 wire=$JOBS_PORT
 control=$((JOBS_PORT + 1))
@@ -21,7 +22,8 @@
 trap 'jobs_end; rm -rf "$tmp"' EXIT
 trap 'exit 1' HUP INT PIPE TERM
 
-# WHAT: ends the test, with the last lines of all logs, our daemons' at the end
+# MESSAGE: fails the test and prints the last lines of all logs, those of the
+# daemons last.
 fail() {
 	echo "FAIL: $*"
 	for f in "$tmp"/w*.log "$tmp"/[!w]*.log; do
@@ -31,14 +33,15 @@
 	exit 1
 }
 
-# Every task that was done was done once, over all workers.
+# Fails unless each completed task was done once, over all workers.
 done_once() {
 	twice=$(cat "$tmp"/w*.log | grep '^done ' | cut -d' ' -f2 | sort |
 		uniq -d)
-	[ -z "$twice" ] || fail "done twice: $twice"
+	[ -z "$twice" ] || fail "tasks done twice: $twice"
 }
 
-# NAME COMMAND...: runs it in the background, output in NAME.log
+# NAME COMMAND...: runs the command in the background, with its output in
+# NAME.log and its process id in NAME.pid.
 jobs_run() {
 	name=$1
 	shift
@@ -46,11 +49,12 @@
 	echo $! >"$tmp/$name.pid"
 }
 
+# NAME: prints the process id.
 jobs_pid() {
 	cat "$tmp/$1.pid"
 }
 
-# NO BOOTSTRAP
+# NO BOOTSTRAP: starts control daemon cNO at 127.0.0.NO.
 jobs_control() {
 	mkdir -p "$tmp/data$1"
 	cat >"$tmp/c$1.conf" <<-EOF
@@ -73,6 +77,7 @@
 	jobs_run "c$1" "$BIN/endive-schedd" --settings "$tmp/c$1.conf"
 }
 
+# NO: starts entry daemon eNO at 127.0.0.NO.
 jobs_entry() {
 	cat >"$tmp/e$1.conf" <<-EOF
 	[node]
@@ -89,13 +94,13 @@
 	jobs_run "e$1" "$BIN/endive-gated" --settings "$tmp/e$1.conf"
 }
 
-# NO METRIC: its value on the daemon at 127.0.0.NO
+# NO METRIC: prints the value of the metric on the daemon at 127.0.0.NO.
 jobs_metric() {
 	curl -s "http://127.0.0.$1:$metrics/metrics" |
 		awk -v name="$2" '$1 == name { print $2 }'
 }
 
-# NO [FLAG...]
+# NO [FLAG...]: starts worker wNO.
 jobs_worker() {
 	no=$1
 	shift
@@ -104,12 +109,14 @@
 		--seed "$no" "$@"
 }
 
-# [FLAG...]
-jobs_adviser() {
+# [FLAG...]: starts the stand-in advice service.
+jobs_advice_service() {
 	jobs_run advice "$BIN/endive-advice" \
 		--listen "127.0.0.5:$callers" "$@"
 }
 
+# [FLAG...]: starts the fleet, with these flags for the workers, and applies its
+# configuration.
 jobs_fleet() {
 	for n in 1 2 3; do jobs_control $n true; done
 	jobs_entry 4
@@ -118,7 +125,8 @@
 		--advised "${jobs_advised:-0}"
 }
 
-# Which control daemon leads, by its log; waits for one.
+# Prints the number of the control daemon that leads by its log; waits up to
+# 10 s for one.
 jobs_leader() {
 	tries=0
 	while [ $tries -lt 100 ]; do
