--- a/src/adv.c
+++ b/src/adv.c
@@ -162,7 +162,7 @@
 static uint32_t adv_count_fitting(uint32_t all, uint32_t used, uint32_t each);
 static uint32_t adv_count_running(const struct adv_candidate *c,
 				  const struct jtb_worker *w);
-static int64_t adv_issued_ms(const struct adv_ask *ask, int64_t asked_ms,
+static int64_t adv_issued_ms(const struct adv_ask *query, int64_t sent_ms,
 			     int64_t now_ms);
 static uint32_t adv_names_max(const struct jtb_queue *q);
 static bool adv_turn_started(const struct jtb_job *job, uint32_t turn);
@@ -177,7 +177,7 @@
 static void adv_set_verdict(struct adv_step *s, const char *worker,
 			    const char *ticket, int64_t until_ms);
 static double adv_approval_share(struct adv *a, const char *queue);
-static void adv_update_share(struct adv *a, const struct adv_ask *ask,
+static void adv_update_share(struct adv *a, const struct adv_ask *query,
 			     uint32_t queried, uint32_t approved);
 static void adv_prune(struct adv *a, int64_t now_ms);
 static bool adv_step_over(const struct adv *a, const struct adv_step *s);
@@ -278,24 +278,24 @@
  * Stores an answer. A worker that was queried and is not in rows may never run
  * the step.
  */
-void adv_answered(struct adv *a, const struct adv_ask *ask,
-		  const GPtrArray *rows, int64_t asked_ms, int64_t now_ms)
+void adv_answered(struct adv *a, const struct adv_ask *query,
+		  const GPtrArray *rows, int64_t sent_ms, int64_t now_ms)
 {
-	struct adv_step *s = adv_ensure_step(a, &ask->step);
-	int64_t issued_ms = adv_issued_ms(ask, asked_ms, now_ms);
+	struct adv_step *s = adv_ensure_step(a, &query->step);
+	int64_t issued_ms = adv_issued_ms(query, sent_ms, now_ms);
 	int64_t until_ms =
-		ask->valid_ms ? issued_ms + ask->valid_ms : INT64_MAX;
+		query->valid_ms ? issued_ms + query->valid_ms : INT64_MAX;
 	uint32_t queried = 0;
 	uint32_t approved = 0;
 	guint i;
 	guint r;
 
-	s->valid_ms = ask->valid_ms;
+	s->valid_ms = query->valid_ms;
 	s->retry_at_ms = 0;
 	s->skip_until_ms = 0;
 	s->backoff_ms = 0;
-	for (i = 0; i < ask->workers->len; i++) {
-		const char *id = g_ptr_array_index(ask->workers, i);
+	for (i = 0; i < query->workers->len; i++) {
+		const char *id = g_ptr_array_index(query->workers, i);
 		bool first = !adv_find_verdict(s, id);
 		const char *ticket = NULL;
 
@@ -309,7 +309,7 @@
 		approved += first && ticket;
 		adv_set_verdict(s, id, ticket, until_ms);
 	}
-	adv_update_share(a, ask, queried, approved);
+	adv_update_share(a, query, queried, approved);
 }
 
 /*
@@ -317,9 +317,10 @@
  * so that other steps get their turn, and is never given up, as its job was
  * accepted.
  */
-void adv_reject_query(struct adv *a, const struct adv_ask *ask, int64_t now_ms)
+void adv_reject_query(struct adv *a, const struct adv_ask *query,
+		      int64_t now_ms)
 {
-	struct adv_step *s = adv_ensure_step(a, &ask->step);
+	struct adv_step *s = adv_ensure_step(a, &query->step);
 
 	s->backoff_ms = s->backoff_ms
 				? MIN(2 * s->backoff_ms, ADV_BACKOFF_MAX_MS)
@@ -410,11 +411,11 @@
 }
 
 /* Frees the contents of a query. */
-void adv_ask_clear(struct adv_ask *ask)
+void adv_ask_clear(struct adv_ask *query)
 {
-	if (ask->workers)
-		g_ptr_array_free(ask->workers, TRUE);
-	*ask = (struct adv_ask){0};
+	if (query->workers)
+		g_ptr_array_free(query->workers, TRUE);
+	*query = (struct adv_ask){0};
 }
 
 /* Frees a row of an answer. */
@@ -840,10 +841,10 @@
  * would have expired on arrival and the step would be queried in vain for ever.
  * A ticket that has expired nevertheless is refused by its worker and dropped.
  */
-static int64_t adv_issued_ms(const struct adv_ask *ask, int64_t asked_ms,
+static int64_t adv_issued_ms(const struct adv_ask *query, int64_t sent_ms,
 			     int64_t now_ms)
 {
-	return MAX(asked_ms, now_ms - MIN(ask->takes_ms, ask->valid_ms / 4));
+	return MAX(sent_ms, now_ms - MIN(query->takes_ms, query->valid_ms / 4));
 }
 
 /*
@@ -992,10 +993,10 @@
  * Updates the share of approved workers; the newest answers have the most
  * weight.
  */
-static void adv_update_share(struct adv *a, const struct adv_ask *ask,
+static void adv_update_share(struct adv *a, const struct adv_ask *query,
 			     uint32_t queried, uint32_t approved)
 {
-	const struct jtb_job *job = jtb_job(a->jtb, ask->step.id);
+	const struct jtb_job *job = jtb_job(a->jtb, query->step.id);
 	struct adv_share *s;
 
 	if (!job || !queried)
--- a/src/adv.h
+++ b/src/adv.h
@@ -55,9 +55,10 @@
 void adv_clear(struct adv *a);
 bool adv_needed(struct adv *a);
 bool adv_next(struct adv *a, const struct sch_view *v, struct adv_ask *out);
-void adv_answered(struct adv *a, const struct adv_ask *ask,
-		  const GPtrArray *rows, int64_t asked_ms, int64_t now_ms);
-void adv_reject_query(struct adv *a, const struct adv_ask *ask, int64_t now_ms);
+void adv_answered(struct adv *a, const struct adv_ask *query,
+		  const GPtrArray *rows, int64_t sent_ms, int64_t now_ms);
+void adv_reject_query(struct adv *a, const struct adv_ask *query,
+		      int64_t now_ms);
 void adv_drop_ticket(struct adv *a, const struct jtb_run *run, int64_t now_ms);
 const char *adv_ticket(struct adv *a, const struct jtb_job *job, uint32_t turn,
 		       uint32_t step, const struct jtb_worker *w,
@@ -66,7 +67,7 @@
 		  uint32_t step, const struct jtb_worker *w, int64_t now_ms);
 uint32_t adv_waiting(struct adv *a, int64_t now_ms, int64_t wall_ms);
 uint32_t adv_step_count(const struct adv *a);
-void adv_ask_clear(struct adv_ask *ask);
+void adv_ask_clear(struct adv_ask *query);
 void adv_row_free(gpointer p);
 
 /* Meaning of an answer of the advice service. */
@@ -82,7 +83,8 @@
 struct adv_codec {
 	const char *content_type;
 	/* writes a query into body; returns the path to post it to */
-	const char *(*write)(const struct adv_ask *ask, struct evbuffer *body);
+	const char *(*write)(const struct adv_ask *query,
+			     struct evbuffer *body);
 	/*
 	 * Decodes an answer: appends struct adv_row to rows, and sets valid_ms,
 	 * the validity of the tickets, if the answer contains it.
--- a/src/adv_line.c
+++ b/src/adv_line.c
@@ -38,7 +38,7 @@
 	struct ups *ups;
 	struct ups_call *call; /* call in progress; or NULL */
 	struct evbuffer *body; /* of the call */
-	struct adv_ask ask; /* query of the call */
+	struct adv_ask query; /* query of the call */
 	int64_t sent_ms;
 	int64_t not_before_ms; /* earliest time of the next call */
 	int64_t backoff_ms;
@@ -135,7 +135,7 @@
 		adv_schedule_poll(l, l->not_before_ms);
 		return;
 	}
-	if (adv_next(l->adv, v, &l->ask))
+	if (adv_next(l->adv, v, &l->query))
 		adv_send_query(l);
 	else
 		l->not_before_ms = v->now_ms + ADV_POLL_INTERVAL_MS;
@@ -186,16 +186,16 @@
 		.connect_ms = ADV_CONNECT_MS,
 		.max_answer = ADV_ANSWER_MAX,
 	};
-	int64_t timeout_ms = 2 * l->ask.takes_ms + ADV_TIMEOUT_SLACK_MS;
+	int64_t timeout_ms = 2 * l->query.takes_ms + ADV_TIMEOUT_SLACK_MS;
 
 	r.timeout_ms = MIN(timeout_ms << MIN(l->timeouts, 6),
 			   MAX(timeout_ms, ADV_TIMEOUT_MAX_MS));
 	l->body = evbuffer_new();
-	r.uri = codec->write(&l->ask, l->body);
+	r.uri = codec->write(&l->query, l->body);
 	r.body = l->body;
 	l->sent_ms = tmr_now(l->config.tmr);
 	l->stats.calls++;
-	l->stats.named += l->ask.workers->len;
+	l->stats.named += l->query.workers->len;
 	l->call = ups_start(l->ups, &r, &adv_ups_ops, l);
 }
 
@@ -214,7 +214,7 @@
 	}
 	if (end == UPS_WHOLE)
 		result = l->config.codec->answer(a->status, body, rows,
-						 &l->ask.valid_ms);
+						 &l->query.valid_ms);
 	l->timeouts = end == UPS_TIMEOUT ? l->timeouts + 1 : 0;
 	if (end != UPS_WHOLE)
 		adv_on_failure(l, "no answer");
@@ -224,7 +224,7 @@
 		adv_on_failure(l, adv_results[result]);
 	if (end == UPS_WHOLE &&
 	    (result == ADV_TURNED_DOWN || result == ADV_UNREADABLE))
-		adv_reject_query(l->adv, &l->ask, tmr_now(l->config.tmr));
+		adv_reject_query(l->adv, &l->query, tmr_now(l->config.tmr));
 	g_ptr_array_free(rows, TRUE);
 	adv_release_call(l);
 	if (result == ADV_TOLD)
@@ -240,13 +240,13 @@
 	l->backoff_ms = 0;
 	l->not_before_ms = 0;
 	cnt_time_ms(&l->stats.answers, now - l->sent_ms);
-	adv_answered(l->adv, &l->ask, rows, l->sent_ms, now);
-	msg_job(MSG_ADV_TOLD, l->ask.step.id,
+	adv_answered(l->adv, &l->query, rows, l->sent_ms, now);
+	msg_job(MSG_ADV_TOLD, l->query.step.id,
 		"job=%s turn=%u step=%u named=%u approved=%u took_ms=%" PRId64
 		" valid_ms=%" PRId64,
-		l->ask.step.id, l->ask.step.turn, l->ask.step.step,
-		l->ask.workers->len, rows->len, now - l->sent_ms,
-		l->ask.valid_ms);
+		l->query.step.id, l->query.step.turn, l->query.step.step,
+		l->query.workers->len, rows->len, now - l->sent_ms,
+		l->query.valid_ms);
 }
 
 /* There was no valid answer: delays the next call. */
@@ -262,8 +262,8 @@
 	msg(MSG_ADV_FAILED,
 	    "job=%s turn=%u step=%u named=%u why=\"%s\" took_ms=%" PRId64
 	    " again_ms=%" PRId64,
-	    l->ask.step.id, l->ask.step.turn, l->ask.step.step,
-	    l->ask.workers->len, why, now - l->sent_ms, l->backoff_ms);
+	    l->query.step.id, l->query.step.turn, l->query.step.step,
+	    l->query.workers->len, why, now - l->sent_ms, l->backoff_ms);
 }
 
 /* Frees the data of the call. */
@@ -272,7 +272,7 @@
 	l->call = NULL;
 	evbuffer_free(l->body);
 	l->body = NULL;
-	adv_ask_clear(&l->ask);
+	adv_ask_clear(&l->query);
 }
 
 /* Schedules a call of the owner's poll, at ms on the timer service's clock. */
--- a/src/hub_call.c
+++ b/src/hub_call.c
@@ -9,12 +9,12 @@
  * Returns a new open call with one reference, released when the call is
  * answered or its client disconnects.
  */
-struct hub_call *hub_call_new(struct hub *h, enum hub_door door)
+struct hub_call *hub_call_new(struct hub *h, enum hub_door origin)
 {
 	struct hub_call *c = g_new0(struct hub_call, 1);
 
 	c->h = h;
-	c->door = door;
+	c->origin = origin;
 	c->refs = 1;
 	c->arrived_ms = tmr_now(h->tmr);
 	g_hash_table_add(h->calls, c);
@@ -66,7 +66,7 @@
 /* Returns how a call reached the daemon. */
 enum hub_door hub_door(const struct hub_call *c)
 {
-	return c->door;
+	return c->origin;
 }
 
 /* Returns the HTTP method of a call. */
--- a/src/hub_log.c
+++ b/src/hub_log.c
@@ -228,7 +228,7 @@
 
 		if (ok && !w->c->answered)
 			w->resume(h, w->c);
-		else if (!ok && !w->c->answered && w->c->door == HUB_CONTROL)
+		else if (!ok && !w->c->answered && w->c->origin == HUB_CONTROL)
 			hub_status(h, w->c, 503);
 		else if (!ok && !w->c->answered) {
 			h->counts[HUB_UNKNOWN_CALLS]++;
--- a/tests/unit/adv_line_test.c
+++ b/tests/unit/adv_line_test.c
@@ -38,9 +38,10 @@
 	GPtrArray *open_requests; /* struct evhttp_request without an answer */
 };
 
-static const char *fake_write(const struct adv_ask *ask, struct evbuffer *body)
+static const char *fake_write(const struct adv_ask *query,
+			      struct evbuffer *body)
 {
-	evbuffer_add_printf(body, "%s %u", ask->step.id, ask->workers->len);
+	evbuffer_add_printf(body, "%s %u", query->step.id, query->workers->len);
 	return "/ask";
 }
 
--- a/tests/unit/adv_test.c
+++ b/tests/unit/adv_test.c
@@ -19,7 +19,7 @@
 	struct adv *adv;
 	GHashTable *closed;
 	struct fake_advice service;
-	struct adv_ask ask;
+	struct adv_ask query;
 	int64_t now;
 	int64_t wall;
 };
@@ -54,7 +54,7 @@
 {
 	struct fixture *f = *state;
 
-	adv_ask_clear(&f->ask);
+	adv_ask_clear(&f->query);
 	adv_free(f->adv);
 	jtb_free(f->jtb);
 	g_hash_table_destroy(f->closed);
@@ -65,7 +65,7 @@
 /* Longer than the time for which a step that needs no query is skipped. */
 #define SKIP_MS 250
 
-/* Sets f->ask to the next query; returns false if none is needed. */
+/* Sets f->query to the next query; returns false if none is needed. */
 static bool next_query(struct fixture *f)
 {
 	struct sch_view v = {
@@ -77,8 +77,8 @@
 		.usable = is_usable,
 	};
 
-	adv_ask_clear(&f->ask);
-	return adv_next(f->adv, &v, &f->ask);
+	adv_ask_clear(&f->query);
+	return adv_next(f->adv, &v, &f->query);
 }
 
 /* As next_query(), after SKIP_MS. */
@@ -88,15 +88,15 @@
 	return next_query(f);
 }
 
-/* Answers f->ask as the fake service does, after the expected time. */
+/* Answers f->query as the fake service does, after the expected time. */
 static void answer_query(struct fixture *f)
 {
-	GPtrArray *rows = fake_advice_rows(&f->service, &f->ask);
-	int64_t asked = f->now;
+	GPtrArray *rows = fake_advice_rows(&f->service, &f->query);
+	int64_t sent_ms = f->now;
 
-	f->now += f->ask.takes_ms;
-	f->wall += f->ask.takes_ms;
-	adv_answered(f->adv, &f->ask, rows, asked, f->now);
+	f->now += f->query.takes_ms;
+	f->wall += f->query.takes_ms;
+	adv_answered(f->adv, &f->query, rows, sent_ms, f->now);
 	g_ptr_array_free(rows, TRUE);
 }
 
@@ -144,7 +144,7 @@
 
 static bool query_lists(const struct fixture *f, const char *worker)
 {
-	return g_ptr_array_find_with_equal_func(f->ask.workers, worker,
+	return g_ptr_array_find_with_equal_func(f->query.workers, worker,
 						g_str_equal, NULL);
 }
 
@@ -163,9 +163,9 @@
 	j = add_job(f, "j", 1, 0);
 	assert_true(next_query(f));
 	assert_int_equal(adv_waiting(f->adv, f->now, f->wall), 1);
-	assert_string_equal(f->ask.step.id, "j");
-	assert_int_equal(f->ask.workers->len, 2);
-	assert_int_equal(f->ask.takes_ms, CALL_MS + 2 * EACH_MS);
+	assert_string_equal(f->query.step.id, "j");
+	assert_int_equal(f->query.workers->len, 2);
+	assert_int_equal(f->query.takes_ms, CALL_MS + 2 * EACH_MS);
 	assert_false(has_ticket(f, j, "a000"));
 	answer_query(f);
 	assert_true(has_ticket(f, j, "a000"));
@@ -189,11 +189,11 @@
 	add_job(f, "one", 1, 0);
 	assert_true(next_query(f));
 	/* half of two approved for the task, half of four approved to spare */
-	assert_int_equal(f->ask.workers->len, 6);
+	assert_int_equal(f->query.workers->len, 6);
 	answer_query(f);
 	add_job(f, "many", 600, 0);
 	assert_true(next_query(f));
-	assert_int_equal(f->ask.workers->len, ADV_NAMES_MAX);
+	assert_int_equal(f->query.workers->len, ADV_NAMES_MAX);
 }
 
 /*
@@ -232,7 +232,7 @@
 	/* after an upkeep the VM has a worker with a new lifetime */
 	add_workers(f, "a", 1, 9000);
 	assert_true(next_query_later(f));
-	assert_int_equal(f->ask.workers->len, 1);
+	assert_int_equal(f->query.workers->len, 1);
 	answer_query(f);
 	assert_false(next_query(f));
 	assert_int_equal(adv_waiting(f->adv, f->now, f->wall), 0);
@@ -274,7 +274,7 @@
 	assert_false(next_query_later(f));
 	add_workers(f, "d", 1, 4000);
 	assert_true(next_query_later(f));
-	assert_string_equal(f->ask.step.id, "k");
+	assert_string_equal(f->query.step.id, "k");
 	assert_true(query_lists(f, "d000"));
 }
 
@@ -301,15 +301,15 @@
 	jtb_job(f->jtb, "late")->accepted_ms -= LONG_MS;
 	add_job(f, "new", 1, 0);
 	assert_true(next_query(f));
-	assert_string_equal(f->ask.step.id, "new");
+	assert_string_equal(f->query.step.id, "new");
 	answer_query(f);
 	/* the second step of the first job, while its first step runs */
 	assert_true(next_query(f));
-	assert_string_equal(f->ask.step.id, "first");
-	assert_int_equal(f->ask.step.step, 1);
+	assert_string_equal(f->query.step.id, "first");
+	assert_int_equal(f->query.step.step, 1);
 	answer_query(f);
 	assert_true(next_query(f));
-	assert_string_equal(f->ask.step.id, "late");
+	assert_string_equal(f->query.step.id, "late");
 	answer_query(f);
 	assert_false(next_query(f));
 }
@@ -341,17 +341,17 @@
 	assert_false(next_query(f));
 	f->wall = spec.first_ms - VALID_MS / 2;
 	assert_true(next_query(f));
-	assert_int_equal(f->ask.step.turn, 0);
+	assert_int_equal(f->query.step.turn, 0);
 	answer_query(f);
 	assert_false(next_query(f));
 	f->wall = spec.first_ms + spec.every_ms - 1000;
 	f->now += 60000;
 	/* the first repeat is due and not done, and its tickets have expired */
 	assert_true(next_query(f));
-	assert_int_equal(f->ask.step.turn, 0);
+	assert_int_equal(f->query.step.turn, 0);
 	answer_query(f);
 	assert_true(next_query(f));
-	assert_int_equal(f->ask.step.turn, 1);
+	assert_int_equal(f->query.step.turn, 1);
 }
 
 /*
@@ -444,11 +444,11 @@
 	add_job(f, "rejected", 1, 0);
 	for (i = 0; i < 20; i++) {
 		assert_true(next_query(f));
-		assert_string_equal(f->ask.step.id, "rejected");
-		adv_reject_query(f->adv, &f->ask, f->now);
+		assert_string_equal(f->query.step.id, "rejected");
+		adv_reject_query(f->adv, &f->query, f->now);
 		if (i == 0) {
 			assert_true(next_query(f));
-			assert_string_equal(f->ask.step.id, "other");
+			assert_string_equal(f->query.step.id, "other");
 			answer_query(f);
 		}
 		assert_false(next_query(f));
@@ -474,8 +474,8 @@
 	add_workers(f, "a", 100, 1000);
 	assert_true(next_query(f));
 	/* limited to half of the tickets' validity */
-	assert_int_equal(f->ask.takes_ms, 500);
-	f->ask.takes_ms = 5000;
+	assert_int_equal(f->query.takes_ms, 500);
+	f->query.takes_ms = 5000;
 	answer_query(f);
 	assert_true(has_ticket(f, j, "a000"));
 	f->now += 400;
@@ -511,7 +511,7 @@
 	assert_false(next_query(f));
 	g_hash_table_remove(f->closed, "a001");
 	assert_true(next_query_later(f));
-	assert_int_equal(f->ask.workers->len, 1);
+	assert_int_equal(f->query.workers->len, 1);
 }
 
 /*
--- a/tests/unit/fake_advice.h
+++ b/tests/unit/fake_advice.h
@@ -15,15 +15,15 @@
 
 /* Returns the service's answer to a query. */
 static inline GPtrArray *fake_advice_rows(struct fake_advice *f,
-					  const struct adv_ask *ask)
+					  const struct adv_ask *query)
 {
 	GPtrArray *rows = g_ptr_array_new_with_free_func(adv_row_free);
 	guint i;
 
 	f->answers++;
-	f->queried += ask->workers->len;
-	for (i = 0; i < ask->workers->len; i++) {
-		const char *id = g_ptr_array_index(ask->workers, i);
+	f->queried += query->workers->len;
+	for (i = 0; i < query->workers->len; i++) {
+		const char *id = g_ptr_array_index(query->workers, i);
 		struct adv_row *row;
 
 		if (id[0] != f->approved_prefix)
