--- a/src/hub_carry.c
+++ b/src/hub_carry.c
@@ -4,7 +4,7 @@
 
 #include "msg.h"
 
-/* Chooses the replica that sends the calls to a worker. */
+/* Choice of the replica that sends the calls to a worker. */
 
 static bool hub_relay_send(void *arg, const char *addr, struct lstr payload);
 static bool hub_relay_needed(const struct hub *h);
--- a/src/hub_held.c
+++ b/src/hub_held.c
@@ -76,8 +76,8 @@
 }
 
 /*
- * Returns the state of a run: a task that has a run may be pending all the
- * same.
+ * Returns the state of a run, since a task that has a run may be pending all
+ * the same.
  */
 static enum hld_reason hub_pending_run_reason(void *arg,
 					      const struct jtb_run *run)
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -250,7 +250,7 @@
 }
 
 /*
- * Logs how a run ended that did not complete. For a run whose end was not
+ * Logs the end of a run that did not complete. For a run whose end was not
  * reported by its worker, logs the evidence for the end: each kind of evidence
  * can be wrong in a different way, and the task then runs twice.
  */
@@ -467,7 +467,7 @@
 	return rep_sure_ms(h->rep);
 }
 
-/* Tells a run that fills up a worker to work faster or slower. */
+/* Makes a run that uses spare capacity work faster or slower. */
 static void hub_set_pace(void *arg, struct jtb_run *run, int percent)
 {
 	struct hub *h = arg;
@@ -760,7 +760,7 @@
 	}
 }
 
-/* Updates the estimates of a queue's run times from the end of a run. */
+/* Updates the factor of a queue's estimates from the end of a run. */
 static void hub_record_run_time(struct hub *h, const struct jtb_run *run,
 				enum jtb_end how)
 {
@@ -772,8 +772,8 @@
 }
 
 /*
- * Sets, for each job that is not over, the factor between its declared and its
- * estimated run times.
+ * Sets the factor by which the estimates of each job that is not over are
+ * scaled.
  */
 static void hub_scale_estimates(struct hub *h)
 {
@@ -799,9 +799,7 @@
 	}
 }
 
-/*
- * Whether a run has made no progress for far longer than its declared run time.
- */
+/* Whether a run has made no progress for far longer than its estimate. */
 static bool hub_run_hung(const struct jtb_run *run, int64_t now)
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
--- a/src/hub_take.c
+++ b/src/hub_take.c
@@ -135,7 +135,8 @@
 
 /*
  * A new worker reports an address that a known worker has: asks the known
- * worker for its runs by its id. It is over if another worker answers.
+ * worker for its runs by its id. The known worker is over if another worker
+ * answers.
  */
 static void hub_probe_addr(struct hub *h, const struct jtb_worker_info *info)
 {
--- a/src/hub_vm.c
+++ b/src/hub_vm.c
@@ -9,8 +9,8 @@
 /* Interval between log lines on each pool, ms. */
 #define HUB_POOL_LOG_INTERVAL_MS 1000
 /*
- * Grace period, ms: a new leader sends no orders to VMs until it is over.
- * Orders that the previous leader wrote before it aborted them (see
+ * Grace period, ms: a new leader sends no orders to VMs during the grace
+ * period. Orders that the previous leader wrote before it aborted them (see
  * VMS_BREAK_MS) or handed over leadership are in the network for less. The new
  * leader's first list of VMs takes most of that time anyway.
  */
@@ -190,7 +190,8 @@
 }
 
 /*
- * Returns when leadership was last confirmed, ms; 0: it is being handed over.
+ * Returns when leadership was last confirmed, ms; 0: leadership is being handed
+ * over.
  */
 static int64_t hub_vm_lead_confirmed_ms(void *arg)
 {
--- a/tests/unit/adv_test.c
+++ b/tests/unit/adv_test.c
@@ -297,8 +297,8 @@
 	/* steps that follow others are not queried before those start */
 	assert_false(next_query(f));
 	jobs_start(f->jtb, "first", 0, 0, 1, "a000");
-	add_job(f, "late", 1, 0);
-	jtb_job(f->jtb, "late")->accepted_ms -= LONG_MS;
+	add_job(f, "overdue", 1, 0);
+	jtb_job(f->jtb, "overdue")->accepted_ms -= LONG_MS;
 	add_job(f, "new", 1, 0);
 	assert_true(next_query(f));
 	assert_string_equal(f->query.step.id, "new");
@@ -309,7 +309,7 @@
 	assert_int_equal(f->query.step.step, 1);
 	answer_query(f);
 	assert_true(next_query(f));
-	assert_string_equal(f->query.step.id, "late");
+	assert_string_equal(f->query.step.id, "overdue");
 	answer_query(f);
 	assert_false(next_query(f));
 }
