--- a/src/jtb.c
+++ b/src/jtb.c
@@ -1,33 +1,34 @@
 #include "jtb_int.h"
 
-static void jtb_no_run(void *arg, struct jtb_run *run);
-static void jtb_no_end(void *arg, struct jtb_run *run, enum jtb_end how);
-static void jtb_no_stop(void *arg, struct jtb_run *run);
-static void jtb_no_late_end(void *arg, const struct jtb_worker *w,
-			    const struct jtb_name *n, uint32_t attempt,
-			    enum jtb_end how);
-static void jtb_no_job(void *arg, struct jtb_job *job);
-static void jtb_no_worker(void *arg, struct jtb_worker *w);
-static void jtb_no_config(void *arg);
-
-/* For a table that nobody watches. */
-static const struct jtb_watch jtb_nobody = {
-	.run_began = jtb_no_run,
-	.run_ends = jtb_no_end,
-	.run_stops = jtb_no_stop,
-	.late_end = jtb_no_late_end,
-	.job_changed = jtb_no_job,
-	.worker_changed = jtb_no_worker,
-	.worker_gone = jtb_no_worker,
-	.config_changed = jtb_no_config,
+static void jtb_ignore_run(void *arg, struct jtb_run *run);
+static void jtb_ignore_run_end(void *arg, struct jtb_run *run,
+			       enum jtb_end how);
+static void jtb_ignore_run_stop(void *arg, struct jtb_run *run);
+static void jtb_ignore_late_end(void *arg, const struct jtb_worker *w,
+				const struct jtb_name *n, uint32_t attempt,
+				enum jtb_end how);
+static void jtb_ignore_job(void *arg, struct jtb_job *job);
+static void jtb_ignore_worker(void *arg, struct jtb_worker *w);
+static void jtb_ignore_config(void *arg);
+
+/* Callbacks that do nothing, for a table without an observer. */
+static const struct jtb_watch jtb_ignore_all = {
+	.run_began = jtb_ignore_run,
+	.run_ends = jtb_ignore_run_end,
+	.run_stops = jtb_ignore_run_stop,
+	.late_end = jtb_ignore_late_end,
+	.job_changed = jtb_ignore_job,
+	.worker_changed = jtb_ignore_worker,
+	.worker_gone = jtb_ignore_worker,
+	.config_changed = jtb_ignore_config,
 };
 
-/* An empty table; watch may be NULL. */
+/* Creates an empty table; watch may be NULL for no callbacks. */
 struct jtb *jtb_new(const struct jtb_watch *watch, void *arg)
 {
 	struct jtb *t = g_new0(struct jtb, 1);
 
-	t->watch = watch ? watch : &jtb_nobody;
+	t->watch = watch ? watch : &jtb_ignore_all;
 	t->arg = arg;
 	t->config = jtb_config_new();
 	t->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
@@ -42,7 +43,7 @@
 	return t;
 }
 
-/* Frees a table; nobody is told. */
+/* Frees a table without calling back. */
 void jtb_free(struct jtb *t)
 {
 	if (!t)
@@ -57,7 +58,7 @@
 	g_free(t);
 }
 
-/* Makes a table empty, without a word to its watcher. */
+/* Empties a table without calling back; its configuration stays. */
 void jtb_clear(struct jtb *t)
 {
 	GHashTableIter it;
@@ -77,49 +78,49 @@
 	g_ptr_array_set_size(t->waves, 0);
 }
 
-/* The configuration in force; version 0: none yet. */
+/* Returns the configuration in force; its version is 0 before the first. */
 const struct jtb_config *jtb_config(const struct jtb *t)
 {
 	return t->config;
 }
 
-/* A job, or NULL. */
+/* Returns the job of an id, or NULL. */
 struct jtb_job *jtb_job(const struct jtb *t, const char *id)
 {
 	return g_hash_table_lookup(t->jobs, id);
 }
 
-/* A worker, or NULL. */
+/* Returns the worker of an id, or NULL. */
 struct jtb_worker *jtb_worker(const struct jtb *t, const char *id)
 {
 	return g_hash_table_lookup(t->workers, id);
 }
 
-/* All workers by id. */
+/* Returns all workers by id; the table owns the hash table. */
 GHashTable *jtb_workers(const struct jtb *t)
 {
 	return t->workers;
 }
 
-/* All jobs by id. */
+/* Returns all jobs by id; the table owns the hash table. */
 GHashTable *jtb_jobs(const struct jtb *t)
 {
 	return t->jobs;
 }
 
-/* Jobs that are not over, or of which something still runs. */
+/* Returns the jobs that have not ended or that still have runs. */
 GPtrArray *jtb_live(const struct jtb *t)
 {
 	return t->live;
 }
 
-/* All waves in order of arrival. */
+/* Returns all maintenance waves in order of arrival. */
 GPtrArray *jtb_waves(const struct jtb *t)
 {
 	return t->waves;
 }
 
-/* A wave, or NULL. */
+/* Returns the maintenance wave of a number, or NULL. */
 struct jtb_wave *jtb_wave(const struct jtb *t, uint64_t no)
 {
 	guint i;
@@ -133,19 +134,19 @@
 	return NULL;
 }
 
-/* Whether a worker's lifetime is known to be over. */
+/* Whether a worker id was removed permanently. */
 bool jtb_was_removed(const struct jtb *t, const char *worker)
 {
 	return g_hash_table_contains(t->removed, worker);
 }
 
-/* A queue by name, or NULL. */
+/* Returns the queue of a name, or NULL. */
 const struct jtb_queue *jtb_queue(const struct jtb_config *c, const char *name)
 {
 	return g_hash_table_lookup(c->queue_by_name, name);
 }
 
-/* The queue whose host fits and whose prefix is the longest; or NULL. */
+/* Returns the queue of a host with the longest prefix of path, or NULL. */
 const struct jtb_queue *jtb_route(const struct jtb_config *c, const char *host,
 				  const char *path)
 {
@@ -171,13 +172,13 @@
 	return best;
 }
 
-/* A pool by name, or NULL. */
+/* Returns the pool of a name, or NULL. */
 const struct jtb_pool *jtb_pool(const struct jtb_config *c, const char *name)
 {
 	return g_hash_table_lookup(c->pool_by_name, name);
 }
 
-/* The pool that a job runs in now; NULL: its queue is gone. */
+/* Returns the pool a job runs in now; NULL if its queue was removed. */
 const char *jtb_pool_of(const struct jtb *t, const struct jtb_job *job)
 {
 	const struct jtb_queue *q = jtb_queue(t->config, job->spec.queue);
@@ -185,7 +186,7 @@
 	return q ? q->pool : NULL;
 }
 
-/* Jobs of a queue of which nothing has begun. */
+/* Counts the jobs of a queue that have no confirmed start yet. */
 uint32_t jtb_pending(const struct jtb *t, const char *queue)
 {
 	uint32_t n = 0;
@@ -201,7 +202,7 @@
 	return n;
 }
 
-/* The run of that task, if it is just this one; or NULL. */
+/* Returns a task's run if attempt and worker id match, else NULL. */
 struct jtb_run *jtb_find_run(const struct jtb *t, const struct jtb_name *name,
 			     uint32_t attempt, const char *worker)
 {
@@ -217,13 +218,13 @@
 	return task->run;
 }
 
-/* Whether a run is being stopped, or is to be as soon as that is agreed on. */
+/* Whether a stop of a run is wanted, proposed or committed. */
 bool jtb_leaves(const struct jtb_run *run)
 {
 	return run->stop || run->stop_planned || run->stopping;
 }
 
-/* Whether a task fits into what a worker has left, by what is final. */
+/* Whether a task fits into a worker's free capacity, by committed runs only. */
 bool jtb_fits(const struct jtb_worker *w, const struct jtb_step *s)
 {
 	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
@@ -233,14 +234,14 @@
 	       w->used_gpus + s->gpus <= w->info.gpus;
 }
 
-/* Whether a worker has less room than its runs take: it has shrunk. */
+/* Whether a worker's runs exceed its capacity, since that was reduced. */
 bool jtb_overfull(const struct jtb_worker *w)
 {
 	return w->used_cpu > w->info.cpu || w->used_mem > w->info.mem_mb ||
 	       w->used_gpus > w->info.gpus;
 }
 
-/* What there is of a step in one turn; NULL: nothing of the turn has begun. */
+/* Returns a step's state in one turn; NULL if nothing of the turn started. */
 struct jtb_part *jtb_part(const struct jtb_job *job, uint32_t turn,
 			  uint32_t step)
 {
@@ -248,10 +249,10 @@
 }
 
 /*
- * Whether a job has been over for keep_ms, by the owner's steady clock. The
- * time of day would do it too early after a jump, and callers would be told
- * that the job was never accepted; a new owner counts from its first look, so
- * that at worst a job is kept longer.
+ * Whether a job ended more than keep_ms ago, by the leader's monotonic clock.
+ * After a jump of the wall clock jobs would be forgotten too early, and callers
+ * would be told that the job was never accepted. A new leader counts from its
+ * first call for the job, so the job may be kept longer, never shorter.
  */
 bool jtb_may_forget(struct jtb_job *job, int64_t now_ms, int64_t keep_ms)
 {
@@ -262,7 +263,7 @@
 	return now_ms - job->over_ms > keep_ms;
 }
 
-/* When a turn of a job is due, ms since 1970; 0: at once. */
+/* Returns when a turn of a job is due, ms since 1970; 0: immediately. */
 int64_t jtb_turn_due(const struct jtb_job *job, uint32_t turn)
 {
 	if (!job->spec.repeats)
@@ -270,7 +271,7 @@
 	return job->spec.first_ms + turn * job->spec.every_ms;
 }
 
-/* Whether tasks of a step may be started as far as order and time go. */
+/* Whether a step's turn is due and all steps it depends on are done. */
 bool jtb_step_due(const struct jtb_job *job, uint32_t turn, uint32_t step,
 		  int64_t wall_ms)
 {
@@ -280,7 +281,7 @@
 	       (after & job->turns[turn].done) == after;
 }
 
-/* Runs of a job beyond the first of each task. */
+/* Counts the runs of a job beyond the first run of each task. */
 uint32_t jtb_runs_again(const struct jtb_job *job)
 {
 	uint32_t again = 0;
@@ -298,7 +299,7 @@
 	return again;
 }
 
-/* The most workers that were lost as one task of a job began. */
+/* Returns the highest crash count of a job's tasks. */
 uint32_t jtb_crashes(const struct jtb_job *job)
 {
 	uint32_t most = 0;
@@ -311,7 +312,7 @@
 	return most;
 }
 
-/* What is counted against a task; NULL: nothing. */
+/* Returns the crash record of a task; NULL if it has none. */
 const struct jtb_suspect *jtb_suspect(const struct jtb_job *job, uint32_t step,
 				      uint32_t index)
 {
@@ -327,9 +328,9 @@
 	return NULL;
 }
 
-/* The same, begun here if it is new. */
-struct jtb_suspect *jtb_suspect_at(struct jtb_job *job, uint32_t step,
-				   uint32_t index)
+/* Returns the crash record of a task; adds one if it has none. */
+struct jtb_suspect *jtb_add_suspect(struct jtb_job *job, uint32_t step,
+				    uint32_t index)
 {
 	struct jtb_suspect s = {.step = step, .index = index};
 
@@ -341,8 +342,8 @@
 	return (struct jtb_suspect *)jtb_suspect(job, step, index);
 }
 
-/* Nothing is counted against a task any more. */
-void jtb_suspect_clear(struct jtb_job *job, uint32_t step, uint32_t index)
+/* Removes the crash record of a task. */
+void jtb_remove_suspect(struct jtb_job *job, uint32_t step, uint32_t index)
 {
 	const struct jtb_suspect *s = jtb_suspect(job, step, index);
 
@@ -353,7 +354,10 @@
 						   struct jtb_suspect, 0)));
 }
 
-/* A task's place; the turn's parts come into being with its first start. */
+/*
+ * Returns a task; NULL if there is no such task. The state of a turn is
+ * allocated on first use: with make unset a turn without it gives NULL.
+ */
 struct jtb_task *jtb_task_at(const struct jtb_job *job,
 			     const struct jtb_name *n, bool make)
 {
@@ -375,7 +379,7 @@
 	return &turn->parts[n->step].tasks[n->index];
 }
 
-/* Notes that a task runs on a worker. */
+/* Adds a run of a task and charges its size to the worker. */
 struct jtb_run *jtb_run_new(struct jtb *t, struct jtb_job *job,
 			    const struct jtb_name *name, uint32_t attempt,
 			    struct jtb_worker *w)
@@ -407,46 +411,46 @@
 	return run;
 }
 
-/* For tables that nobody watches. */
-static void jtb_no_run(void *arg, struct jtb_run *run)
+/* No-op callback. */
+static void jtb_ignore_run(void *arg, struct jtb_run *run)
 {
-	/* nobody watches */
+	/* no-op */
 }
 
-/* For tables that nobody watches. */
-static void jtb_no_end(void *arg, struct jtb_run *run, enum jtb_end how)
+/* No-op callback. */
+static void jtb_ignore_run_end(void *arg, struct jtb_run *run, enum jtb_end how)
 {
-	/* nobody watches */
+	/* no-op */
 }
 
-/* For tables that nobody watches. */
-static void jtb_no_stop(void *arg, struct jtb_run *run)
+/* No-op callback. */
+static void jtb_ignore_run_stop(void *arg, struct jtb_run *run)
 {
-	/* nobody watches */
+	/* no-op */
 }
 
-/* For tables that nobody watches. */
-static void jtb_no_late_end(void *arg, const struct jtb_worker *w,
-			    const struct jtb_name *n, uint32_t attempt,
-			    enum jtb_end how)
+/* No-op callback. */
+static void jtb_ignore_late_end(void *arg, const struct jtb_worker *w,
+				const struct jtb_name *n, uint32_t attempt,
+				enum jtb_end how)
 {
-	/* nobody watches */
+	/* no-op */
 }
 
-/* For tables that nobody watches. */
-static void jtb_no_job(void *arg, struct jtb_job *job)
+/* No-op callback. */
+static void jtb_ignore_job(void *arg, struct jtb_job *job)
 {
-	/* nobody watches */
+	/* no-op */
 }
 
-/* For tables that nobody watches. */
-static void jtb_no_worker(void *arg, struct jtb_worker *w)
+/* No-op callback. */
+static void jtb_ignore_worker(void *arg, struct jtb_worker *w)
 {
-	/* nobody watches */
+	/* no-op */
 }
 
-/* For tables that nobody watches. */
-static void jtb_no_config(void *arg)
+/* No-op callback. */
+static void jtb_ignore_config(void *arg)
 {
-	/* nobody watches */
+	/* no-op */
 }
--- a/src/jtb.h
+++ b/src/jtb.h
@@ -1,6 +1,8 @@
 #ifndef JTB_H
 #define JTB_H
 
+/* The job table: the replicated state machine of jobs, tasks and workers. */
+
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -10,42 +12,43 @@
 #include "pk.h"
 
 /*
- * The job table: configuration, workers, jobs and what runs where, as the
- * replicas agree on it. It changes by commands only, each packed by a
- * jtb_put_ function and applied in the same order everywhere. What only the
- * leader needs hangs on the records as owner's data.
+ * The table holds the configuration, the workers, the jobs and their runs, as
+ * agreed by the replicas. Only commands change it: each is packed by a
+ * jtb_put_ function and applied in the same order on every replica. Fields
+ * marked "leader's" are local to the leader: they are not replicated and not
+ * part of a snapshot.
  */
 struct jtb;
 
 #define JTB_ID_MAX 32
-/* Steps of a job: their order is kept in the bits of one word. */
+/* Maximum steps of a job: a set of steps is a bit mask in one 64-bit word. */
 #define JTB_STEPS_MAX 64
-/* Tasks of a job over all steps; a job of more is refused. */
+/* Maximum tasks of a job over all steps; larger jobs are refused. */
 #define JTB_TASKS_MAX 20000
-/* Times a job is repeated; a job of more is refused. */
+/* Maximum turns of a repeated job; jobs with more are refused. */
 #define JTB_REPEATS_MAX 10000
 
-/* A queue: where callers hand jobs in, and how these are treated. */
+/* A queue: the address callers submit jobs to, and the policy for its jobs. */
 struct jtb_queue {
 	char *name;
 	char *host;
-	char *prefix; /* of the path, with "/" at its end */
+	char *prefix; /* path prefix, ends with "/" */
 	char *pool;
-	uint32_t timeout_ms;
-	uint32_t slack_ms; /* of a job's objective, beside its work */
-	uint32_t priority; /* 0 goes first */
-	uint32_t attempts; /* failed runs of a task until its job has failed */
-	double stretch; /* of a job's objective, over its longest chain */
-	bool advised; /* starts need a ticket */
-	uint32_t advice_ms; /* a call for advice takes, */
-	uint32_t advice_each_ms; /* and for each worker named */
-	uint32_t advice_valid_ms; /* its tickets hold; 0: not told */
+	uint32_t timeout_ms; /* time limit of a request, as configured */
+	uint32_t slack_ms; /* constant part of a job's completion objective */
+	uint32_t priority; /* 0 is scheduled first */
+	uint32_t attempts; /* failed runs of one task that fail the job */
+	double stretch; /* objective's multiple of the critical path */
+	bool advised; /* starts need a ticket from the advice service */
+	uint32_t advice_ms; /* time of one call to the advice service */
+	uint32_t advice_each_ms; /* additional time for each worker named */
+	uint32_t advice_valid_ms; /* validity of its tickets; 0: unknown */
 };
 
 /* A pool of VMs that run jobs. */
 struct jtb_pool {
 	char *name;
-	bool guarded; /* its workers refuse what doesn't fit */
+	bool guarded; /* its workers refuse tasks that exceed their capacity */
 	bool standby; /* its VMs are switched off */
 };
 
@@ -54,47 +57,47 @@
 	GPtrArray
 		*queues; /* struct jtb_queue, filled by jtb_config_add_queue */
 	GPtrArray *pools; /* struct jtb_pool, filled by jtb_config_add_pool */
-	GHashTable *queue_by_name; /* the first of each name */
-	GHashTable
-		*queues_by_host; /* lower case: GPtrArray of struct jtb_queue */
-	GHashTable *pool_by_name; /* the first of each name */
-	GBytes *document; /* as the operator sent it */
+	GHashTable *queue_by_name; /* first queue of each name */
+	GHashTable *
+		queues_by_host; /* lower-case host: GPtrArray of struct jtb_queue */
+	GHashTable *pool_by_name; /* first pool of each name */
+	GBytes *document; /* text of the configuration as submitted */
 };
 
 enum jtb_step_flag {
-	JTB_SAVES = 1 << 0, /* its tasks save their progress */
-	JTB_GANG = 1 << 1, /* its tasks work only all together */
-	JTB_ONE_RACK = 1 << 2, /* slower on more than one rack */
-	JTB_COPIES = 1 << 3, /* several runs of a task may race */
-	JTB_LASTS = 1 << 4, /* runs until the job is cancelled */
-	JTB_FILLS = 1 << 5, /* runs on processors that others leave idle */
+	JTB_SAVES = 1 << 0, /* its tasks write checkpoints */
+	JTB_GANG = 1 << 1, /* gang scheduling: all tasks run or none */
+	JTB_ONE_RACK = 1 << 2, /* slower when spread over several racks */
+	JTB_COPIES = 1 << 3, /* speculative copies of a task are allowed */
+	JTB_LASTS = 1 << 4, /* long-running: runs until the job is cancelled */
+	JTB_FILLS = 1 << 5, /* best effort: uses only idle processor time */
 };
 
-/* A step of a job: so many tasks of one kind. */
+/* A step of a job: a number of tasks of one kind. */
 struct jtb_step {
 	uint32_t count;
 	uint32_t cpu; /* thousandths of a core */
 	uint32_t mem_mb;
 	uint32_t gpus;
-	uint32_t guess_ms; /* the caller's rough idea of a task's time */
-	uint32_t per_worker; /* tasks of the step on one worker; 0: any */
-	uint32_t tail_ms; /* bound for what its tasks serve; 0: none */
-	uint32_t may_miss; /* tasks that we may take away at once */
+	uint32_t guess_ms; /* caller's estimate of a task's run time */
+	uint32_t per_worker; /* maximum tasks on one worker; 0: no limit */
+	uint32_t tail_ms; /* tail latency objective of a service; 0: none */
+	uint32_t may_miss; /* tasks that may be unavailable at a time */
 	uint32_t flags; /* enum jtb_step_flag */
-	uint64_t after; /* steps that must be done, one bit each */
-	char *label; /* a worker must have; or NULL */
-	char *rack; /* where its data is; or NULL */
+	uint64_t after; /* bit mask of steps that must be done first */
+	char *label; /* label that a worker must have; or NULL */
+	char *rack; /* rack that holds the input data; or NULL */
 	char *image; /* tasks of one image behave alike; or NULL */
 };
 
 struct jtb_spec {
 	char id[JTB_ID_MAX + 1];
 	char *queue;
-	char *text; /* handed to the workers */
+	char *text; /* opaque payload, passed to the workers */
 	struct jtb_step *steps;
 	uint32_t n_steps;
-	uint32_t repeats; /* 0: runs once, now */
-	int64_t first_ms; /* since 1970 */
+	uint32_t repeats; /* 0: runs once, immediately */
+	int64_t first_ms; /* start of the first turn, ms since 1970 */
 	int64_t every_ms;
 };
 
@@ -107,14 +110,15 @@
 	JTB_JOB_STATES
 };
 
+/* How a run ended. */
 enum jtb_end {
 	JTB_DONE,
 	JTB_FAILED_RUN,
 	JTB_STOPPED,
-	JTB_LAPSED, /* its lease ran out */
-	JTB_BROKEN, /* another member of its gang ended */
-	JTB_ALONE, /* its gang didn't come together */
-	JTB_LOST, /* gone with its worker, or never begun */
+	JTB_LAPSED, /* its lease expired */
+	JTB_BROKEN, /* another task of its gang ended */
+	JTB_ALONE, /* not all tasks of its gang could be started */
+	JTB_LOST, /* its worker was lost, or the run never started */
 	JTB_ENDS
 };
 
@@ -122,78 +126,78 @@
 
 struct jtb_task {
 	struct jtb_run *run; /* or NULL */
-	char *saved; /* newest progress that can be gone on from; or NULL */
-	uint32_t attempt; /* of its newest run */
+	char *saved; /* most recent usable checkpoint; or NULL */
+	uint32_t attempt; /* number of its most recent run */
 	uint32_t fails;
 	bool done;
-	bool planned; /* owner's: a start is proposed and not final */
-	struct jtb_worker *planned_on; /* NULL: it is over */
-	int64_t free_ms; /* owner's: when its last run ended */
+	bool planned; /* leader's: a start is proposed, not yet committed */
+	struct jtb_worker *planned_on; /* NULL: that worker was removed */
+	int64_t free_ms; /* leader's: end of its most recent run */
 };
 
 /*
- * A task under which workers may have crashed, in any of its job's turns. Few
- * jobs have one, so that a list by itself is kept of them.
+ * A task that may have crashed workers, counted over all turns of its job.
+ * Kept in a list of its own, since few jobs have such tasks.
  */
 struct jtb_suspect {
 	uint32_t step;
 	uint32_t index;
-	uint32_t crashes; /* workers that were lost as it began there, */
-	uint32_t shared; /* and of these, those that were lost with others */
+	uint32_t crashes; /* workers lost while this task was starting */
+	uint32_t shared; /* those of them lost together with other workers */
 };
 
-/* One time that a step of a job is run. */
+/* State of one step in one turn of a job. */
 struct jtb_part {
 	struct jtb_task *tasks;
 	uint32_t n_done;
 	uint32_t n_runs;
-	uint32_t n_planned; /* owner's */
+	uint32_t n_planned; /* leader's: starts that are proposed */
 };
 
-/* One time that a job is run. */
+/* State of one turn of a job. */
 struct jtb_turn {
-	struct jtb_part *parts; /* of each step */
-	uint64_t done; /* steps, one bit each */
+	struct jtb_part *parts; /* one a step; NULL: nothing was started */
+	uint64_t done; /* bit mask of steps that are done */
 };
 
-/* Since when something owed is held back for one reason; owner's. */
+/* Why a job or task is pending, and since when; leader's. */
 struct jtb_held {
-	int64_t owed_ms; /* it has had no run since; 0: it has, or isn't owed */
-	int64_t since_ms; /* that reason holds it since */
-	int64_t told_ms; /* when it was last told of; 0: not yet */
+	int64_t owed_ms; /* pending since; 0: not pending */
+	int64_t since_ms; /* pending for this reason since */
+	int64_t told_ms; /* last log line about it; 0: none yet */
 	uint8_t why; /* enum hld_reason */
 };
 
 struct jtb_job {
 	struct jtb_spec spec;
 	enum jtb_job_state state;
-	uint64_t seq; /* in order of acceptance */
+	uint64_t seq; /* position in the order of acceptance */
 	int64_t accepted_ms; /* since 1970, by the leader's clock */
 	int64_t ended_ms;
-	int64_t over_ms; /* owner's: when first seen as over; 0: not yet */
-	double scale; /* owner's: time its work takes over its guesses; 0: 1 */
-	int64_t begun_ms; /* owner's: its first start since 1970; 0: none */
-	struct jtb_turn *turns; /* of each repeat; at least one */
+	int64_t over_ms; /* leader's: first seen as ended; 0: not yet */
+	double scale; /* leader's: actual over estimated run time; 0: 1 */
+	int64_t begun_ms; /* leader's: first start since 1970; 0: none */
+	struct jtb_turn *turns; /* one a repetition; at least one */
 	uint32_t n_turns;
 	uint32_t turns_done;
 	uint32_t n_runs;
-	GArray *suspects; /* struct jtb_suspect; NULL: none ever */
-	bool started; /* a start of it was agreed on once, */
-	bool unseen; /* owner's: and no worker has told that it took one */
-	/* owner's, or NULL: of the job, then of each task that lasts */
+	GArray *suspects; /* struct jtb_suspect; NULL: there never was one */
+	bool started; /* the start of one of its tasks was committed */
+	bool unseen; /* leader's: and no worker confirmed a start yet */
+	/* leader's, or NULL: of the job, then of each long-running task */
 	struct jtb_held *held;
-	int64_t rack_ms; /* owner's: since when a gang waits for a rack; or 0 */
-	double work; /* core-seconds by its guesses, one turn */
-	uint32_t chain_ms; /* longest chain of its steps by its guesses */
+	int64_t rack_ms; /* leader's: a gang waits for a rack since; or 0 */
+	double work; /* estimated core-seconds of one turn */
+	uint32_t chain_ms; /* estimated length of the critical path */
 };
 
 struct jtb_worker_info {
-	char *id; /* of this lifetime */
+	char *id; /* new after each restart of the worker */
 	char *pool;
 	char *addr;
 	char *zone;
 	char **labels; /* its kind, then its rack */
-	uint32_t cpu;
+	uint32_t cpu; /* thousandths of a core */
 	uint32_t mem_mb;
 	uint32_t gpus;
 	bool draining;
@@ -201,36 +205,36 @@
 
 struct jtb_worker {
 	struct jtb_worker_info info;
-	uint64_t end_no; /* ends up to this are in the table */
+	uint64_t end_no; /* number of the last end that was applied */
 	GPtrArray *runs; /* struct jtb_run */
-	bool lost; /* owner's: its end is on its way to the log, */
-	struct evd over; /* and why it was taken for over */
-	bool leaves; /* owner's: it has said that it ends */
-	uint32_t unlisted; /* owner's: lists of VMs in a row without it */
-	uint32_t cleared; /* times that all its runs were taken for over */
+	bool lost; /* leader's: its removal is proposed */
+	struct evd over; /* leader's: evidence for that removal */
+	bool leaves; /* leader's: it announced its shutdown */
+	uint32_t unlisted; /* leader's: VM lists in a row that lack it */
+	uint32_t cleared; /* times that all its runs were ended as lost */
 	uint32_t used_cpu;
 	uint32_t used_mem;
 	uint32_t used_gpus;
-	uint32_t plan_cpu; /* owner's: of starts that are not final */
+	uint32_t plan_cpu; /* leader's: reserved for proposed starts */
 	uint32_t plan_mem;
 	uint32_t plan_gpus;
-	uint32_t same_step; /* owner's: tasks of the step being planned */
-	uint32_t fails; /* owner's: jobs that failed on it in a row, */
-	uint64_t failed_job; /* seq + 1 of the last of them, */
-	uint32_t fails_seen; /* how many were known in the last plan, */
-	int64_t failed_ms; /* and when these changed */
-	bool suspect; /* owner's: it was told of as one that fails all */
-	bool barred; /* owner's: has no ticket for that step */
+	uint32_t same_step; /* leader's: its tasks of the step being placed */
+	uint32_t fails; /* leader's: different jobs that failed in a row */
+	uint64_t failed_job; /* seq + 1 of the last of these jobs */
+	uint32_t fails_seen; /* value of that count in the last plan */
+	int64_t failed_ms; /* time at which that count last changed */
+	bool suspect; /* leader's: logged as failing every job */
+	bool barred; /* leader's: has no ticket for the step being placed */
 	uint64_t
-		trial_for; /* owner's: seq + 1 of the job that is tried on it */
-	int64_t trial_ms; /* alone, when it was last kept so for that, */
-	bool trial_begun; /* and whether something of the job was started */
-	uint64_t kept_for; /* owner's: seq + 1 of the job it is kept for, */
-	int64_t kept_ms; /* when it was last */
+		trial_for; /* leader's: seq + 1 of the job retried in isolation */
+	int64_t trial_ms; /* last time it was reserved for that retry */
+	bool trial_begun; /* whether a task of that job was started on it */
+	uint64_t kept_for; /* leader's: seq + 1 of the job it is reserved for */
+	int64_t kept_ms; /* last time it was reserved for that job */
 	void *owner; /* leader's data */
 };
 
-/* A task that was ordered to run, until its end is known. */
+/* A start of a task on a worker, until its end is committed. */
 struct jtb_run {
 	struct jtb_job *job;
 	struct jtb_worker *worker;
@@ -238,29 +242,29 @@
 	uint32_t step;
 	uint32_t index;
 	uint32_t attempt;
-	bool stopping; /* agreed on: its worker is told to stop it */
-	/* what the leader knows of it */
+	bool stopping; /* a stop was committed and is sent to its worker */
+	/* leader's from here on */
 	uint64_t serial;
 	uint8_t phase; /* enum wkr_phase */
-	bool stop; /* it is to be stopped */
-	bool inherited; /* an earlier leader started it, nobody knows when */
-	bool stop_planned; /* the same, once that is in the table */
-	bool may_be_there; /* its worker has it, or may come to have it */
-	uint16_t sends; /* starts and stops sent, */
-	uint16_t unanswered; /* and those of them without an answer */
-	struct evd over; /* why it was taken for over */
+	bool stop; /* a stop is wanted */
+	bool inherited; /* an earlier leader started it: start time unknown */
+	bool stop_planned; /* a stop is proposed, not yet committed */
+	bool may_be_there; /* its worker may have received the start */
+	uint16_t sends; /* start and stop orders sent */
+	uint16_t unanswered; /* those of them without an answer */
+	struct evd over; /* evidence that it is over */
 	int64_t ordered_ms;
-	int64_t began_ms; /* first seen running, */
-	int64_t seen_ms; /* and last */
-	int64_t moved_ms; /* its progress last changed */
-	int32_t percent; /* of its work; -1: not told */
-	int32_t figure; /* tail, ms, or processor in use */
-	int32_t pace; /* percent it may work at, */
-	int32_t pace_told; /* as its worker was told; -1: not known */
-	int64_t paced_ms; /* when that last changed */
+	int64_t began_ms; /* first reported as running */
+	int64_t seen_ms; /* last reported as running */
+	int64_t moved_ms; /* last change of its progress */
+	int32_t percent; /* progress; -1: not reported */
+	int32_t figure; /* tail latency in ms, or processor in use */
+	int32_t pace; /* limit of its work rate, percent */
+	int32_t pace_told; /* limit last sent to its worker; -1: unknown */
+	int64_t paced_ms; /* last change of that limit */
 };
 
-/* A task's name: which job, which turn of it, step and place in the step. */
+/* Identifies a task: job, turn, step and index in the step. */
 struct jtb_name {
 	char id[JTB_ID_MAX + 1];
 	uint32_t turn;
@@ -268,42 +272,42 @@
 	uint32_t index;
 };
 
-/* Which tasks the loss of a worker speaks against, and for. */
+/* The tasks that a lost worker incriminates or clears as cause of crashes. */
 struct jtb_blame {
-	GArray *suspects; /* struct jtb_name: it may have crashed under them */
-	GArray *cleared; /* struct jtb_name: suspects of before that aren't */
-	bool shared; /* others were lost with it: nobody's fault, most likely */
+	GArray *suspects; /* struct jtb_name: may have crashed the worker */
+	GArray *cleared; /* struct jtb_name: former suspects that did not */
+	bool shared; /* lost with other workers: most likely no task's fault */
 };
 
 enum jtb_vm_state {
 	JTB_VM_WAITS,
-	JTB_VM_BEGUN, /* its upkeep was ordered and the answer was yes */
+	JTB_VM_BEGUN, /* its upkeep was ordered and accepted */
 	JTB_VM_DONE,
 };
 
-/* VMs that must have their upkeep by a time. */
+/* A maintenance wave: VMs that must have their upkeep by a deadline. */
 struct jtb_wave {
 	uint64_t no;
 	int64_t from_ms; /* since 1970 */
 	int64_t within_ms;
-	uint32_t at_once;
+	uint32_t at_once; /* maximum VMs in upkeep at a time */
 	GPtrArray *vms; /* struct jtb_wave_vm */
-	GHashTable *by_name; /* the first of each name */
+	GHashTable *by_name; /* first entry of each VM name */
 	bool completed;
 };
 
 struct jtb_wave_vm {
 	char *vm;
 	enum jtb_vm_state state;
-	char *worker_before; /* lifetime on it when its upkeep began; or NULL */
+	char *worker_before; /* worker id on it as its upkeep began; or NULL */
 };
 
-/* What the owner is told of as commands are applied. */
+/* Callbacks for changes of the table as commands are applied. */
 struct jtb_watch {
 	void (*run_began)(void *arg, struct jtb_run *run);
 	void (*run_ends)(void *arg, struct jtb_run *run, enum jtb_end how);
 	void (*run_stops)(void *arg, struct jtb_run *run);
-	/* a run that had been taken for over did end, and that counts */
+	/* the actual end of a run that had been ended as lost is applied */
 	void (*late_end)(void *arg, const struct jtb_worker *w,
 			 const struct jtb_name *n, uint32_t attempt,
 			 enum jtb_end how);
@@ -353,7 +357,7 @@
 bool jtb_may_forget(struct jtb_job *job, int64_t now_ms, int64_t keep_ms);
 int64_t jtb_turn_due(const struct jtb_job *job, uint32_t turn);
 
-/* Commands; each is one element of a batch. */
+/* Commands; each call appends one element of a batch. */
 void jtb_put_config(struct pk_out *o, const struct jtb_config *c);
 void jtb_put_job(struct pk_out *o, const struct jtb_spec *s, int64_t wall_ms);
 void jtb_put_cancel(struct pk_out *o, const char *id, int64_t wall_ms);
@@ -365,9 +369,9 @@
 		 const struct jtb_name *name, uint32_t attempt,
 		 enum jtb_end how, struct lstr saved, int64_t wall_ms);
 void jtb_put_worker(struct pk_out *o, const struct jtb_worker_info *i);
-void jtb_put_gone(struct pk_out *o, const char *worker, bool for_good);
+void jtb_put_gone(struct pk_out *o, const char *worker, bool permanent);
 void jtb_put_left(struct pk_out *o, const char *worker);
-void jtb_put_lost(struct pk_out *o, const char *worker, bool for_good,
+void jtb_put_lost(struct pk_out *o, const char *worker, bool permanent,
 		  const struct jtb_blame *blame, int64_t wall_ms);
 void jtb_put_wave(struct pk_out *o, const struct jtb_wave *w);
 void jtb_put_vm(struct pk_out *o, uint64_t wave, const char *vm,
--- a/src/jtb_cmd.c
+++ b/src/jtb_cmd.c
@@ -3,12 +3,12 @@
 static void jtb_pack_name(struct pk_out *o, const struct jtb_name *n);
 static void jtb_pack_names(struct pk_out *o, const GArray *names);
 static bool jtb_unpack_names(struct pk_in *in, GArray *out);
-static char *jtb_opt(struct pk_in *in);
-static char *jtb_text(struct pk_in *in);
+static char *jtb_unpack_optional_text(struct pk_in *in);
+static char *jtb_unpack_text(struct pk_in *in);
 static void jtb_pack_step(struct pk_out *o, const struct jtb_step *s);
 static bool jtb_unpack_step(struct pk_in *in, struct jtb_step *s);
 
-/* Command: a newer configuration is in force. */
+/* Appends a command that puts a configuration in force, if it is newer. */
 void jtb_put_config(struct pk_out *o, const struct jtb_config *c)
 {
 	pk_arr(o, 2);
@@ -16,7 +16,7 @@
 	jtb_pack_config(o, c);
 }
 
-/* Command: a job is accepted. */
+/* Appends a command that accepts a job; wall_ms is ms since 1970. */
 void jtb_put_job(struct pk_out *o, const struct jtb_spec *s, int64_t wall_ms)
 {
 	pk_arr(o, 3);
@@ -25,7 +25,7 @@
 	jtb_pack_spec(o, s);
 }
 
-/* Command: a job is to end. */
+/* Appends a command that cancels a job; wall_ms is ms since 1970. */
 void jtb_put_cancel(struct pk_out *o, const char *id, int64_t wall_ms)
 {
 	pk_arr(o, 3);
@@ -34,7 +34,7 @@
 	pk_i(o, wall_ms);
 }
 
-/* Command: a task is given to a worker. */
+/* Appends a command that starts a task on a worker. */
 void jtb_put_start(struct pk_out *o, const struct jtb_name *name,
 		   uint32_t attempt, const char *worker)
 {
@@ -46,8 +46,9 @@
 }
 
 /*
- * Command: a run of work that lasts is to be stopped. Its worker is told once
- * that is final, so that every later leader counts it as away.
+ * Appends a command that stops a run of a long-running task. The stop is sent
+ * to the worker once the command is committed, so that every later leader
+ * counts the task as unavailable.
  */
 void jtb_put_stop(struct pk_out *o, const struct jtb_name *name,
 		  uint32_t attempt, const char *worker)
@@ -60,8 +61,9 @@
 }
 
 /*
- * Command: a run is over. no is its place in the worker's list of ends, 0
- * where the worker didn't list it.
+ * Appends a command that ends a run. no is its number in the worker's list of
+ * ends, 0 if the worker didn't report it; saved is a checkpoint or empty;
+ * wall_ms is ms since 1970.
  */
 void jtb_put_end(struct pk_out *o, const char *worker, uint64_t no,
 		 const struct jtb_name *name, uint32_t attempt,
@@ -78,7 +80,7 @@
 	pk_i(o, wall_ms);
 }
 
-/* Command: a worker has come, or says something new of itself. */
+/* Appends a command that adds a worker or updates its description. */
 void jtb_put_worker(struct pk_out *o, const struct jtb_worker_info *i)
 {
 	pk_arr(o, 2);
@@ -86,44 +88,48 @@
 	jtb_pack_info(o, i);
 }
 
-/* A worker says that it ends: it is over unless something may run there. */
+/*
+ * Appends a command for a worker that announced its shutdown: the worker is
+ * removed, or drained if it still has runs.
+ */
 void jtb_put_left(struct pk_out *o, const char *worker)
 {
 	pk_arr(o, 2);
-	pk_u(o, JTB_CMD_LEFT);
+	pk_u(o, JTB_CMD_WORKER_LEAVING);
 	pk_cstr(o, worker);
 }
 
 /*
- * Command: nothing runs on a worker any more. for_good: its lifetime is over
- * and its id never counts again.
+ * Appends a command that ends all runs of a worker as lost. With permanent set
+ * the worker is removed and its id is never accepted again.
  */
-void jtb_put_gone(struct pk_out *o, const char *worker, bool for_good)
+void jtb_put_gone(struct pk_out *o, const char *worker, bool permanent)
 {
 	pk_arr(o, 3);
-	pk_u(o, JTB_CMD_GONE);
+	pk_u(o, JTB_CMD_WORKER_LOST);
 	pk_cstr(o, worker);
-	pk_bool(o, for_good);
+	pk_bool(o, permanent);
 }
 
 /*
- * Command: a worker was lost by itself. What it may have crashed under is
- * counted against those tasks; wall_ms is for the jobs that end by it.
+ * Appends a command that ends all runs of a worker that was lost unexpectedly,
+ * and counts a crash for each suspected task. wall_ms, ms since 1970, is the
+ * end of the jobs that fail by it.
  */
-void jtb_put_lost(struct pk_out *o, const char *worker, bool for_good,
+void jtb_put_lost(struct pk_out *o, const char *worker, bool permanent,
 		  const struct jtb_blame *blame, int64_t wall_ms)
 {
 	pk_arr(o, 7);
-	pk_u(o, JTB_CMD_GONE);
+	pk_u(o, JTB_CMD_WORKER_LOST);
 	pk_cstr(o, worker);
-	pk_bool(o, for_good);
+	pk_bool(o, permanent);
 	jtb_pack_names(o, blame->suspects);
 	jtb_pack_names(o, blame->cleared);
 	pk_bool(o, blame->shared);
 	pk_i(o, wall_ms);
 }
 
-/* Names of tasks, one after another. */
+/* Packs an array of task names. */
 static void jtb_pack_names(struct pk_out *o, const GArray *names)
 {
 	guint i;
@@ -133,7 +139,7 @@
 		jtb_pack_name(o, &g_array_index(names, struct jtb_name, i));
 }
 
-/* Reads names of tasks; false: some of them aren't. */
+/* Unpacks an array of task names; returns false if one is malformed. */
 static bool jtb_unpack_names(struct pk_in *in, GArray *out)
 {
 	struct pk_in list = pk_get_arr(in);
@@ -148,7 +154,10 @@
 	return ok;
 }
 
-/* Reads what a loss speaks for and against; b is to be cleared at any rate. */
+/*
+ * Unpacks the attribution of a crash; returns false if it is malformed. b must
+ * be cleared with jtb_blame_clear in either case.
+ */
 bool jtb_unpack_blame(struct pk_in *in, struct jtb_blame *b)
 {
 	jtb_blame_init(b);
@@ -159,7 +168,7 @@
 	return pk_in_ok(in);
 }
 
-/* Command: VMs are due for upkeep. */
+/* Appends a command that adds a maintenance wave. */
 void jtb_put_wave(struct pk_out *o, const struct jtb_wave *w)
 {
 	pk_arr(o, 2);
@@ -167,7 +176,10 @@
 	jtb_pack_wave(o, w);
 }
 
-/* Command: how far a VM of a wave is. */
+/*
+ * Appends a command that advances the upkeep of a VM in a wave. worker_before
+ * is the worker on the VM as its upkeep began, or NULL.
+ */
 void jtb_put_vm(struct pk_out *o, uint64_t wave, const char *vm,
 		enum jtb_vm_state state, const char *worker_before)
 {
@@ -179,7 +191,7 @@
 	pk_cstr(o, worker_before);
 }
 
-/* Command: a job that ended long ago is not told of any more. */
+/* Appends a command that removes a job that ended long ago. */
 void jtb_put_forget(struct pk_out *o, const char *id)
 {
 	pk_arr(o, 2);
@@ -187,7 +199,7 @@
 	pk_cstr(o, id);
 }
 
-/* A configuration as bytes. */
+/* Packs a configuration. */
 void jtb_pack_config(struct pk_out *o, const struct jtb_config *c)
 {
 	gsize len;
@@ -218,16 +230,16 @@
 	}
 	pk_arr(o, c->pools->len);
 	for (i = 0; i < c->pools->len; i++) {
-		const struct jtb_pool *p2 = g_ptr_array_index(c->pools, i);
+		const struct jtb_pool *pool = g_ptr_array_index(c->pools, i);
 
 		pk_arr(o, 3);
-		pk_cstr(o, p2->name);
-		pk_bool(o, p2->guarded);
-		pk_bool(o, p2->standby);
+		pk_cstr(o, pool->name);
+		pk_bool(o, pool->guarded);
+		pk_bool(o, pool->standby);
 	}
 }
 
-/* Reads a configuration; NULL: it isn't one. */
+/* Unpacks a configuration; returns NULL if it is malformed. */
 struct jtb_config *jtb_unpack_config(struct pk_in *in)
 {
 	struct pk_in at = pk_get_arr(in);
@@ -243,10 +255,10 @@
 		struct pk_in row = pk_get_arr(&list);
 		struct jtb_queue *q = g_new0(struct jtb_queue, 1);
 
-		q->name = jtb_text(&row);
-		q->host = jtb_text(&row);
-		q->prefix = jtb_text(&row);
-		q->pool = jtb_text(&row);
+		q->name = jtb_unpack_text(&row);
+		q->host = jtb_unpack_text(&row);
+		q->prefix = jtb_unpack_text(&row);
+		q->pool = jtb_unpack_text(&row);
 		q->timeout_ms = (uint32_t)pk_get_u(&row);
 		q->slack_ms = (uint32_t)pk_get_u(&row);
 		q->priority = (uint32_t)pk_get_u(&row);
@@ -255,7 +267,7 @@
 		q->advised = pk_get_bool(&row);
 		q->advice_ms = (uint32_t)pk_get_u(&row);
 		q->advice_each_ms = (uint32_t)pk_get_u(&row);
-		/* folders of before it was kept end here */
+		/* data folders of versions without ticket validity end here */
 		if (pk_in_left(&row))
 			q->advice_valid_ms = (uint32_t)pk_get_u(&row);
 		jtb_config_add_queue(c, q);
@@ -266,7 +278,7 @@
 		struct pk_in row = pk_get_arr(&list);
 		struct jtb_pool *p = g_new0(struct jtb_pool, 1);
 
-		p->name = jtb_text(&row);
+		p->name = jtb_unpack_text(&row);
 		p->guarded = pk_get_bool(&row);
 		p->standby = pk_get_bool(&row);
 		jtb_config_add_pool(c, p);
@@ -278,7 +290,7 @@
 	return NULL;
 }
 
-/* A job's description as bytes. */
+/* Packs a job specification. */
 void jtb_pack_spec(struct pk_out *o, const struct jtb_spec *s)
 {
 	uint32_t i;
@@ -295,7 +307,7 @@
 		jtb_pack_step(o, &s->steps[i]);
 }
 
-/* Reads a job's description; false: it isn't one. */
+/* Unpacks a job specification; returns false if it is malformed. */
 bool jtb_unpack_spec(struct pk_in *in, struct jtb_spec *s)
 {
 	struct pk_in at = pk_get_arr(in);
@@ -307,8 +319,8 @@
 	if (!pk_in_ok(&at) || id.len == 0 || id.len > JTB_ID_MAX)
 		return false;
 	memcpy(s->id, id.p, id.len);
-	s->queue = jtb_text(&at);
-	s->text = jtb_text(&at);
+	s->queue = jtb_unpack_text(&at);
+	s->text = jtb_unpack_text(&at);
 	s->repeats = (uint32_t)pk_get_u(&at);
 	s->first_ms = pk_get_i(&at);
 	s->every_ms = pk_get_i(&at);
@@ -323,7 +335,7 @@
 	return false;
 }
 
-/* A worker's description as bytes. */
+/* Packs a worker's description. */
 void jtb_pack_info(struct pk_out *o, const struct jtb_worker_info *i)
 {
 	guint n = i->labels ? g_strv_length(i->labels) : 0;
@@ -343,7 +355,7 @@
 		pk_cstr(o, i->labels[l]);
 }
 
-/* Reads a worker's description; false: it isn't one. */
+/* Unpacks a worker's description; returns false if it is malformed. */
 bool jtb_unpack_info(struct pk_in *in, struct jtb_worker_info *i)
 {
 	struct pk_in at = pk_get_arr(in);
@@ -352,10 +364,10 @@
 	uint32_t l;
 
 	*i = (struct jtb_worker_info){0};
-	i->id = jtb_text(&at);
-	i->pool = jtb_text(&at);
-	i->addr = jtb_text(&at);
-	i->zone = jtb_text(&at);
+	i->id = jtb_unpack_text(&at);
+	i->pool = jtb_unpack_text(&at);
+	i->addr = jtb_unpack_text(&at);
+	i->zone = jtb_unpack_text(&at);
 	i->cpu = (uint32_t)pk_get_u(&at);
 	i->mem_mb = (uint32_t)pk_get_u(&at);
 	i->gpus = (uint32_t)pk_get_u(&at);
@@ -364,14 +376,14 @@
 	n = pk_in_ok(&at) ? pk_in_left(&labels) : 0;
 	i->labels = g_new0(char *, n + 1);
 	for (l = 0; l < n; l++)
-		i->labels[l] = jtb_text(&labels);
+		i->labels[l] = jtb_unpack_text(&labels);
 	if (pk_in_ok(&at) && pk_in_ok(&labels))
 		return true;
 	jtb_worker_info_clear(i);
 	return false;
 }
 
-/* A wave as bytes. */
+/* Packs a maintenance wave. */
 void jtb_pack_wave(struct pk_out *o, const struct jtb_wave *w)
 {
 	guint i;
@@ -393,7 +405,7 @@
 	}
 }
 
-/* Reads a wave; NULL: it isn't one. */
+/* Unpacks a maintenance wave; returns NULL if it is malformed. */
 struct jtb_wave *jtb_unpack_wave(struct pk_in *in)
 {
 	struct pk_in at = pk_get_arr(in);
@@ -407,12 +419,12 @@
 	vms = pk_get_arr(&at);
 	while (pk_in_ok(&vms) && pk_in_left(&vms)) {
 		struct pk_in row = pk_get_arr(&vms);
-		char *vm = jtb_text(&row);
+		char *vm = jtb_unpack_text(&row);
 		struct jtb_wave_vm *v = jtb_wave_add(w, vm ? vm : "");
 
 		g_free(vm);
 		v->state = (enum jtb_vm_state)pk_get_u(&row);
-		v->worker_before = jtb_opt(&row);
+		v->worker_before = jtb_unpack_optional_text(&row);
 		at.bad |= !pk_in_ok(&row);
 	}
 	if (pk_in_ok(&at))
@@ -421,7 +433,7 @@
 	return NULL;
 }
 
-/* Reads a task's name. */
+/* Unpacks a task's name; returns false if it is malformed. */
 bool jtb_unpack_name(struct pk_in *in, struct jtb_name *n)
 {
 	struct pk_in at = pk_get_arr(in);
@@ -437,7 +449,7 @@
 	return pk_in_ok(&at);
 }
 
-/* Writes the name of a run. */
+/* Packs a task's name. */
 static void jtb_pack_name(struct pk_out *o, const struct jtb_name *n)
 {
 	pk_arr(o, 4);
@@ -447,21 +459,21 @@
 	pk_u(o, n->index);
 }
 
-/* Reads text into a buffer of fixed size; false: too long. */
-static char *jtb_text(struct pk_in *in)
+/* Unpacks a string into newly allocated memory. */
+static char *jtb_unpack_text(struct pk_in *in)
 {
 	return lstr_dup(pk_get_str(in));
 }
 
-/* Empty text as NULL. */
-static char *jtb_opt(struct pk_in *in)
+/* Unpacks a string; returns NULL for the empty string. */
+static char *jtb_unpack_optional_text(struct pk_in *in)
 {
 	struct lstr s = pk_get_str(in);
 
 	return s.len ? lstr_dup(s) : NULL;
 }
 
-/* Writes a step of a job. */
+/* Packs a step of a job. */
 static void jtb_pack_step(struct pk_out *o, const struct jtb_step *s)
 {
 	pk_arr(o, 13);
@@ -480,7 +492,7 @@
 	pk_cstr(o, s->image);
 }
 
-/* Reads a step of a job. */
+/* Unpacks a step of a job; returns false if it is malformed. */
 static bool jtb_unpack_step(struct pk_in *in, struct jtb_step *s)
 {
 	struct pk_in at = pk_get_arr(in);
@@ -495,8 +507,8 @@
 	s->may_miss = (uint32_t)pk_get_u(&at);
 	s->flags = (uint32_t)pk_get_u(&at);
 	s->after = pk_get_u(&at);
-	s->label = jtb_opt(&at);
-	s->rack = jtb_opt(&at);
-	s->image = jtb_opt(&at);
+	s->label = jtb_unpack_optional_text(&at);
+	s->rack = jtb_unpack_optional_text(&at);
+	s->image = jtb_unpack_optional_text(&at);
 	return pk_in_ok(&at);
 }
--- a/src/jtb_do.c
+++ b/src/jtb_do.c
@@ -1,79 +1,88 @@
 #include "jtb_int.h"
 
-/* What each command does to the table; the same on every replica. */
+/* Applies commands to the table, with the same result on every replica. */
 
 /*
- * A job is given up with so many workers that crashed under a task of it, not
- * with others, the last of them under nothing but that job; and with so many at
- * any rate. Both leave a start over: a task may be started twice after the third.
+ * A job fails once one of its tasks has crashed 3 workers that were lost
+ * without other workers, if the last of these crashes can only be due to that
+ * job. Both limits leave a margin of a start: at most two starts of a task are
+ * allowed after its third crash.
  */
-#define JTB_CRASHES_ALONE 3
+#define JTB_CRASHES_SINGLE 3
+/* Crashes by one task that fail its job in any case. */
 #define JTB_CRASHES_MAX 4
 
 typedef bool (*jtb_cmd_fn)(struct jtb *t, struct pk_in *in);
 
-static bool jtb_do(struct jtb *t, struct pk_in *cmd);
-static bool jtb_do_config(struct jtb *t, struct pk_in *in);
-static bool jtb_do_job(struct jtb *t, struct pk_in *in);
-static bool jtb_do_cancel(struct jtb *t, struct pk_in *in);
-static bool jtb_do_start(struct jtb *t, struct pk_in *in);
+static bool jtb_apply_cmd(struct jtb *t, struct pk_in *cmd);
+static bool jtb_apply_config(struct jtb *t, struct pk_in *in);
+static bool jtb_apply_job(struct jtb *t, struct pk_in *in);
+static bool jtb_apply_cancel(struct jtb *t, struct pk_in *in);
+static bool jtb_apply_start(struct jtb *t, struct pk_in *in);
 static bool jtb_may_start(const struct jtb *t, const struct jtb_job *job,
 			  const struct jtb_task *task, const struct jtb_name *n,
 			  uint32_t attempt, const struct jtb_worker *w);
-static bool jtb_do_stop(struct jtb *t, struct pk_in *in);
+static bool jtb_apply_stop(struct jtb *t, struct pk_in *in);
 static bool jtb_may_stop(const struct jtb_run *run);
-static bool jtb_do_end(struct jtb *t, struct pk_in *in);
-static void jtb_late_end(struct jtb *t, const struct jtb_worker *w,
-			 const struct jtb_name *n, uint32_t attempt,
-			 enum jtb_end how, int64_t wall_ms);
-static void jtb_stop_others(struct jtb *t, struct jtb_job *job,
-			    const struct jtb_name *n);
-static bool jtb_do_worker(struct jtb *t, struct pk_in *in);
-static bool jtb_do_gone(struct jtb *t, struct pk_in *in);
-static bool jtb_do_left(struct jtb *t, struct pk_in *in);
-static void jtb_runs_lost(struct jtb *t, struct jtb_worker *w);
-static void jtb_worker_lost(struct jtb *t, struct jtb_worker *w,
-			    const struct jtb_blame *blame, int64_t wall_ms);
-static bool jtb_runs_on(const struct jtb *t, const struct jtb_name *n,
-			const struct jtb_worker *w);
-static bool jtb_counted(const GArray *names, guint at);
+static bool jtb_apply_end(struct jtb *t, struct pk_in *in);
+static void jtb_apply_late_end(struct jtb *t, const struct jtb_worker *w,
+			       const struct jtb_name *n, uint32_t attempt,
+			       enum jtb_end how, int64_t wall_ms);
+static void jtb_stop_newer_runs(struct jtb *t, struct jtb_job *job,
+				const struct jtb_name *n);
+static bool jtb_apply_worker(struct jtb *t, struct pk_in *in);
+static bool jtb_apply_worker_lost(struct jtb *t, struct pk_in *in);
+static bool jtb_apply_worker_leaving(struct jtb *t, struct pk_in *in);
+static void jtb_end_runs_lost(struct jtb *t, struct jtb_worker *w);
+static void jtb_end_runs_crashed(struct jtb *t, struct jtb_worker *w,
+				 const struct jtb_blame *blame,
+				 int64_t wall_ms);
+static bool jtb_task_on_worker(const struct jtb *t, const struct jtb_name *n,
+			       const struct jtb_worker *w);
+static bool jtb_is_repeated(const GArray *names, guint at);
 static void jtb_count_crash(struct jtb *t, const struct jtb_worker *w,
 			    const struct jtb_name *n, bool shared);
-static void jtb_convict(struct jtb *t, const struct jtb_name *n, bool alone,
+static void jtb_fail_crashing_job(struct jtb *t, const struct jtb_name *n,
+				  bool single_job, int64_t wall_ms);
+static void jtb_remove_worker(struct jtb *t, struct jtb_worker *w,
+			      const char *id, bool permanent);
+static bool jtb_apply_wave(struct jtb *t, struct pk_in *in);
+static bool jtb_apply_vm(struct jtb *t, struct pk_in *in);
+static bool jtb_apply_forget(struct jtb *t, struct pk_in *in);
+static void jtb_end_run(struct jtb *t, struct jtb_run *run, enum jtb_end how,
 			int64_t wall_ms);
-static void jtb_worker_gone(struct jtb *t, struct jtb_worker *w, const char *id,
-			    bool for_good);
-static bool jtb_do_wave(struct jtb *t, struct pk_in *in);
-static bool jtb_do_vm(struct jtb *t, struct pk_in *in);
-static bool jtb_do_forget(struct jtb *t, struct pk_in *in);
-static void jtb_run_end(struct jtb *t, struct jtb_run *run, enum jtb_end how,
-			int64_t wall_ms);
-static void jtb_blame(struct jtb_worker *w, const struct jtb_job *job,
-		      const struct jtb_task *task, enum jtb_end how);
-static void jtb_task_done(struct jtb *t, struct jtb_job *job,
-			  const struct jtb_name *n, int64_t wall_ms);
-static void jtb_task_failed(struct jtb *t, struct jtb_job *job,
-			    const struct jtb_step *step, struct jtb_task *task,
-			    int64_t wall_ms);
-static void jtb_job_end(struct jtb *t, struct jtb_job *job,
+static void jtb_count_failures(struct jtb_worker *w, const struct jtb_job *job,
+			       const struct jtb_task *task, enum jtb_end how);
+static void jtb_finish_task(struct jtb *t, struct jtb_job *job,
+			    const struct jtb_name *n, int64_t wall_ms);
+static void jtb_fail_task(struct jtb *t, struct jtb_job *job,
+			  const struct jtb_step *step, struct jtb_task *task,
+			  int64_t wall_ms);
+static void jtb_end_job(struct jtb *t, struct jtb_job *job,
 			enum jtb_job_state state, int64_t wall_ms);
-static void jtb_job_left(struct jtb *t, struct jtb_job *job);
-static void jtb_told(struct jtb *t, struct jtb_job *job);
-
-static const jtb_cmd_fn jtb_cmds[] = {
-	[JTB_CMD_CONFIG] = jtb_do_config, [JTB_CMD_JOB] = jtb_do_job,
-	[JTB_CMD_CANCEL] = jtb_do_cancel, [JTB_CMD_START] = jtb_do_start,
-	[JTB_CMD_END] = jtb_do_end,	  [JTB_CMD_WORKER] = jtb_do_worker,
-	[JTB_CMD_GONE] = jtb_do_gone,	  [JTB_CMD_WAVE] = jtb_do_wave,
-	[JTB_CMD_VM] = jtb_do_vm,	  [JTB_CMD_FORGET] = jtb_do_forget,
-	[JTB_CMD_STOP] = jtb_do_stop,	  [JTB_CMD_LEFT] = jtb_do_left,
+static void jtb_drop_live(struct jtb *t, struct jtb_job *job);
+static void jtb_notify_job(struct jtb *t, struct jtb_job *job);
+
+static const jtb_cmd_fn jtb_handlers[] = {
+	[JTB_CMD_CONFIG] = jtb_apply_config,
+	[JTB_CMD_JOB] = jtb_apply_job,
+	[JTB_CMD_CANCEL] = jtb_apply_cancel,
+	[JTB_CMD_START] = jtb_apply_start,
+	[JTB_CMD_END] = jtb_apply_end,
+	[JTB_CMD_WORKER] = jtb_apply_worker,
+	[JTB_CMD_WORKER_LOST] = jtb_apply_worker_lost,
+	[JTB_CMD_WAVE] = jtb_apply_wave,
+	[JTB_CMD_VM] = jtb_apply_vm,
+	[JTB_CMD_FORGET] = jtb_apply_forget,
+	[JTB_CMD_STOP] = jtb_apply_stop,
+	[JTB_CMD_WORKER_LEAVING] = jtb_apply_worker_leaving,
 };
 
 /*
- * Applies a batch of commands; false: some of it isn't a command. That one
- * does nothing and those behind it are applied: what they are about waits for
- * them, a start as proposed, a worker that was given up, ends that a worker
- * is asked about no more before they are stored, and would wait for good.
+ * Applies a batch of commands; returns false if one is malformed. A malformed
+ * command does nothing and the commands after it are applied all the same:
+ * proposed starts, removals of workers and ends whose reports await storage
+ * stay pending until their command is applied, else permanently.
  */
 bool jtb_apply(struct jtb *t, struct lstr batch)
 {
@@ -87,23 +96,23 @@
 		struct pk_in cmd = pk_get_arr(&one);
 
 		pk_skip(&in);
-		ok = jtb_do(t, &cmd) && ok;
+		ok = jtb_apply_cmd(t, &cmd) && ok;
 	}
 	pk_in_done(&in);
 	return ok;
 }
 
-/* Applies one command; false: it isn't one. */
-static bool jtb_do(struct jtb *t, struct pk_in *cmd)
+/* Applies one command; returns false if it is malformed. */
+static bool jtb_apply_cmd(struct jtb *t, struct pk_in *cmd)
 {
 	uint64_t kind = pk_get_u(cmd);
 
-	return pk_in_ok(cmd) && kind < G_N_ELEMENTS(jtb_cmds) &&
-	       jtb_cmds[kind] && jtb_cmds[kind](t, cmd);
+	return pk_in_ok(cmd) && kind < G_N_ELEMENTS(jtb_handlers) &&
+	       jtb_handlers[kind] && jtb_handlers[kind](t, cmd);
 }
 
 /* Puts a configuration in force, if it is newer. */
-static bool jtb_do_config(struct jtb *t, struct pk_in *in)
+static bool jtb_apply_config(struct jtb *t, struct pk_in *in)
 {
 	struct jtb_config *c = jtb_unpack_config(in);
 
@@ -119,8 +128,8 @@
 	return true;
 }
 
-/* Takes a job, unless its id was taken before. */
-static bool jtb_do_job(struct jtb *t, struct pk_in *in)
+/* Accepts a job, unless its id is in use. */
+static bool jtb_apply_job(struct jtb *t, struct pk_in *in)
 {
 	int64_t wall_ms = pk_get_i(in);
 	struct jtb_spec spec;
@@ -137,12 +146,12 @@
 	job->seq = t->next_seq++;
 	g_hash_table_insert(t->jobs, job->spec.id, job);
 	g_ptr_array_add(t->live, job);
-	jtb_told(t, job);
+	jtb_notify_job(t, job);
 	return true;
 }
 
-/* Cancels a job that isn't over. */
-static bool jtb_do_cancel(struct jtb *t, struct pk_in *in)
+/* Cancels a job that has not ended. */
+static bool jtb_apply_cancel(struct jtb *t, struct pk_in *in)
 {
 	struct lstr id = pk_get_str(in);
 	int64_t wall_ms = pk_get_i(in);
@@ -151,12 +160,12 @@
 
 	g_free(key);
 	if (job && !jtb_ended(job))
-		jtb_job_end(t, job, JTB_CANCELLED, wall_ms);
+		jtb_end_job(t, job, JTB_CANCELLED, wall_ms);
 	return pk_in_ok(in);
 }
 
-/* Starts a task on a worker, if it may still start there. */
-static bool jtb_do_start(struct jtb *t, struct pk_in *in)
+/* Starts a task on a worker, if that is still allowed. */
+static bool jtb_apply_start(struct jtb *t, struct pk_in *in)
 {
 	struct jtb_name n;
 	uint32_t attempt;
@@ -174,7 +183,7 @@
 	job = jtb_job(t, n.id);
 	task = job ? jtb_task_at(job, &n, true) : NULL;
 	if (task && task->planned)
-		jtb_unplan(job, &n, w);
+		jtb_drop_proposed_start(job, &n, w);
 	if (!task || !w || !jtb_may_start(t, job, task, &n, attempt, w))
 		return pk_in_ok(in);
 	task->attempt = attempt;
@@ -187,8 +196,8 @@
 }
 
 /*
- * What was decided on is looked at once more: a cancel, an end, another
- * configuration or less room of the worker may have become final before it.
+ * Whether a proposed start is still valid: a cancellation, an end, another
+ * configuration or a smaller worker may have been committed before it.
  */
 static bool jtb_may_start(const struct jtb *t, const struct jtb_job *job,
 			  const struct jtb_task *task, const struct jtb_name *n,
@@ -198,7 +207,7 @@
 	const struct jtb_step *step = &job->spec.steps[n->step];
 	uint64_t after = step->after;
 
-	/* members of a gang come all or not at all: see wkr_order */
+	/* tasks of a gang start all together or not at all: see wkr_order */
 	if (!(step->flags & JTB_GANG) && !jtb_fits(w, step))
 		return false;
 	if (jtb_ended(job) || task->done || task->run ||
@@ -209,8 +218,8 @@
 	return q && strcmp(q->pool, w->info.pool) == 0;
 }
 
-/* A run of work that lasts is to be stopped, if its step still bears that. */
-static bool jtb_do_stop(struct jtb *t, struct pk_in *in)
+/* Stops a run of a long-running task, if enough other tasks still run. */
+static bool jtb_apply_stop(struct jtb *t, struct pk_in *in)
 {
 	struct jtb_name n;
 	uint32_t attempt;
@@ -234,28 +243,28 @@
 }
 
 /*
- * Whether so few other tasks of a run's step are stopped or without a run that
- * it may be stopped too, as far as the table knows: two leaders may have decided
- * on one each.
+ * Whether few enough other tasks of a run's step are stopping or without a run
+ * that this one may be stopped too. Checked as the command is applied, since
+ * two leaders may each have proposed a stop.
  */
 static bool jtb_may_stop(const struct jtb_run *run)
 {
 	const struct jtb_step *step = &run->job->spec.steps[run->step];
 	const struct jtb_part *part =
 		&run->job->turns[run->turn].parts[run->step];
-	uint32_t away = 0;
+	uint32_t unavailable = 0;
 	uint32_t i;
 
 	for (i = 0; i < step->count; i++) {
 		const struct jtb_run *other = part->tasks[i].run;
 
-		away += other != run && (!other || other->stopping);
+		unavailable += other != run && (!other || other->stopping);
 	}
-	return away < MAX(1, step->may_miss);
+	return unavailable < MAX(1, step->may_miss);
 }
 
-/* Ends a run. */
-static bool jtb_do_end(struct jtb *t, struct pk_in *in)
+/* Ends a run and updates its task; accepts late ends of lost runs. */
+static bool jtb_apply_end(struct jtb *t, struct pk_in *in)
 {
 	char *worker = lstr_dup(pk_get_str(in));
 	uint64_t no = pk_get_u(in);
@@ -267,7 +276,7 @@
 	uint64_t how = 0;
 	struct lstr saved = {0};
 	int64_t wall_ms = 0;
-	bool again = false;
+	bool known = false;
 	bool ok = jtb_unpack_name(in, &n);
 
 	attempt = (uint32_t)pk_get_u(in);
@@ -275,15 +284,16 @@
 	saved = pk_get_str(in);
 	wall_ms = pk_get_i(in);
 	ok = ok && pk_in_ok(in) && how < JTB_ENDS;
-	/* listed by its worker, and stored before */
-	again = w && no <= w->end_no;
+	/* the worker reported an end that was applied before */
+	known = w && no <= w->end_no;
 	if (ok && w && no)
 		w->end_no = MAX(w->end_no, no);
 	if (ok)
 		run = jtb_find_run(t, &n, attempt, worker);
 	g_free(worker);
-	if (!run && ok && w && no && !again)
-		jtb_late_end(t, w, &n, attempt, (enum jtb_end)how, wall_ms);
+	if (!run && ok && w && no && !known)
+		jtb_apply_late_end(t, w, &n, attempt, (enum jtb_end)how,
+				   wall_ms);
 	if (!run)
 		return ok;
 	task = jtb_task_at(run->job, &n, false);
@@ -291,19 +301,19 @@
 		g_free(task->saved);
 		task->saved = lstr_dup(saved);
 	}
-	jtb_run_end(t, run, (enum jtb_end)how, wall_ms);
+	jtb_end_run(t, run, (enum jtb_end)how, wall_ms);
 	return true;
 }
 
 /*
- * The end of a run that was taken for over with its worker's leases, as the worker
- * answers again. It is acknowledged, so that it must count: the task would else be
- * done a second time though its worker has told that it is done, or be tried more
- * often than its queue allows.
+ * Applies the end of a run that had been ended as lost when its worker's lease
+ * expired, reported once the worker is reachable again. The report is
+ * acknowledged, so it must count: else the task would run again although its
+ * worker reported it as done, or be retried more often than its queue allows.
  */
-static void jtb_late_end(struct jtb *t, const struct jtb_worker *w,
-			 const struct jtb_name *n, uint32_t attempt,
-			 enum jtb_end how, int64_t wall_ms)
+static void jtb_apply_late_end(struct jtb *t, const struct jtb_worker *w,
+			       const struct jtb_name *n, uint32_t attempt,
+			       enum jtb_end how, int64_t wall_ms)
 {
 	struct jtb_job *job = jtb_job(t, n->id);
 	struct jtb_task *task = job ? jtb_task_at(job, n, false) : NULL;
@@ -317,17 +327,17 @@
 		return;
 	t->watch->late_end(t->arg, w, n, attempt, how);
 	if (how == JTB_FAILED_RUN) {
-		jtb_task_failed(t, job, step, task, wall_ms);
+		jtb_fail_task(t, job, step, task, wall_ms);
 		return;
 	}
-	jtb_suspect_clear(job, n->step, n->index);
-	jtb_task_done(t, job, n, wall_ms);
-	jtb_stop_others(t, job, n);
+	jtb_remove_suspect(job, n->step, n->index);
+	jtb_finish_task(t, job, n, wall_ms);
+	jtb_stop_newer_runs(t, job, n);
 }
 
-/* Stops what was started anew of a task, or of its gang, that is done. */
-static void jtb_stop_others(struct jtb *t, struct jtb_job *job,
-			    const struct jtb_name *n)
+/* Stops newer runs of a task that is done, and of its gang. */
+static void jtb_stop_newer_runs(struct jtb *t, struct jtb_job *job,
+				const struct jtb_name *n)
 {
 	const struct jtb_step *step = &job->spec.steps[n->step];
 	struct jtb_part *part = &job->turns[n->turn].parts[n->step];
@@ -344,8 +354,8 @@
 	}
 }
 
-/* Takes what a worker told of itself. */
-static bool jtb_do_worker(struct jtb *t, struct pk_in *in)
+/* Adds a worker or updates its description. */
+static bool jtb_apply_worker(struct jtb *t, struct pk_in *in)
 {
 	struct jtb_worker_info info;
 	struct jtb_worker *w;
@@ -369,44 +379,44 @@
 		g_free(info.id);
 		jtb_worker_info_clear(&w->info);
 		w->info = info;
-		/* the table's key lives in it */
+		/* the hash table's key is this string */
 		w->info.id = id;
 	}
 	t->watch->worker_changed(t->arg, w);
 	return true;
 }
 
-/* Takes a worker out, and ends all its runs. */
-static bool jtb_do_gone(struct jtb *t, struct pk_in *in)
+/* Ends all runs of a worker as lost, and may remove the worker. */
+static bool jtb_apply_worker_lost(struct jtb *t, struct pk_in *in)
 {
 	char *id = lstr_dup(pk_get_str(in));
-	bool for_good = pk_get_bool(in);
+	bool permanent = pk_get_bool(in);
 	struct jtb_worker *w = jtb_worker(t, id);
 	struct jtb_blame blame;
 	bool ok = pk_in_ok(in);
 
-	/* of one that ended as planned nothing is told */
+	/* a worker that shut down as planned has no crash attribution */
 	if (ok && pk_in_left(in)) {
 		ok = jtb_unpack_blame(in, &blame);
 		if (ok && w)
-			jtb_worker_lost(t, w, &blame, pk_get_i(in));
+			jtb_end_runs_crashed(t, w, &blame, pk_get_i(in));
 		jtb_blame_clear(&blame);
 	} else if (ok && w) {
-		jtb_runs_lost(t, w);
+		jtb_end_runs_lost(t, w);
 	}
 	if (ok)
-		jtb_worker_gone(t, w, id, for_good);
+		jtb_remove_worker(t, w, id, permanent);
 	g_free(id);
 	return ok && pk_in_ok(in);
 }
 
 /*
- * A worker says that it ends. A start that was on its way through the log when it
- * said so may have reached it since: it goes on for seconds if its confirmation is
- * lost, and the task would run there and elsewhere. So it is over at once only if
- * the table has nothing on it; else it gets nothing more.
+ * Handles a worker that announced its shutdown. A start that was in the log at
+ * that time may have reached the worker since, which runs on for seconds if the
+ * confirmation of its shutdown is lost: the task would run there and elsewhere.
+ * So the worker is removed only if it has no runs; else it is drained.
  */
-static bool jtb_do_left(struct jtb *t, struct pk_in *in)
+static bool jtb_apply_worker_leaving(struct jtb *t, struct pk_in *in)
 {
 	char *id = lstr_dup(pk_get_str(in));
 	struct jtb_worker *w = jtb_worker(t, id);
@@ -416,30 +426,30 @@
 		w->info.draining = true;
 		t->watch->worker_changed(t->arg, w);
 	} else if (ok && w) {
-		jtb_worker_gone(t, w, id, true);
+		jtb_remove_worker(t, w, id, true);
 	}
 	g_free(id);
 	return ok;
 }
 
-/* All runs of a worker end with it. */
-static void jtb_runs_lost(struct jtb *t, struct jtb_worker *w)
+/* Ends all runs of a worker as lost. */
+static void jtb_end_runs_lost(struct jtb *t, struct jtb_worker *w)
 {
 	guint i;
 
 	for (i = w->runs->len; i > 0; i--)
-		jtb_run_end(t, g_ptr_array_index(w->runs, i - 1), JTB_LOST, 0);
+		jtb_end_run(t, g_ptr_array_index(w->runs, i - 1), JTB_LOST, 0);
 }
 
-/* The same of a worker that was lost by itself, which is told of its tasks. */
-static void jtb_worker_lost(struct jtb *t, struct jtb_worker *w,
-			    const struct jtb_blame *blame, int64_t wall_ms)
+/* Ends all runs of a crashed worker and counts the crash for its tasks. */
+static void jtb_end_runs_crashed(struct jtb *t, struct jtb_worker *w,
+				 const struct jtb_blame *blame, int64_t wall_ms)
 {
-	bool alone = jtb_blame_alone(blame);
+	bool single_job = jtb_blame_alone(blame);
 	guint i;
 
 	for (i = 0; i < blame->suspects->len; i++)
-		if (!jtb_counted(blame->suspects, i))
+		if (!jtb_is_repeated(blame->suspects, i))
 			jtb_count_crash(t, w,
 					&g_array_index(blame->suspects,
 						       struct jtb_name, i),
@@ -448,19 +458,20 @@
 		const struct jtb_name *n =
 			&g_array_index(blame->cleared, struct jtb_name, i);
 
-		if (jtb_runs_on(t, n, w))
-			jtb_suspect_clear(jtb_job(t, n->id), n->step, n->index);
+		if (jtb_task_on_worker(t, n, w))
+			jtb_remove_suspect(jtb_job(t, n->id), n->step,
+					   n->index);
 	}
-	jtb_runs_lost(t, w);
+	jtb_end_runs_lost(t, w);
 	for (i = 0; i < blame->suspects->len; i++)
-		jtb_convict(t,
-			    &g_array_index(blame->suspects, struct jtb_name, i),
-			    alone, wall_ms);
+		jtb_fail_crashing_job(
+			t, &g_array_index(blame->suspects, struct jtb_name, i),
+			single_job, wall_ms);
 }
 
 /* Whether a task runs on a worker. */
-static bool jtb_runs_on(const struct jtb *t, const struct jtb_name *n,
-			const struct jtb_worker *w)
+static bool jtb_task_on_worker(const struct jtb *t, const struct jtb_name *n,
+			       const struct jtb_worker *w)
 {
 	const struct jtb_job *job = jtb_job(t, n->id);
 	const struct jtb_task *task = job ? jtb_task_at(job, n, false) : NULL;
@@ -468,8 +479,8 @@
 	return task && task->run && task->run->worker == w;
 }
 
-/* Whether a task stands before that place already, of another turn. */
-static bool jtb_counted(const GArray *names, guint at)
+/* Whether an earlier entry of names is the same task, of any turn. */
+static bool jtb_is_repeated(const GArray *names, guint at)
 {
 	const struct jtb_name *n = &g_array_index(names, struct jtb_name, at);
 	guint i;
@@ -485,26 +496,26 @@
 	return false;
 }
 
-/* A worker may have crashed under a task. */
+/* Counts a crash of a worker for a task that ran on it. */
 static void jtb_count_crash(struct jtb *t, const struct jtb_worker *w,
 			    const struct jtb_name *n, bool shared)
 {
 	struct jtb_suspect *s;
 
-	if (!jtb_runs_on(t, n, w))
+	if (!jtb_task_on_worker(t, n, w))
 		return;
-	s = jtb_suspect_at(jtb_job(t, n->id), n->step, n->index);
+	s = jtb_add_suspect(jtb_job(t, n->id), n->step, n->index);
 	s->crashes++;
 	s->shared += shared;
 }
 
 /*
- * Ends a job whose task crashes the workers that start it: each further start
- * would cost a worker and all that runs beside it. Tasks that were only beside
- * another that began are tried again, alone.
+ * Fails a job whose task crashes the workers that start it: each further start
+ * would cost a worker and all other tasks on it. A task that may only have been
+ * starting next to the faulty one is retried in isolation.
  */
-static void jtb_convict(struct jtb *t, const struct jtb_name *n, bool alone,
-			int64_t wall_ms)
+static void jtb_fail_crashing_job(struct jtb *t, const struct jtb_name *n,
+				  bool single_job, int64_t wall_ms)
 {
 	struct jtb_job *job = jtb_job(t, n->id);
 	const struct jtb_suspect *s =
@@ -513,19 +524,19 @@
 	if (!s || jtb_ended(job))
 		return;
 	if (s->crashes >= JTB_CRASHES_MAX ||
-	    (alone && s->crashes - s->shared >= JTB_CRASHES_ALONE))
-		jtb_job_end(t, job, JTB_FAILED, wall_ms);
+	    (single_job && s->crashes - s->shared >= JTB_CRASHES_SINGLE))
+		jtb_end_job(t, job, JTB_FAILED, wall_ms);
 }
 
-/* A worker is over, or runs nothing any more. */
-static void jtb_worker_gone(struct jtb *t, struct jtb_worker *w, const char *id,
-			    bool for_good)
+/* Removes a worker, or records that all its runs were ended. */
+static void jtb_remove_worker(struct jtb *t, struct jtb_worker *w,
+			      const char *id, bool permanent)
 {
-	if (for_good)
+	if (permanent)
 		g_hash_table_add(t->removed, g_strdup(id));
-	if (for_good && w) {
+	if (permanent && w) {
 		t->watch->worker_gone(t->arg, w);
-		jtb_unplan_worker(t, w);
+		jtb_clear_proposals_on(t, w);
 		g_hash_table_remove(t->workers, id);
 	} else if (w) {
 		w->cleared++;
@@ -533,14 +544,14 @@
 	}
 }
 
-/* Takes a wave of upkeep, or what became of it. */
-static bool jtb_do_wave(struct jtb *t, struct pk_in *in)
+/* Adds a maintenance wave, unless its number is in use. */
+static bool jtb_apply_wave(struct jtb *t, struct pk_in *in)
 {
 	struct jtb_wave *w = jtb_unpack_wave(in);
 
 	if (!w)
 		return false;
-	/* of no VM: nothing would ever say so later */
+	/* without VMs no later command would complete it */
 	if (!w->vms->len)
 		w->completed = true;
 	if (jtb_wave(t, w->no))
@@ -550,14 +561,17 @@
 	return true;
 }
 
-/* Takes how far upkeep of a VM is. */
-static bool jtb_do_vm(struct jtb *t, struct pk_in *in)
+/*
+ * Advances the upkeep of a VM; its state never goes back. Completes the wave
+ * once all its VMs are done.
+ */
+static bool jtb_apply_vm(struct jtb *t, struct pk_in *in)
 {
 	struct jtb_wave *w = jtb_wave(t, pk_get_u(in));
 	struct lstr vm = pk_get_str(in);
 	uint64_t state = pk_get_u(in);
 	struct lstr before = pk_get_str(in);
-	bool all = true;
+	bool all_done = true;
 	guint i;
 
 	if (!pk_in_ok(in) || state > JTB_VM_DONE)
@@ -570,15 +584,15 @@
 			g_free(v->worker_before);
 			v->worker_before = before.len ? lstr_dup(before) : NULL;
 		}
-		all = all && v->state == JTB_VM_DONE;
+		all_done = all_done && v->state == JTB_VM_DONE;
 	}
 	if (w)
-		w->completed = all;
+		w->completed = all_done;
 	return true;
 }
 
-/* Forgets a job that ended long ago. */
-static bool jtb_do_forget(struct jtb *t, struct pk_in *in)
+/* Removes a job that has ended and has no runs. */
+static bool jtb_apply_forget(struct jtb *t, struct pk_in *in)
 {
 	char *id = lstr_dup(pk_get_str(in));
 	struct jtb_job *job = jtb_job(t, id);
@@ -589,8 +603,8 @@
 	return pk_in_ok(in);
 }
 
-/* Takes a run out, and has its task follow. */
-static void jtb_run_end(struct jtb *t, struct jtb_run *run, enum jtb_end how,
+/* Removes a run and updates its task, worker and job. */
+static void jtb_end_run(struct jtb *t, struct jtb_run *run, enum jtb_end how,
 			int64_t wall_ms)
 {
 	struct jtb_job *job = run->job;
@@ -611,23 +625,23 @@
 	w->used_gpus -= step->gpus;
 	g_free(run);
 	job->unseen = job->unseen && how == JTB_LOST;
-	jtb_blame(w, job, task, how);
+	jtb_count_failures(w, job, task, how);
 	if (how == JTB_DONE)
-		jtb_suspect_clear(job, n.step, n.index);
+		jtb_remove_suspect(job, n.step, n.index);
 	if (how == JTB_DONE && !(step->flags & JTB_LASTS))
-		jtb_task_done(t, job, &n, wall_ms);
+		jtb_finish_task(t, job, &n, wall_ms);
 	else if (how == JTB_FAILED_RUN)
-		jtb_task_failed(t, job, step, task, wall_ms);
+		jtb_fail_task(t, job, step, task, wall_ms);
 	if (jtb_ended(job))
-		jtb_job_left(t, job);
+		jtb_drop_live(t, job);
 }
 
 /*
- * Counts different jobs that failed on a worker with nothing done in between. A
- * task that failed before, elsewhere, is more likely at fault itself.
+ * Counts the different jobs that failed on a worker since its last success. A
+ * task that failed before is not counted: it is more likely at fault itself.
  */
-static void jtb_blame(struct jtb_worker *w, const struct jtb_job *job,
-		      const struct jtb_task *task, enum jtb_end how)
+static void jtb_count_failures(struct jtb_worker *w, const struct jtb_job *job,
+			       const struct jtb_task *task, enum jtb_end how)
 {
 	if (how == JTB_DONE) {
 		w->fails = 0;
@@ -639,16 +653,16 @@
 	}
 }
 
-/* One end of a gang's member stands for all of them. */
-static void jtb_task_done(struct jtb *t, struct jtb_job *job,
-			  const struct jtb_name *n, int64_t wall_ms)
+/* Marks a task as done; for a gang, all tasks of the step. */
+static void jtb_finish_task(struct jtb *t, struct jtb_job *job,
+			    const struct jtb_name *n, int64_t wall_ms)
 {
 	const struct jtb_step *step = &job->spec.steps[n->step];
 	struct jtb_turn *turn = &job->turns[n->turn];
 	struct jtb_part *part = &turn->parts[n->step];
-	uint64_t all = job->spec.n_steps == JTB_STEPS_MAX
-			       ? UINT64_MAX
-			       : (1ULL << job->spec.n_steps) - 1;
+	uint64_t all_steps = job->spec.n_steps == JTB_STEPS_MAX
+				     ? UINT64_MAX
+				     : (1ULL << job->spec.n_steps) - 1;
 	uint32_t i;
 
 	for (i = 0; i < step->count; i++) {
@@ -663,18 +677,18 @@
 	if (turn->done & (1ULL << n->step))
 		return;
 	turn->done |= 1ULL << n->step;
-	if (turn->done == all)
+	if (turn->done == all_steps)
 		job->turns_done++;
 	if (job->turns_done == job->n_turns && !jtb_ended(job))
-		jtb_job_end(t, job, JTB_COMPLETED, wall_ms);
+		jtb_end_job(t, job, JTB_COMPLETED, wall_ms);
 	else
-		jtb_told(t, job);
+		jtb_notify_job(t, job);
 }
 
-/* A try of a task failed: again, or the job fails. */
-static void jtb_task_failed(struct jtb *t, struct jtb_job *job,
-			    const struct jtb_step *step, struct jtb_task *task,
-			    int64_t wall_ms)
+/* Counts a failure of a task; fails its job after the last attempt. */
+static void jtb_fail_task(struct jtb *t, struct jtb_job *job,
+			  const struct jtb_step *step, struct jtb_task *task,
+			  int64_t wall_ms)
 {
 	const struct jtb_queue *q = jtb_queue(t->config, job->spec.queue);
 
@@ -682,28 +696,28 @@
 	if (step->flags & JTB_LASTS || !q || jtb_ended(job) || task->done)
 		return;
 	if (task->fails >= MAX(1, q->attempts))
-		jtb_job_end(t, job, JTB_FAILED, wall_ms);
+		jtb_end_job(t, job, JTB_FAILED, wall_ms);
 }
 
-/* A job reaches its last state. */
-static void jtb_job_end(struct jtb *t, struct jtb_job *job,
+/* Puts a job into a final state. */
+static void jtb_end_job(struct jtb *t, struct jtb_job *job,
 			enum jtb_job_state state, int64_t wall_ms)
 {
 	job->state = state;
 	job->ended_ms = wall_ms;
-	jtb_told(t, job);
-	jtb_job_left(t, job);
+	jtb_notify_job(t, job);
+	jtb_drop_live(t, job);
 }
 
-/* A job that is over stays in the list until nothing of it runs. */
-static void jtb_job_left(struct jtb *t, struct jtb_job *job)
+/* Removes an ended job from the live list once it has no runs. */
+static void jtb_drop_live(struct jtb *t, struct jtb_job *job)
 {
 	if (job->n_runs == 0)
 		g_ptr_array_remove(t->live, job);
 }
 
-/* Tells that a job changed. */
-static void jtb_told(struct jtb *t, struct jtb_job *job)
+/* Calls back that a job changed. */
+static void jtb_notify_job(struct jtb *t, struct jtb_job *job)
 {
 	t->watch->job_changed(t->arg, job);
 }
--- a/src/jtb_int.h
+++ b/src/jtb_int.h
@@ -4,12 +4,13 @@
 #include "jtb.h"
 
 /*
- * Files of the table, each using only those before it: jtb_type (records),
- * jtb_cmd (commands as bytes), jtb (the table and lookups in it), jtb_plan
- * (starts that are proposed), jtb_do (what commands do), jtb_snap (all of it
- * as bytes).
+ * Shared by the files of the job table. Each file uses only those before it:
+ * jtb_type (record types), jtb_cmd (serialization of commands), jtb (the table
+ * and lookups), jtb_plan (proposed starts), jtb_do (applying commands),
+ * jtb_snap (serialization of the whole table).
  */
 
+/* Numbers of the commands in the log; 1 to 12 are in stored data. */
 enum jtb_cmd {
 	JTB_CMD_CONFIG = 1,
 	JTB_CMD_JOB,
@@ -17,12 +18,12 @@
 	JTB_CMD_START,
 	JTB_CMD_END,
 	JTB_CMD_WORKER,
-	JTB_CMD_GONE,
+	JTB_CMD_WORKER_LOST,
 	JTB_CMD_WAVE,
 	JTB_CMD_VM,
 	JTB_CMD_FORGET,
 	JTB_CMD_STOP,
-	JTB_CMD_LEFT,
+	JTB_CMD_WORKER_LEAVING,
 };
 
 struct jtb {
@@ -30,9 +31,9 @@
 	void *arg;
 	struct jtb_config *config;
 	GHashTable *jobs; /* id: struct jtb_job */
-	GPtrArray *live; /* struct jtb_job not ended, or with runs */
+	GPtrArray *live; /* struct jtb_job that has not ended, or has runs */
 	GHashTable *workers; /* id: struct jtb_worker */
-	GHashTable *removed; /* ids of workers that are over for good */
+	GHashTable *removed; /* ids of workers that were removed permanently */
 	GPtrArray *waves; /* struct jtb_wave */
 	uint64_t next_seq;
 	uint64_t next_serial;
@@ -57,15 +58,15 @@
 void jtb_clear(struct jtb *t);
 struct jtb_task *jtb_task_at(const struct jtb_job *job,
 			     const struct jtb_name *n, bool make);
-struct jtb_suspect *jtb_suspect_at(struct jtb_job *job, uint32_t step,
-				   uint32_t index);
-void jtb_suspect_clear(struct jtb_job *job, uint32_t step, uint32_t index);
+struct jtb_suspect *jtb_add_suspect(struct jtb_job *job, uint32_t step,
+				    uint32_t index);
+void jtb_remove_suspect(struct jtb_job *job, uint32_t step, uint32_t index);
 struct jtb_run *jtb_run_new(struct jtb *t, struct jtb_job *job,
 			    const struct jtb_name *name, uint32_t attempt,
 			    struct jtb_worker *w);
 /* jtb_plan */
-void jtb_unplan(struct jtb_job *job, const struct jtb_name *n,
-		struct jtb_worker *w);
-void jtb_unplan_worker(struct jtb *t, const struct jtb_worker *w);
+void jtb_drop_proposed_start(struct jtb_job *job, const struct jtb_name *n,
+			     struct jtb_worker *w);
+void jtb_clear_proposals_on(struct jtb *t, const struct jtb_worker *w);
 
 #endif
--- a/src/jtb_plan.c
+++ b/src/jtb_plan.c
@@ -1,22 +1,24 @@
 #include "jtb_int.h"
 
 /*
- * Starts that are proposed and not final: what the leader keeps beside the
- * table, so that it gives no room and no task out twice meanwhile.
+ * Starts that are proposed to the log and not yet committed. Only the leader
+ * has them. They keep it from assigning a task or a worker's capacity twice
+ * until the start is committed.
  */
 
-/* Something to do with a task of which a start is proposed. */
-typedef void (*jtb_planned_fn)(struct jtb_part *part, struct jtb_task *task,
-			       const struct jtb_worker *w);
-
-static void jtb_each_planned(struct jtb_job *job, jtb_planned_fn fn,
-			     const struct jtb_worker *w);
-static void jtb_planned_no_more(struct jtb_part *part, struct jtb_task *task,
-				const struct jtb_worker *w);
-static void jtb_planned_nowhere(struct jtb_part *part, struct jtb_task *task,
+/* Called for each task with a proposed start. */
+typedef void (*jtb_proposal_fn)(struct jtb_part *part, struct jtb_task *task,
 				const struct jtb_worker *w);
 
-/* Notes that a start is proposed: its room on the worker is taken. */
+static void jtb_each_proposal(struct jtb_job *job, jtb_proposal_fn fn,
+			      const struct jtb_worker *w);
+static void jtb_drop_proposal(struct jtb_part *part, struct jtb_task *task,
+			      const struct jtb_worker *w);
+static void jtb_clear_proposal_worker(struct jtb_part *part,
+				      struct jtb_task *task,
+				      const struct jtb_worker *w);
+
+/* Records a proposed start of a task and reserves its size on the worker. */
 void jtb_plan(struct jtb_job *job, const struct jtb_name *n,
 	      struct jtb_worker *w)
 {
@@ -32,9 +34,12 @@
 	w->plan_gpus += step->gpus;
 }
 
-/* The start came out of the log, whatever became of it. */
-void jtb_unplan(struct jtb_job *job, const struct jtb_name *n,
-		struct jtb_worker *w)
+/*
+ * Drops a task's proposed start once the log delivers it, whether the start
+ * applies or not. w is NULL if the worker was removed meanwhile.
+ */
+void jtb_drop_proposed_start(struct jtb_job *job, const struct jtb_name *n,
+			     struct jtb_worker *w)
 {
 	const struct jtb_step *step = &job->spec.steps[n->step];
 	struct jtb_task *task = jtb_task_at(job, n, true);
@@ -48,7 +53,10 @@
 	w->plan_gpus -= step->gpus;
 }
 
-/* Nothing is proposed any more: leadership was lost with it, or begins. */
+/*
+ * Drops everything that is proposed: starts, stops and removals of workers.
+ * Called as leadership is lost or begins.
+ */
 void jtb_unplan_all(struct jtb *t)
 {
 	GHashTableIter it;
@@ -70,25 +78,25 @@
 			run->over = (struct evd){0};
 		}
 	}
-	/* also those that are over: their starts may come out of the log yet */
+	/* ended jobs too: the log may still deliver their starts */
 	g_hash_table_iter_init(&it, t->jobs);
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job))
-		jtb_each_planned(job, jtb_planned_no_more, NULL);
+		jtb_each_proposal(job, jtb_drop_proposal, NULL);
 }
 
-/* Starts on their way to a worker that is over have no worker any more. */
-void jtb_unplan_worker(struct jtb *t, const struct jtb_worker *w)
+/* Clears the worker of all starts that are proposed on a removed worker. */
+void jtb_clear_proposals_on(struct jtb *t, const struct jtb_worker *w)
 {
 	guint i;
 
 	for (i = 0; i < t->live->len; i++)
-		jtb_each_planned(g_ptr_array_index(t->live, i),
-				 jtb_planned_nowhere, w);
+		jtb_each_proposal(g_ptr_array_index(t->live, i),
+				  jtb_clear_proposal_worker, w);
 }
 
-/* Does fn for each task of a job of which a start is proposed. */
-static void jtb_each_planned(struct jtb_job *job, jtb_planned_fn fn,
-			     const struct jtb_worker *w)
+/* Calls fn for each task of a job that has a proposed start. */
+static void jtb_each_proposal(struct jtb_job *job, jtb_proposal_fn fn,
+			      const struct jtb_worker *w)
 {
 	uint32_t t;
 	uint32_t s;
@@ -107,17 +115,18 @@
 	}
 }
 
-/* A start counts as proposed no longer. */
-static void jtb_planned_no_more(struct jtb_part *part, struct jtb_task *task,
-				const struct jtb_worker *w)
+/* Drops the proposed start of a task. */
+static void jtb_drop_proposal(struct jtb_part *part, struct jtb_task *task,
+			      const struct jtb_worker *w)
 {
 	task->planned = false;
 	part->n_planned--;
 }
 
-/* The worker of a start that is on its way is over. */
-static void jtb_planned_nowhere(struct jtb_part *part, struct jtb_task *task,
-				const struct jtb_worker *w)
+/* Clears the worker of a proposed start. */
+static void jtb_clear_proposal_worker(struct jtb_part *part,
+				      struct jtb_task *task,
+				      const struct jtb_worker *w)
 {
 	if (task->planned_on == w)
 		task->planned_on = NULL;
--- a/src/jtb_snap.c
+++ b/src/jtb_snap.c
@@ -2,21 +2,21 @@
 
 static void jtb_pack_job(struct pk_out *o, const struct jtb_job *job);
 static void jtb_pack_suspects(struct pk_out *o, const GArray *list);
-static bool jtb_load_suspects(struct jtb_job *job, struct pk_in *in);
+static bool jtb_unpack_suspects(struct jtb_job *job, struct pk_in *in);
 static void jtb_pack_turn(struct pk_out *o, const struct jtb_job *job,
 			  const struct jtb_turn *turn);
 static void jtb_pack_worker(struct pk_out *o, const struct jtb_worker *w);
-static gint jtb_by_seq(gconstpointer a, gconstpointer b);
-static bool jtb_load(struct jtb *t, struct pk_in *in);
-static bool jtb_load_worker(struct jtb *t, struct pk_in *in);
-static bool jtb_load_job(struct jtb *t, struct pk_in *in);
-static bool jtb_load_turn(struct jtb *t, struct jtb_job *job, uint32_t no,
-			  struct pk_in *in);
-static bool jtb_load_task(struct jtb *t, struct jtb_job *job,
-			  struct jtb_name *n, struct jtb_task *task,
-			  struct pk_in *in);
-
-/* All of the table, for jtb_restore. */
+static gint jtb_compare_seq(gconstpointer a, gconstpointer b);
+static bool jtb_unpack_table(struct jtb *t, struct pk_in *in);
+static bool jtb_unpack_worker(struct jtb *t, struct pk_in *in);
+static bool jtb_unpack_job(struct jtb *t, struct pk_in *in);
+static bool jtb_unpack_turn(struct jtb *t, struct jtb_job *job, uint32_t no,
+			    struct pk_in *in);
+static bool jtb_unpack_task(struct jtb *t, struct jtb_job *job,
+			    struct jtb_name *n, struct jtb_task *task,
+			    struct pk_in *in);
+
+/* Serializes the whole table for jtb_restore. */
 void jtb_snapshot(const struct jtb *t, struct pk_out *o)
 {
 	GHashTableIter it;
@@ -47,7 +47,10 @@
 		jtb_pack_job(o, p);
 }
 
-/* Takes a snapshot in place of all there is; false: it can't be read. */
+/*
+ * Replaces the contents of the table by a snapshot. Returns false if the
+ * snapshot can't be read; the table is then incomplete.
+ */
 bool jtb_restore(struct jtb *t, struct lstr bytes)
 {
 	struct pk_in in;
@@ -56,15 +59,15 @@
 	if (!pk_in_init(&in, bytes))
 		return false;
 	jtb_clear(t);
-	ok = jtb_load(t, &in);
+	ok = jtb_unpack_table(t, &in);
 	pk_in_done(&in);
-	/* a table of hashes has no order; who reads the newest first needs one */
-	g_ptr_array_sort(t->live, jtb_by_seq);
+	/* the hash table has no order, and listing the newest first needs one */
+	g_ptr_array_sort(t->live, jtb_compare_seq);
 	return ok;
 }
 
-/* Orders jobs by when they were accepted. */
-static gint jtb_by_seq(gconstpointer a, gconstpointer b)
+/* Compares jobs by order of acceptance. */
+static gint jtb_compare_seq(gconstpointer a, gconstpointer b)
 {
 	const struct jtb_job *x = *(struct jtb_job *const *)a;
 	const struct jtb_job *y = *(struct jtb_job *const *)b;
@@ -72,7 +75,7 @@
 	return (x->seq > y->seq) - (x->seq < y->seq);
 }
 
-/* Writes a worker. */
+/* Packs a worker. */
 static void jtb_pack_worker(struct pk_out *o, const struct jtb_worker *w)
 {
 	pk_arr(o, 2);
@@ -80,7 +83,7 @@
 	jtb_pack_info(o, &w->info);
 }
 
-/* Writes a job with its turns and runs. */
+/* Packs a job with its turns and runs. */
 static void jtb_pack_job(struct pk_out *o, const struct jtb_job *job)
 {
 	uint32_t i;
@@ -98,7 +101,7 @@
 	jtb_pack_suspects(o, job->suspects);
 }
 
-/* Writes what is counted against a job's tasks; list may be NULL. */
+/* Packs the crash records of a job's tasks; list may be NULL. */
 static void jtb_pack_suspects(struct pk_out *o, const GArray *list)
 {
 	guint n = list ? list->len : 0;
@@ -117,7 +120,7 @@
 	}
 }
 
-/* Writes how far one turn of a job is. */
+/* Packs the state of one turn of a job; an empty array if it has none. */
 static void jtb_pack_turn(struct pk_out *o, const struct jtb_job *job,
 			  const struct jtb_turn *turn)
 {
@@ -148,8 +151,8 @@
 	}
 }
 
-/* Reads a snapshot into an empty table. */
-static bool jtb_load(struct jtb *t, struct pk_in *in)
+/* Unpacks a snapshot into an empty table. */
+static bool jtb_unpack_table(struct jtb *t, struct pk_in *in)
 {
 	struct pk_in list;
 	struct pk_in peek;
@@ -170,7 +173,7 @@
 		t->config = jtb_config_new();
 	list = pk_get_arr(in);
 	while (ok && pk_in_left(&list))
-		ok = jtb_load_worker(t, &list);
+		ok = jtb_unpack_worker(t, &list);
 	list = pk_get_arr(in);
 	while (ok && pk_in_left(&list))
 		g_hash_table_add(t->removed, lstr_dup(pk_get_str(&list)));
@@ -184,12 +187,12 @@
 	}
 	list = pk_get_arr(in);
 	while (ok && pk_in_left(&list))
-		ok = jtb_load_job(t, &list);
+		ok = jtb_unpack_job(t, &list);
 	return ok && pk_in_ok(in);
 }
 
-/* Reads a worker. */
-static bool jtb_load_worker(struct jtb *t, struct pk_in *in)
+/* Unpacks a worker. */
+static bool jtb_unpack_worker(struct jtb *t, struct pk_in *in)
 {
 	struct pk_in at = pk_get_arr(in);
 	struct jtb_worker *w = g_new0(struct jtb_worker, 1);
@@ -204,8 +207,8 @@
 	return true;
 }
 
-/* Reads a job with its turns and runs. */
-static bool jtb_load_job(struct jtb *t, struct pk_in *in)
+/* Unpacks a job with its turns and runs. */
+static bool jtb_unpack_job(struct jtb *t, struct pk_in *in)
 {
 	struct pk_in at = pk_get_arr(in);
 	struct jtb_spec spec;
@@ -225,17 +228,17 @@
 	job->started = pk_get_bool(&at);
 	turns = pk_get_arr(&at);
 	for (i = 0; ok && i < job->n_turns; i++)
-		ok = jtb_load_turn(t, job, i, &turns);
-	/* folders of before it was kept end here */
+		ok = jtb_unpack_turn(t, job, i, &turns);
+	/* data folders of versions without crash records end here */
 	if (ok && pk_in_left(&at))
-		ok = jtb_load_suspects(job, &at);
+		ok = jtb_unpack_suspects(job, &at);
 	if (!jtb_ended(job) || job->n_runs)
 		g_ptr_array_add(t->live, job);
 	return ok && pk_in_ok(&at);
 }
 
-/* Reads what is counted against a job's tasks. */
-static bool jtb_load_suspects(struct jtb_job *job, struct pk_in *in)
+/* Unpacks the crash records of a job's tasks. */
+static bool jtb_unpack_suspects(struct jtb_job *job, struct pk_in *in)
 {
 	struct pk_in list = pk_get_arr(in);
 	bool ok = pk_in_ok(in);
@@ -244,7 +247,7 @@
 		struct pk_in row = pk_get_arr(&list);
 		uint32_t step = (uint32_t)pk_get_u(&row);
 		uint32_t index = (uint32_t)pk_get_u(&row);
-		struct jtb_suspect *s = jtb_suspect_at(job, step, index);
+		struct jtb_suspect *s = jtb_add_suspect(job, step, index);
 
 		s->crashes = (uint32_t)pk_get_u(&row);
 		s->shared = (uint32_t)pk_get_u(&row);
@@ -253,15 +256,15 @@
 	return ok;
 }
 
-/* Reads how far one turn of a job is. */
-static bool jtb_load_turn(struct jtb *t, struct jtb_job *job, uint32_t no,
-			  struct pk_in *in)
+/* Unpacks the state of one turn of a job. */
+static bool jtb_unpack_turn(struct jtb *t, struct jtb_job *job, uint32_t no,
+			    struct pk_in *in)
 {
 	struct pk_in at = pk_get_arr(in);
 	struct jtb_turn *turn = &job->turns[no];
-	uint64_t all = job->spec.n_steps == JTB_STEPS_MAX
-			       ? UINT64_MAX
-			       : (1ULL << job->spec.n_steps) - 1;
+	uint64_t all_steps = job->spec.n_steps == JTB_STEPS_MAX
+				     ? UINT64_MAX
+				     : (1ULL << job->spec.n_steps) - 1;
 	struct jtb_name n = {.turn = no};
 	bool ok = pk_in_ok(in);
 
@@ -285,18 +288,18 @@
 		     n.index++) {
 			struct jtb_task *task = &part->tasks[n.index];
 
-			ok = jtb_load_task(t, job, &n, task, &rows);
+			ok = jtb_unpack_task(t, job, &n, task, &rows);
 			part->n_done += task->done;
 		}
 	}
-	job->turns_done += turn->done == all;
+	job->turns_done += turn->done == all_steps;
 	return ok;
 }
 
-/* Reads how far a task is. */
-static bool jtb_load_task(struct jtb *t, struct jtb_job *job,
-			  struct jtb_name *n, struct jtb_task *task,
-			  struct pk_in *in)
+/* Unpacks the state of a task, and its run if it has one. */
+static bool jtb_unpack_task(struct jtb *t, struct jtb_job *job,
+			    struct jtb_name *n, struct jtb_task *task,
+			    struct pk_in *in)
 {
 	struct pk_in at = pk_get_arr(in);
 	struct lstr saved;
@@ -312,7 +315,7 @@
 	id = lstr_dup(pk_get_str(&at));
 	w = *id ? jtb_worker(t, id) : NULL;
 	g_free(id);
-	/* folders of before it was kept end here */
+	/* data folders of versions without committed stops end here */
 	stopping = pk_in_left(&at) && pk_get_bool(&at);
 	if (w)
 		jtb_run_new(t, job, n, task->attempt, w)->stopping = stopping;
--- a/src/jtb_type.c
+++ b/src/jtb_type.c
@@ -2,10 +2,10 @@
 
 #include <stdio.h>
 
-static bool jtb_worker_same(const struct jtb_worker_info *a,
-			    const struct jtb_worker_info *b);
+static bool jtb_worker_info_equal(const struct jtb_worker_info *a,
+				  const struct jtb_worker_info *b);
 
-static const char *const jtb_states[JTB_JOB_STATES] = {
+static const char *const jtb_state_names[JTB_JOB_STATES] = {
 	[JTB_QUEUED] = "queued",       [JTB_RUNNING] = "running",
 	[JTB_COMPLETED] = "completed", [JTB_FAILED] = "failed",
 	[JTB_CANCELLED] = "cancelled",
@@ -18,9 +18,9 @@
 	[JTB_LOST] = "lost",
 };
 
-static bool jtb_name_number(struct lstr *rest, uint32_t *out);
+static bool jtb_parse_number(struct lstr *rest, uint32_t *out);
 
-/* A configuration without anything in it. */
+/* Creates an empty configuration. */
 struct jtb_config *jtb_config_new(void)
 {
 	struct jtb_config *c = g_new0(struct jtb_config, 1);
@@ -36,8 +36,8 @@
 }
 
 /*
- * Adds a queue whose fields are filled; the configuration owns it then. A
- * later queue of the same name is never found by that name.
+ * Adds a queue and takes ownership of it; its name and host must be set.
+ * Of several queues of one name, a lookup finds the first.
  */
 void jtb_config_add_queue(struct jtb_config *c, struct jtb_queue *q)
 {
@@ -56,8 +56,8 @@
 }
 
 /*
- * Adds a pool whose fields are filled; the configuration owns it then. A later
- * pool of the same name is never found by that name.
+ * Adds a pool and takes ownership of it; its name must be set. Of several
+ * pools of one name, a lookup finds the first.
  */
 void jtb_config_add_pool(struct jtb_config *c, struct jtb_pool *p)
 {
@@ -66,7 +66,7 @@
 		g_hash_table_insert(c->pool_by_name, p->name, p);
 }
 
-/* Frees a configuration. */
+/* Frees a configuration; c may be NULL. */
 void jtb_config_free(struct jtb_config *c)
 {
 	if (!c)
@@ -102,7 +102,7 @@
 	g_free(pool);
 }
 
-/* Frees what a job's description holds. */
+/* Frees the members of a job specification and zeroes it. */
 void jtb_spec_clear(struct jtb_spec *s)
 {
 	uint32_t i;
@@ -118,7 +118,7 @@
 	*s = (struct jtb_spec){0};
 }
 
-/* Frees what a worker's description holds. */
+/* Frees the members of a worker's description and zeroes it. */
 void jtb_worker_info_clear(struct jtb_worker_info *i)
 {
 	g_free(i->id);
@@ -130,19 +130,20 @@
 }
 
 /*
- * Whether the table has all that a worker told of itself. That it doesn't leave,
- * told after it said that it does, is an older word of it.
+ * Whether a worker's reported description needs no update of the stored one.
+ * A report that isn't draining, after one that was, is out of date: a worker
+ * that drains never goes back.
  */
 bool jtb_worker_known(const struct jtb_worker_info *known,
-		      const struct jtb_worker_info *told)
+		      const struct jtb_worker_info *reported)
 {
-	return jtb_worker_same(known, told) ||
-	       (known->draining && !told->draining);
+	return jtb_worker_info_equal(known, reported) ||
+	       (known->draining && !reported->draining);
 }
 
-/* Whether two words of a worker say the same. */
-static bool jtb_worker_same(const struct jtb_worker_info *a,
-			    const struct jtb_worker_info *b)
+/* Whether two descriptions of a worker are equal, apart from id and zone. */
+static bool jtb_worker_info_equal(const struct jtb_worker_info *a,
+				  const struct jtb_worker_info *b)
 {
 	return strcmp(a->pool, b->pool) == 0 && strcmp(a->addr, b->addr) == 0 &&
 	       a->cpu == b->cpu && a->mem_mb == b->mem_mb &&
@@ -151,7 +152,7 @@
 			    (const char *const *)b->labels);
 }
 
-/* A wave without VMs. */
+/* Creates a maintenance wave without VMs. */
 struct jtb_wave *jtb_wave_new(uint64_t no)
 {
 	struct jtb_wave *w = g_new0(struct jtb_wave, 1);
@@ -162,7 +163,7 @@
 	return w;
 }
 
-/* Adds a VM that waits for its upkeep. */
+/* Adds a VM that waits for its upkeep; the wave owns the entry. */
 struct jtb_wave_vm *jtb_wave_add(struct jtb_wave *w, const char *vm)
 {
 	struct jtb_wave_vm *v = g_new0(struct jtb_wave_vm, 1);
@@ -174,13 +175,13 @@
 	return v;
 }
 
-/* The first entry of a wave that names a VM, or NULL. */
+/* Returns the first entry of a wave for a VM, or NULL. */
 struct jtb_wave_vm *jtb_wave_find(const struct jtb_wave *w, const char *vm)
 {
 	return g_hash_table_lookup(w->by_name, vm);
 }
 
-/* Frees a wave. */
+/* Frees a maintenance wave and its entries. */
 void jtb_wave_free(gpointer p)
 {
 	struct jtb_wave *w = p;
@@ -198,7 +199,7 @@
 	g_free(w);
 }
 
-/* A job that nothing has run of yet; spec is moved out of its place. */
+/* Creates a job without runs; takes over the members of spec. */
 struct jtb_job *jtb_job_new(const struct jtb_spec *spec)
 {
 	struct jtb_job *job = g_new0(struct jtb_job, 1);
@@ -223,7 +224,7 @@
 	return job;
 }
 
-/* Frees a job whose runs are over. */
+/* Frees a job that has no runs. */
 void jtb_job_free(gpointer p)
 {
 	struct jtb_job *job = p;
@@ -249,7 +250,7 @@
 	g_free(job);
 }
 
-/* Frees a worker whose runs are over. */
+/* Frees a worker that has no runs. */
 void jtb_worker_free(gpointer p)
 {
 	struct jtb_worker *w = p;
@@ -259,7 +260,7 @@
 	g_free(w);
 }
 
-/* The name of the task that a run is of. */
+/* Writes the name of a run's task to out. */
 void jtb_name_of(const struct jtb_run *run, struct jtb_name *out)
 {
 	g_strlcpy(out->id, run->job->spec.id, sizeof(out->id));
@@ -268,21 +269,21 @@
 	out->index = run->index;
 }
 
-/* A task's name as text: JOB.TURN.STEP.INDEX. */
+/* Formats a task's name as JOB.TURN.STEP.INDEX. */
 void jtb_name_text(const struct jtb_name *name, char *out, size_t size)
 {
 	g_snprintf(out, size, "%s.%u.%u.%u", name->id, name->turn, name->step,
 		   name->index);
 }
 
-/* Whether two names are of one task. */
+/* Whether two names denote the same task. */
 bool jtb_name_same(const struct jtb_name *a, const struct jtb_name *b)
 {
 	return a->index == b->index && a->step == b->step &&
 	       a->turn == b->turn && strcmp(a->id, b->id) == 0;
 }
 
-/* Reads a task's name; false: it isn't one. */
+/* Parses JOB.TURN.STEP.INDEX; returns false if text isn't a task's name. */
 bool jtb_name_parse(struct lstr text, struct jtb_name *out)
 {
 	struct lstr id;
@@ -293,13 +294,13 @@
 		return false;
 	memcpy(out->id, id.p, id.len);
 	out->id[id.len] = '\0';
-	return jtb_name_number(&rest, &out->turn) &&
-	       jtb_name_number(&rest, &out->step) &&
-	       jtb_name_number(&rest, &out->index) && rest.len == 0;
+	return jtb_parse_number(&rest, &out->turn) &&
+	       jtb_parse_number(&rest, &out->step) &&
+	       jtb_parse_number(&rest, &out->index) && rest.len == 0;
 }
 
-/* Reads one number of a run's name. */
-static bool jtb_name_number(struct lstr *rest, uint32_t *out)
+/* Parses the next number of a task's name and advances rest behind it. */
+static bool jtb_parse_number(struct lstr *rest, uint32_t *out)
 {
 	struct lstr head = *rest;
 	struct lstr tail = lstr_n("", 0);
@@ -313,25 +314,25 @@
 	return true;
 }
 
-/* A job's state as callers are told it. */
+/* Returns a job's state as it appears in answers to callers. */
 const char *jtb_state_name(enum jtb_job_state state)
 {
-	return jtb_states[state];
+	return jtb_state_names[state];
 }
 
-/* How a run ended, for logs. */
+/* Returns how a run ended, as it appears in logs. */
 const char *jtb_end_name(enum jtb_end how)
 {
 	return jtb_end_names[how];
 }
 
-/* Whether nothing of a job is to be started any more. */
+/* Whether a job is completed, failed or cancelled; its runs may go on. */
 bool jtb_ended(const struct jtb_job *job)
 {
 	return job->state >= JTB_COMPLETED;
 }
 
-/* Begins with no task to blame. */
+/* Initializes an attribution of a crash without any task. */
 void jtb_blame_init(struct jtb_blame *b)
 {
 	b->suspects = g_array_new(FALSE, TRUE, sizeof(struct jtb_name));
@@ -339,14 +340,17 @@
 	b->shared = false;
 }
 
-/* Frees what it holds. */
+/* Frees the members of an attribution of a crash. */
 void jtb_blame_clear(struct jtb_blame *b)
 {
 	g_array_free(b->suspects, TRUE);
 	g_array_free(b->cleared, TRUE);
 }
 
-/* Whether one job alone can have crashed the worker. */
+/*
+ * Whether the tasks of a single job are the only possible cause of a crash:
+ * no other worker was lost with it and all suspects are of one job.
+ */
 bool jtb_blame_alone(const struct jtb_blame *b)
 {
 	const struct jtb_name *first;
--- a/tests/unit/jobs_make.h
+++ b/tests/unit/jobs_make.h
@@ -6,12 +6,13 @@
 #include "jtb.h"
 
 /*
- * Small job tables for tests: one pool "p", one queue "q", workers, jobs. Both
- * C and C++ read this.
+ * Builds small job tables for tests: one pool "p", one queue "q", workers and
+ * jobs. Included from C and C++.
  */
 
 #define JOBS_WALL_MS 5000000000LL
 
+/* Applies one packed command and frees it. */
 static inline void jobs_apply(struct jtb *t, struct pk_out *cmd)
 {
 	struct pk_out o;
@@ -26,6 +27,7 @@
 	pk_out_done(cmd);
 }
 
+/* Applies a configuration of one pool, and of queue "q" in it. */
 static inline void jobs_config(struct jtb *t, uint64_t version,
 			       const char *pool, uint32_t attempts)
 {
@@ -52,6 +54,7 @@
 	jtb_config_free(c);
 }
 
+/* Adds a worker to pool "p", or updates it; cpu in thousandths of a core. */
 static inline void jobs_worker(struct jtb *t, const char *id, uint32_t cpu,
 			       bool draining)
 {
@@ -72,7 +75,7 @@
 	jobs_apply(t, &o);
 }
 
-/* A job of steps; the texts of the steps are copied. */
+/* Accepts a job in queue "q"; the strings of the steps are copied. */
 static inline void jobs_job(struct jtb *t, const char *id,
 			    struct jtb_step *steps, uint32_t n, int64_t wall)
 {
@@ -89,6 +92,7 @@
 	jobs_apply(t, &o);
 }
 
+/* Starts a task of the first turn of a job. */
 static inline void jobs_start(struct jtb *t, const char *id, uint32_t step,
 			      uint32_t index, uint32_t attempt,
 			      const char *worker)
@@ -104,6 +108,7 @@
 	jobs_apply(t, &o);
 }
 
+/* Stops a run of the first step of a job. */
 static inline void jobs_stop(struct jtb *t, const char *id, uint32_t index,
 			     uint32_t attempt, const char *worker)
 {
@@ -117,6 +122,7 @@
 	jobs_apply(t, &o);
 }
 
+/* Ends a run, as number 1 of the ends that its worker reported. */
 static inline void jobs_end(struct jtb *t, const char *id, uint32_t step,
 			    uint32_t index, uint32_t attempt,
 			    const char *worker, enum jtb_end how)
@@ -142,6 +148,7 @@
 	jobs_apply(t, &o);
 }
 
+/* Applies that a worker announced its shutdown. */
 static inline void jobs_left(struct jtb *t, const char *worker)
 {
 	struct pk_out o;
@@ -151,12 +158,13 @@
 	jobs_apply(t, &o);
 }
 
-static inline void jobs_gone(struct jtb *t, const char *worker, bool for_good)
+/* Ends all runs of a worker as lost; permanent removes the worker too. */
+static inline void jobs_gone(struct jtb *t, const char *worker, bool permanent)
 {
 	struct pk_out o;
 
 	pk_out_init(&o);
-	jtb_put_gone(&o, worker, for_good);
+	jtb_put_gone(&o, worker, permanent);
 	jobs_apply(t, &o);
 }
 
--- a/tests/unit/jtb_test.c
+++ b/tests/unit/jtb_test.c
@@ -34,7 +34,7 @@
 	jobs_job(t, id, steps, 2, JOBS_WALL_MS);
 }
 
-static void a_job_runs_its_steps_in_order(void **state)
+static void job_runs_its_steps_in_order(void **state)
 {
 	struct jtb *t = *state;
 	const struct jtb_job *job;
@@ -46,7 +46,7 @@
 	jobs_start(t, "a", 0, 0, 1, "w1");
 	assert_int_equal(job->state, JTB_RUNNING);
 	assert_int_equal(jtb_pending(t, "q"), 0);
-	/* the second step before the first is done: not begun */
+	/* the second step doesn't start before the first is done */
 	jobs_start(t, "a", 1, 0, 1, "w1");
 	assert_int_equal(job->n_runs, 1);
 	jobs_start(t, "a", 0, 1, 1, "w2");
@@ -60,10 +60,10 @@
 }
 
 /*
- * A valuation is issued twice. Two leaders have each proposed a start of one
- * task; both proposals reach the log. Only the first of them may count.
+ * Guards against a task that runs twice: two leaders each proposed a start of
+ * it, both are committed, and only the first may apply.
  */
-static void only_one_start_of_a_task_counts(void **state)
+static void second_start_of_a_running_task_is_ignored(void **state)
 {
 	struct jtb *t = *state;
 
@@ -75,8 +75,8 @@
 	assert_int_equal(jtb_worker(t, "w2")->runs->len, 0);
 }
 
-/* An attempt's number never comes again, whatever became of it. */
-static void attempts_only_rise(void **state)
+/* An attempt's number is never reused, however the attempt ended. */
+static void attempt_numbers_are_not_reused(void **state)
 {
 	struct jtb *t = *state;
 
@@ -90,10 +90,11 @@
 }
 
 /*
- * A task of a cancelled job starts seconds after the caller was told that it
- * is cancelled: its start was on its way to the log when the cancel got there.
+ * Guards against a task of a cancelled job that starts seconds after the
+ * caller got the answer to its cancellation: its start was proposed before the
+ * cancellation was committed.
  */
-static void nothing_of_a_cancelled_job_starts(void **state)
+static void task_of_a_cancelled_job_is_not_started(void **state)
 {
 	struct jtb *t = *state;
 
@@ -103,13 +104,13 @@
 	jobs_start(t, "a", 0, 1, 1, "w2");
 	assert_int_equal(jtb_job(t, "a")->n_runs, 1);
 	assert_int_equal(jtb_job(t, "a")->state, JTB_CANCELLED);
-	/* it stays in the list until nothing of it runs */
+	/* the job stays in the live list until its runs have ended */
 	assert_int_equal(jtb_live(t)->len, 1);
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_STOPPED);
 	assert_int_equal(jtb_live(t)->len, 0);
 }
 
-static void a_job_fails_with_its_last_attempt(void **state)
+static void job_fails_with_its_last_attempt(void **state)
 {
 	struct jtb *t = *state;
 
@@ -117,7 +118,7 @@
 	jobs_start(t, "a", 0, 0, 1, "w1");
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_FAILED_RUN);
 	assert_int_equal(jtb_job(t, "a")->state, JTB_RUNNING);
-	/* a run that was lost with its worker is not the job's fault */
+	/* a run that was lost with its worker is no failed attempt */
 	jobs_start(t, "a", 0, 0, 2, "w1");
 	jobs_gone(t, "w1", false);
 	jobs_start(t, "a", 0, 0, 3, "w2");
@@ -127,8 +128,8 @@
 	assert_int_equal(jtb_job(t, "a")->n_runs, 0);
 }
 
-/* An end that is told again, or of an earlier run, changes nothing. */
-static void ends_told_again_change_nothing(void **state)
+/* An end that is reported again, or of an earlier run, changes nothing. */
+static void repeated_ends_change_nothing(void **state)
 {
 	struct jtb *t = *state;
 
@@ -142,8 +143,11 @@
 	assert_int_equal(jtb_job(t, "a")->turns[0].parts[0].n_done, 0);
 }
 
-/* Guards against work done twice: done on a worker that was silent since. */
-static void a_late_end_counts(void **state)
+/*
+ * Guards against a task that runs twice: it was done on a worker that was
+ * unreachable afterwards, and its run was ended as lost.
+ */
+static void late_success_counts(void **state)
 {
 	struct jtb *t = *state;
 
@@ -156,8 +160,11 @@
 	assert_int_equal(jtb_job(t, "a")->n_runs, 0);
 }
 
-/* Guards against a task tried too often: it failed on a worker silent since. */
-static void a_late_failure_counts(void **state)
+/*
+ * Guards against too many attempts of a task: one failed on a worker that was
+ * unreachable afterwards, and the run was ended as lost.
+ */
+static void late_failure_counts(void **state)
 {
 	struct jtb *t = *state;
 
@@ -165,7 +172,7 @@
 	jobs_start(t, "a", 0, 0, 1, "w1");
 	jobs_gone(t, "w1", false);
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_FAILED_RUN);
-	/* told again */
+	/* the worker reports the same end again */
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_FAILED_RUN);
 	assert_int_equal(jtb_job(t, "a")->state, JTB_RUNNING);
 	jobs_start(t, "a", 0, 0, 2, "w2");
@@ -173,8 +180,11 @@
 	assert_int_equal(jtb_job(t, "a")->state, JTB_FAILED);
 }
 
-/* Guards against a second run going on, or failing a task that is done. */
-static void a_late_end_stops_what_began_anew(void **state)
+/*
+ * Guards against a second run that goes on, or that fails the task, after the
+ * first one was reported late as done.
+ */
+static void late_end_stops_newer_run(void **state)
 {
 	struct jtb *t = *state;
 	const struct jtb_part *part;
@@ -194,8 +204,8 @@
 	assert_int_equal(jtb_job(t, "a")->n_runs, 0);
 }
 
-/* An end of the run that is on another worker is nobody's word on it. */
-static void an_end_of_another_workers_run_changes_nothing(void **state)
+/* The end of a run is accepted only from the worker that has the run. */
+static void end_from_another_worker_changes_nothing(void **state)
 {
 	struct jtb *t = *state;
 
@@ -207,11 +217,11 @@
 }
 
 /*
- * A worker that has said that it leaves gets new work. Its word is stored
- * before it is acknowledged, and a start that comes out of the log behind it
- * doesn't count; nor does an older word that it is ready.
+ * Guards against new tasks on a draining worker: a start that is committed
+ * after the worker reported draining is ignored, and so is an older report
+ * that it is ready.
  */
-static void a_leaving_worker_gets_no_work(void **state)
+static void draining_worker_gets_no_tasks(void **state)
 {
 	struct jtb *t = *state;
 
@@ -223,8 +233,11 @@
 	assert_true(jtb_worker(t, "w1")->info.draining);
 }
 
-/* Guards against two runs: a start was in the log as its worker said it ends. */
-static void a_worker_that_ends_keeps_what_may_run_there(void **state)
+/*
+ * Guards against a task that runs twice: its start was in the log as the
+ * worker announced its shutdown, and may have reached the worker since.
+ */
+static void leaving_worker_keeps_its_runs(void **state)
 {
 	struct jtb *t = *state;
 
@@ -241,8 +254,8 @@
 	assert_true(jtb_was_removed(t, "w1"));
 }
 
-/* A late announcement of a lifetime that is over doesn't bring it back. */
-static void a_lifetime_that_is_over_stays_over(void **state)
+/* A late report of a worker that was removed doesn't add it again. */
+static void removed_worker_is_not_added_again(void **state)
 {
 	struct jtb *t = *state;
 
@@ -252,7 +265,7 @@
 	assert_true(jtb_was_removed(t, "w1"));
 }
 
-static void an_older_configuration_changes_nothing(void **state)
+static void older_configuration_changes_nothing(void **state)
 {
 	struct jtb *t = *state;
 
@@ -263,8 +276,8 @@
 	assert_string_equal(jtb_queue(jtb_config(t), "q")->pool, "p5");
 }
 
-static void queue_at(struct jtb_config *c, const char *name, const char *host,
-		     const char *prefix)
+static void add_queue(struct jtb_config *c, const char *name, const char *host,
+		      const char *prefix)
 {
 	struct jtb_queue *q = g_new0(struct jtb_queue, 1);
 
@@ -276,10 +289,10 @@
 }
 
 /*
- * Thousands of queues: each lookup went through all of them, for every job
- * that waits and every plan, until leaders had no time left for the log.
+ * Guards against a leader too busy to serve the log: with thousands of queues,
+ * each plan searched all of them linearly for every pending job.
  */
-static void queues_are_found_among_many(void **state)
+static void queue_is_found_among_thousands(void **state)
 {
 	struct jtb_config *c = jtb_config_new();
 	char name[32];
@@ -287,11 +300,11 @@
 
 	for (i = 0; i < 3000; i++) {
 		g_snprintf(name, sizeof(name), "q%d", i);
-		queue_at(c, name, i % 2 ? "Odd.example" : "even.example",
-			 "/a/");
+		add_queue(c, name, i % 2 ? "Odd.example" : "even.example",
+			  "/a/");
 	}
-	queue_at(c, "long", "ODD.example", "/a/b/");
-	queue_at(c, "q7", "late.example", "/");
+	add_queue(c, "long", "ODD.example", "/a/b/");
+	add_queue(c, "q7", "late.example", "/");
 	assert_string_equal(jtb_queue(c, "q2999")->name, "q2999");
 	assert_string_equal(jtb_queue(c, "q7")->host, "Odd.example");
 	assert_null(jtb_queue(c, "q3000"));
@@ -304,8 +317,8 @@
 	jtb_config_free(c);
 }
 
-/* One queue with advice, as it is packed: with so many fields of its own. */
-static void advised_config(struct jtb *t, uint64_t version, size_t fields)
+/* Applies a configuration with one advised queue, packed as 12 or 13 fields. */
+static void apply_advised_config(struct jtb *t, uint64_t version, size_t fields)
 {
 	struct pk_out o;
 
@@ -336,10 +349,10 @@
 }
 
 /*
- * A leader of new sources starts on a folder that older ones wrote: a
- * configuration without the time that tickets hold is in force there.
+ * Guards against a data folder of an older version that can't be read: its
+ * configuration has no validity of tickets.
  */
-static void a_configuration_of_before_tickets_is_read(void **state)
+static void configuration_without_ticket_validity_is_read(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb *u = jtb_new(NULL, NULL);
@@ -347,13 +360,13 @@
 	struct pk_out o;
 	bool ok;
 
-	advised_config(t, 8, 12);
+	apply_advised_config(t, 8, 12);
 	q = jtb_queue(jtb_config(t), "q");
 	assert_int_equal(jtb_config(t)->version, 8);
 	assert_true(q->advised);
 	assert_int_equal(q->advice_each_ms, 5);
 	assert_int_equal(q->advice_valid_ms, 0);
-	advised_config(t, 9, 13);
+	apply_advised_config(t, 9, 13);
 	assert_int_equal(jtb_queue(jtb_config(t), "q")->advice_valid_ms, 20000);
 	pk_out_init(&o);
 	jtb_snapshot(t, &o);
@@ -364,8 +377,8 @@
 	jtb_free(u);
 }
 
-/* After a change of a queue's pool nothing starts in the old one. */
-static void a_start_in_the_old_pool_doesnt_count(void **state)
+/* After a change of a queue's pool no task starts in the old pool. */
+static void start_in_the_old_pool_is_ignored(void **state)
 {
 	struct jtb *t = *state;
 
@@ -375,7 +388,7 @@
 	assert_int_equal(jtb_job(t, "a")->n_runs, 0);
 }
 
-static void one_end_of_a_gang_is_all_of_it(void **state)
+static void one_done_task_completes_its_gang(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb_step s = {.count = 3, .cpu = 1, .flags = JTB_GANG};
@@ -388,7 +401,7 @@
 	assert_int_equal(jtb_job(t, "g")->state, JTB_COMPLETED);
 }
 
-static void work_that_lasts_never_fails(void **state)
+static void long_running_job_never_fails(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb_step s = {.count = 1, .cpu = 1, .flags = JTB_LASTS};
@@ -403,7 +416,7 @@
 	assert_int_equal(jtb_job(t, "l")->state, JTB_RUNNING);
 }
 
-/* A job that is still owed is never forgotten. */
+/* A job that has not ended, or that still has runs, is never forgotten. */
 static void only_ended_jobs_are_forgotten(void **state)
 {
 	struct jtb *t = *state;
@@ -416,7 +429,7 @@
 	pk_out_init(&o);
 	jtb_put_forget(&o, "a");
 	jobs_apply(t, &o);
-	/* cancelled, and one of its runs isn't over yet */
+	/* b is cancelled, but one of its runs has not ended yet */
 	pk_out_init(&o);
 	jtb_put_forget(&o, "b");
 	jobs_apply(t, &o);
@@ -431,11 +444,11 @@
 }
 
 /*
- * A worker is given more than it holds. A start is proposed, its job is
- * cancelled, and leadership goes and comes back before the start comes out of
- * the log: its room, which was given back with the change, counted twice.
+ * Guards against an overcommitted worker: a start is proposed, its job is
+ * cancelled, and leadership is lost and regained before the start is
+ * committed. Its capacity was then released twice.
  */
-static void a_change_of_leader_gives_room_back_once(void **state)
+static void change_of_leader_releases_capacity_once(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb_worker *w = jtb_worker(t, "w1");
@@ -452,10 +465,10 @@
 }
 
 /*
- * Callers are told that the job they ask for was never accepted. The leader's
- * time of day jumped ahead, and what had just ended seemed to be old.
+ * Guards against callers being told that their job was never accepted: the
+ * leader's wall clock jumped ahead, and a job that had just ended was forgotten.
  */
-static void a_job_is_kept_whatever_the_time_of_day(void **state)
+static void job_is_kept_across_a_jump_of_the_wall_clock(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb_job *job;
@@ -472,10 +485,11 @@
 }
 
 /*
- * A wave that was told as completed goes on. What an earlier leader said of a
- * VM comes out of the log after what a later one said.
+ * Guards against a maintenance wave that goes on after it was reported as
+ * completed: a state of a VM from an earlier leader is committed after a later
+ * state.
  */
-static void a_vm_of_a_wave_never_goes_back(void **state)
+static void vm_state_of_a_wave_never_goes_back(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb_wave *w = jtb_wave_new(3);
@@ -497,10 +511,10 @@
 }
 
 /*
- * A wave never ends: it names no VM, and it is told as completed once the last
- * of its VMs is done.
+ * Guards against a maintenance wave that never ends: a wave completes as the
+ * last of its VMs is done, and this one has no VM.
  */
-static void a_wave_of_no_vm_is_completed(void **state)
+static void wave_without_vms_is_completed(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb_wave *w = jtb_wave_new(3);
@@ -526,10 +540,10 @@
 }
 
 /*
- * A job is gone after a replica was replaced. What a snapshot holds must be
- * all of the table: a replica that began with it goes on like the others.
+ * Guards against a job that is lost as a replica is replaced: a replica that
+ * starts from a snapshot must hold the same table as the others.
  */
-static void a_snapshot_holds_all_of_the_table(void **state)
+static void snapshot_holds_the_whole_table(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb *u = jtb_new(NULL, NULL);
@@ -566,8 +580,8 @@
 	jtb_free(u);
 }
 
-/* A service of four of which so many may be missed. */
-static struct jtb_job *a_service(struct jtb *t, uint32_t may_miss)
+/* Starts a long-running job of four tasks. */
+static struct jtb_job *start_service(struct jtb *t, uint32_t may_miss)
 {
 	struct jtb_step s = {.count = 4,
 			     .cpu = 1000,
@@ -581,11 +595,15 @@
 	return jtb_job(t, "l");
 }
 
-/* A service loses two tasks at once: two leaders decided on one each. */
-static void two_leaders_stop_no_more_than_may_be_missed(void **state)
+/*
+ * Guards against a service that loses too many tasks at once: two leaders each
+ * proposed to stop one.
+ */
+static void stops_respect_the_unavailable_limit(void **state)
 {
 	struct jtb *t = *state;
-	const struct jtb_task *tasks = a_service(t, 2)->turns[0].parts[0].tasks;
+	const struct jtb_task *tasks =
+		start_service(t, 2)->turns[0].parts[0].tasks;
 
 	jobs_stop(t, "l", 3, 2, "w1");
 	assert_false(tasks[3].run->stopping);
@@ -594,7 +612,7 @@
 	jobs_stop(t, "l", 2, 1, "w1");
 	assert_true(tasks[0].run->stopping && tasks[1].run->stopping);
 	assert_false(tasks[2].run->stopping);
-	/* until one of them runs again */
+	/* a further stop has to wait until one of them runs again */
 	jobs_end(t, "l", 0, 0, 1, "w1", JTB_STOPPED);
 	jobs_stop(t, "l", 2, 1, "w1");
 	assert_false(tasks[2].run->stopping);
@@ -604,15 +622,15 @@
 	assert_true(tasks[2].run->stopping);
 }
 
-/* The same, where the next leader has its table from a snapshot. */
-static void a_snapshot_tells_what_is_being_stopped(void **state)
+/* The limit of stopped tasks also holds in a table restored from a snapshot. */
+static void snapshot_holds_committed_stops(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb *u = jtb_new(NULL, NULL);
 	const struct jtb_task *tasks;
 	GBytes *a;
 
-	a_service(t, 1);
+	start_service(t, 1);
 	jobs_stop(t, "l", 1, 1, "w1");
 	a = snapshot(t);
 	assert_true(jtb_restore(u, lstr_n(g_bytes_get_data(a, NULL),
@@ -625,11 +643,12 @@
 	jtb_free(u);
 }
 
-/* What waited to be agreed on is nobody's plan after its leader. */
-static void a_stop_that_wasnt_agreed_on_is_forgotten(void **state)
+/* A proposed stop is dropped as leadership changes. */
+static void proposed_stop_is_dropped_with_the_leader(void **state)
 {
 	struct jtb *t = *state;
-	struct jtb_run *run = a_service(t, 1)->turns[0].parts[0].tasks[0].run;
+	struct jtb_run *run =
+		start_service(t, 1)->turns[0].parts[0].tasks[0].run;
 
 	run->stop_planned = true;
 	assert_true(jtb_leaves(run));
@@ -637,8 +656,11 @@
 	assert_false(jtb_leaves(run));
 }
 
-/* A worker is overrun: it has less room since the start was decided on. */
-static void a_start_behind_less_room_doesnt_count(void **state)
+/*
+ * Guards against an overcommitted worker: its capacity was reduced after the
+ * start was proposed.
+ */
+static void start_beyond_reduced_capacity_is_ignored(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb_step s = {.count = 3, .cpu = 1000};
@@ -653,8 +675,8 @@
 	assert_int_equal(jtb_job(t, "a")->n_runs, 2);
 }
 
-/* A replica goes on with half a table: its snapshot was cut short. */
-static void a_damaged_snapshot_is_refused(void **state)
+/* Guards against a replica with part of the table: its snapshot is truncated. */
+static void truncated_snapshot_is_refused(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb_step s = {.count = 2, .cpu = 1000};
@@ -677,8 +699,8 @@
 	g_bytes_unref(b);
 }
 
-/* Jobs of a snapshot stand in the order in which they were accepted. */
-static void a_snapshot_keeps_the_order_of_jobs(void **state)
+/* Jobs restored from a snapshot are listed in order of acceptance. */
+static void snapshot_keeps_the_order_of_jobs(void **state)
 {
 	struct jtb *t = *state;
 	char id[8];
@@ -702,7 +724,7 @@
 	g_bytes_unref(a);
 }
 
-static void names_read_back_as_written(void **state)
+static void task_names_parse_as_formatted(void **state)
 {
 	struct jtb_name n = {
 		.id = "5c0e7a21d94b36f8", .turn = 1, .step = 2, .index = 33};
@@ -720,11 +742,11 @@
 }
 
 /*
- * Work is never tried again though it is owed: a command that can't be read
- * stands before its start in a batch. The rest of the batch was left out, the
- * start stayed proposed for good, and what is proposed is not planned again.
+ * Guards against a task that is never started: a malformed command stands
+ * before its start in a batch, and the rest of the batch was skipped. The start
+ * stayed proposed permanently, and a proposed task is not planned again.
  */
-static void a_bad_command_spoils_only_itself(void **state)
+static void malformed_command_skips_only_itself(void **state)
 {
 	struct jtb *t = *state;
 	struct jtb_name n = {.id = "a"};
@@ -749,10 +771,10 @@
 #define T(fn) cmocka_unit_test_setup_teardown(fn, setup, teardown)
 
 /*
- * Guards against a replica that acknowledges that a worker leaves, or is another
- * than it was, without the fleet knowing it.
+ * Guards against a replica that acknowledges a worker's report of draining or
+ * of a changed description before the table has it.
  */
-static void what_a_worker_says_anew_is_not_known(void **state)
+static void changed_worker_info_needs_an_update(void **state)
 {
 	char *labels[] = {(char *)"kind-a", (char *)"rack-1", NULL};
 	char *others[] = {(char *)"kind-a", (char *)"rack-2", NULL};
@@ -762,64 +784,64 @@
 					      .labels = labels,
 					      .cpu = 16000,
 					      .mem_mb = 64000};
-	struct jtb_worker_info told = known;
-
-	assert_true(jtb_worker_known(&known, &told));
-	told.draining = true;
-	assert_false(jtb_worker_known(&known, &told));
-	/* and once it is known an older word changes nothing */
-	assert_true(jtb_worker_known(&told, &known));
-	told = known;
-	told.pool = (char *)"q";
-	assert_false(jtb_worker_known(&known, &told));
-	told = known;
-	told.addr = (char *)"127.0.0.1:2";
-	assert_false(jtb_worker_known(&known, &told));
-	told = known;
-	told.mem_mb = 32000;
-	assert_false(jtb_worker_known(&known, &told));
-	told = known;
-	told.labels = others;
-	assert_false(jtb_worker_known(&known, &told));
+	struct jtb_worker_info reported = known;
+
+	assert_true(jtb_worker_known(&known, &reported));
+	reported.draining = true;
+	assert_false(jtb_worker_known(&known, &reported));
+	/* once draining is stored, an older report needs no update */
+	assert_true(jtb_worker_known(&reported, &known));
+	reported = known;
+	reported.pool = (char *)"q";
+	assert_false(jtb_worker_known(&known, &reported));
+	reported = known;
+	reported.addr = (char *)"127.0.0.1:2";
+	assert_false(jtb_worker_known(&known, &reported));
+	reported = known;
+	reported.mem_mb = 32000;
+	assert_false(jtb_worker_known(&known, &reported));
+	reported = known;
+	reported.labels = others;
+	assert_false(jtb_worker_known(&known, &reported));
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		T(a_job_runs_its_steps_in_order),
-		T(only_one_start_of_a_task_counts),
-		T(attempts_only_rise),
-		T(nothing_of_a_cancelled_job_starts),
-		T(a_job_fails_with_its_last_attempt),
-		T(ends_told_again_change_nothing),
-		T(a_late_end_counts),
-		T(a_late_failure_counts),
-		T(a_late_end_stops_what_began_anew),
-		T(an_end_of_another_workers_run_changes_nothing),
-		T(a_leaving_worker_gets_no_work),
-		T(what_a_worker_says_anew_is_not_known),
-		T(a_worker_that_ends_keeps_what_may_run_there),
-		T(a_lifetime_that_is_over_stays_over),
-		T(an_older_configuration_changes_nothing),
-		T(a_configuration_of_before_tickets_is_read),
-		T(queues_are_found_among_many),
-		T(a_start_in_the_old_pool_doesnt_count),
-		T(one_end_of_a_gang_is_all_of_it),
-		T(a_bad_command_spoils_only_itself),
-		T(work_that_lasts_never_fails),
+		T(job_runs_its_steps_in_order),
+		T(second_start_of_a_running_task_is_ignored),
+		T(attempt_numbers_are_not_reused),
+		T(task_of_a_cancelled_job_is_not_started),
+		T(job_fails_with_its_last_attempt),
+		T(repeated_ends_change_nothing),
+		T(late_success_counts),
+		T(late_failure_counts),
+		T(late_end_stops_newer_run),
+		T(end_from_another_worker_changes_nothing),
+		T(draining_worker_gets_no_tasks),
+		T(changed_worker_info_needs_an_update),
+		T(leaving_worker_keeps_its_runs),
+		T(removed_worker_is_not_added_again),
+		T(older_configuration_changes_nothing),
+		T(configuration_without_ticket_validity_is_read),
+		T(queue_is_found_among_thousands),
+		T(start_in_the_old_pool_is_ignored),
+		T(one_done_task_completes_its_gang),
+		T(malformed_command_skips_only_itself),
+		T(long_running_job_never_fails),
 		T(only_ended_jobs_are_forgotten),
-		T(a_change_of_leader_gives_room_back_once),
-		T(a_job_is_kept_whatever_the_time_of_day),
-		T(a_vm_of_a_wave_never_goes_back),
-		T(a_wave_of_no_vm_is_completed),
-		T(a_snapshot_holds_all_of_the_table),
-		T(a_damaged_snapshot_is_refused),
-		T(a_start_behind_less_room_doesnt_count),
-		T(two_leaders_stop_no_more_than_may_be_missed),
-		T(a_snapshot_tells_what_is_being_stopped),
-		T(a_stop_that_wasnt_agreed_on_is_forgotten),
-		T(a_snapshot_keeps_the_order_of_jobs),
-		T(names_read_back_as_written),
+		T(change_of_leader_releases_capacity_once),
+		T(job_is_kept_across_a_jump_of_the_wall_clock),
+		T(vm_state_of_a_wave_never_goes_back),
+		T(wave_without_vms_is_completed),
+		T(snapshot_holds_the_whole_table),
+		T(truncated_snapshot_is_refused),
+		T(start_beyond_reduced_capacity_is_ignored),
+		T(stops_respect_the_unavailable_limit),
+		T(snapshot_holds_committed_stops),
+		T(proposed_stop_is_dropped_with_the_leader),
+		T(snapshot_keeps_the_order_of_jobs),
+		T(task_names_parse_as_formatted),
 	};
 
 	return cmocka_run_group_tests_name("jtb", tests, NULL, NULL);
