--- a/src/job.c
+++ b/src/job.c
@@ -3,38 +3,41 @@
 #include "cht.h"
 
 enum job_action {
-	JOB_DO_START,
-	JOB_DO_STOP,
-	JOB_DO_QUEUE,
-	JOB_DO_TELL,
+	JOB_ACTION_START,
+	JOB_ACTION_STOP,
+	JOB_ACTION_QUEUE,
+	JOB_ACTION_REPORT,
 	JOB_ACTIONS
 };
 
 static const struct cht *job_chart(void);
 static void job_free(gpointer job);
 static GQueue *job_queue(struct jobs *j, const struct job *b);
-static void job_do_start(struct jobs *j, struct job *b, struct job_out *out);
-static void job_do_stop(struct jobs *j, struct job *b, struct job_out *out);
-static void job_do_queue(struct jobs *j, struct job *b, struct job_out *out);
-static void job_do_tell(struct jobs *j, struct job *b, struct job_out *out);
+static void job_action_start(struct jobs *j, struct job *b,
+			     struct job_out *out);
+static void job_action_stop(struct jobs *j, struct job *b, struct job_out *out);
+static void job_action_queue(struct jobs *j, struct job *b,
+			     struct job_out *out);
+static void job_action_report(struct jobs *j, struct job *b,
+			      struct job_out *out);
 static void job_release(struct jobs *j, struct job *b);
-static void job_act(const struct job *b, enum job_act_kind kind,
-		    struct job_out *out);
-static enum job_why job_admit(const struct jobs *j,
-			      const struct job_spec *spec);
-static bool job_can_ever(const struct jobs *j, const struct job *b);
-static void job_reckon(struct jobs *j, struct job *b,
-		       const struct job_size *used);
-static gint job_by_seq(gconstpointer a, gconstpointer b);
-
-static const char *const job_states[JOB_STATES] = {
+static void job_add_order(const struct job *b, enum job_act_kind kind,
+			  struct job_out *out);
+static enum job_why job_check_admission(const struct jobs *j,
+					const struct job_spec *spec);
+static bool job_is_schedulable(const struct jobs *j, const struct job *b);
+static void job_charge_usage(struct jobs *j, struct job *b,
+			     const struct job_size *used);
+static gint job_compare_seq(gconstpointer a, gconstpointer b);
+
+static const char *const job_state_names[JOB_STATES] = {
 	[JOB_WAITING] = "waiting",     [JOB_RUNNING] = "running",
 	[JOB_STOPPING] = "stopping",   [JOB_CANCELLING] = "cancelling",
 	[JOB_LOST] = "lost",	       [JOB_FINISHED] = "finished",
 	[JOB_CANCELLED] = "cancelled", [JOB_REFUSED] = "refused",
 };
 
-static const char *const job_events[JOB_EVENTS] = {
+static const char *const job_event_names[JOB_EVENTS] = {
 	[JOB_PLACE] = "place",	   [JOB_COMPLETE] = "complete",
 	[JOB_FAIL] = "fail",	   [JOB_REFUSE] = "refuse",
 	[JOB_PREEMPT] = "preempt", [JOB_STOPPED] = "stopped",
@@ -42,22 +45,23 @@
 	[JOB_ENDED] = "ended",
 };
 
-static const char *const job_actions[JOB_ACTIONS] = {
-	[JOB_DO_START] = "start",
-	[JOB_DO_STOP] = "stop",
-	[JOB_DO_QUEUE] = "queue",
-	[JOB_DO_TELL] = "tell",
+static const char *const job_action_names[JOB_ACTIONS] = {
+	[JOB_ACTION_START] = "start",
+	[JOB_ACTION_STOP] = "stop",
+	[JOB_ACTION_QUEUE] = "queue",
+	[JOB_ACTION_REPORT] = "tell",
 };
 
-static void (*const job_does[JOB_ACTIONS])(struct jobs *j, struct job *b,
-					   struct job_out *out) = {
-	[JOB_DO_START] = job_do_start,
-	[JOB_DO_STOP] = job_do_stop,
-	[JOB_DO_QUEUE] = job_do_queue,
-	[JOB_DO_TELL] = job_do_tell,
+static void (*const job_action_handlers[JOB_ACTIONS])(struct jobs *j,
+						      struct job *b,
+						      struct job_out *out) = {
+	[JOB_ACTION_START] = job_action_start,
+	[JOB_ACTION_STOP] = job_action_stop,
+	[JOB_ACTION_QUEUE] = job_action_queue,
+	[JOB_ACTION_REPORT] = job_action_report,
 };
 
-static const char *const job_whys[JOB_WHYS] = {
+static const char *const job_reason_texts[JOB_WHYS] = {
 	[JOB_OK] = "accepted",
 	[JOB_UNKNOWN_POOL] = "no such pool",
 	[JOB_UNKNOWN_TEAM] = "no such team",
@@ -68,12 +72,12 @@
 	[JOB_UNSURE] = "began and failed, and is not idempotent",
 };
 
-/* A table without pools, teams and workers. */
+/* Creates a table without pools, teams and workers. */
 struct jobs *jobs_new(const struct job_config *config)
 {
 	struct jobs *j = g_new0(struct jobs, 1);
 
-	g_assert(config->suspect_after <= JOB_FAILS_MAX);
+	g_assert(config->suspect_after <= JOB_FAILURES_MAX);
 	j->config = *config;
 	j->by_id = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					 job_free);
@@ -83,7 +87,7 @@
 	return j;
 }
 
-/* Frees the table and every job. */
+/* Frees the table and all jobs; j may be NULL. */
 void jobs_free(struct jobs *j)
 {
 	guint i;
@@ -112,7 +116,7 @@
 	g_free(j);
 }
 
-/* Makes a pool known. */
+/* Adds a pool, unless it exists. */
 void job_set_pool(struct jobs *j, int pool)
 {
 	struct job_pool *p;
@@ -128,7 +132,7 @@
 	p->queues = g_ptr_array_new();
 }
 
-/* Makes a team known, or changes its quota. */
+/* Adds a team, or changes its quota. */
 void job_set_team(struct jobs *j, int team, const struct job_size *quota)
 {
 	int cls;
@@ -144,8 +148,9 @@
 }
 
 /*
- * Puts a worker into a pool, or moves it there. What waits in the pool it
- * left and now fits none of its workers is refused, before it waits for ever.
+ * Adds a worker to a pool, or moves it there, and sets its capacity. Waiting
+ * jobs that no worker of the pool it left can run any more are refused, since
+ * they would wait permanently.
  */
 void job_set_worker(struct jobs *j, int worker, int pool,
 		    const struct job_size *capacity, struct job_out *out)
@@ -167,7 +172,7 @@
 		return;
 	old = w->pool >= 0 ? job_pool(j, w->pool) : NULL;
 	w->pool = pool;
-	/* In order, so that a restored table chooses as the old one did. */
+	/* Sorted, so that a restored table chooses the same worker. */
 	for (i = 0; i < job_pool(j, pool)->workers->len; i++)
 		if (g_array_index(job_pool(j, pool)->workers, int, i) > worker)
 			break;
@@ -178,22 +183,23 @@
 	for (i = 0; i < old->workers->len; i++)
 		if (g_array_index(old->workers, int, i) == worker)
 			g_array_remove_index(old->workers, i--);
-	all = job_sorted(j);
+	all = job_list_sorted(j);
 	for (l = all; l; l = l->next) {
 		struct job *b = l->data;
 
-		if (b->state != JOB_WAITING || job_can_ever(j, b))
+		if (b->state != JOB_WAITING || job_is_schedulable(j, b))
 			continue;
 		b->why = JOB_TOO_LARGE;
-		job_event(j, b, JOB_REFUSE, out);
+		job_apply_event(j, b, JOB_REFUSE, out);
 	}
 	g_list_free(all);
 }
 
 /*
- * The duty officer ranks a team's work of a class; larger goes first. Queues
- * are by team and class and the rank is read at each placement, so a change
- * holds for the very next one, whatever waits.
+ * Sets the priority of a team's jobs of a class, as the duty officer decides;
+ * larger goes first. Queues are by team and class and the priority is read at
+ * each placement, so a change applies from the next placement on, whichever
+ * jobs are waiting.
  */
 void job_set_priority(struct jobs *j, int team, enum job_class cls,
 		      int priority)
@@ -205,17 +211,17 @@
 		job_pool(j, (int)i)->dirty = true;
 }
 
-/* A worker's lease: it runs tasks until then and stops them by itself. */
+/* Extends a worker's lease; at its end the worker stops its jobs by itself. */
 void job_lease(struct jobs *j, int worker, int64_t until_ms)
 {
 	struct job_worker *w = job_worker(j, worker);
 
 	w->lease_ms = MAX(w->lease_ms, until_ms);
-	w->up = true;
+	w->lease_valid = true;
 	job_pool(j, w->pool)->dirty = true;
 }
 
-/* A worker gets nothing new, or gets work again. */
+/* Sets whether a worker is drained: a drained worker gets no new jobs. */
 void job_drain(struct jobs *j, int worker, bool drain)
 {
 	job_worker(j, worker)->drained = drain;
@@ -223,8 +229,8 @@
 }
 
 /*
- * Accepts a job or says why not. A second submission of an id gets the first
- * one's answer, so that a caller may resend when an answer was lost.
+ * Accepts a job, or returns why it is refused. A second submission of an id
+ * gets the same answer, so that a caller may resend after a lost answer.
  */
 enum job_why job_submit(struct jobs *j, const struct job_spec *spec,
 			int64_t now_ms, struct job_out *out)
@@ -234,10 +240,10 @@
 
 	if (b)
 		return b->state == JOB_REFUSED ? b->why : JOB_OK;
-	why = job_admit(j, spec);
+	why = job_check_admission(j, spec);
 	if (why != JOB_OK) {
 		job_audit(out, "job %" G_GUINT64_FORMAT " refused: %s",
-			  spec->id, job_whys[why]);
+			  spec->id, job_reason_texts[why]);
 		return why;
 	}
 	b = g_new0(struct job, 1);
@@ -253,22 +259,22 @@
 }
 
 /*
- * Cancels a job. Made for floods of thousands: each costs the same few
- * operations wherever the job stands, stops go to the array that is sent
- * last, and nothing is kept that a later one could push out.
+ * Cancels a job. To bear floods of thousands, a cancellation takes constant
+ * time in every state of the job, its stop order goes to the array that is sent
+ * last, and it uses no bounded buffer that a later one could overflow.
  */
 void job_cancel(struct jobs *j, uint64_t id, struct job_out *out)
 {
 	struct job *b = job_find(j, id);
 
 	if (b)
-		job_event(j, b, JOB_CANCEL, out);
+		job_apply_event(j, b, JOB_CANCEL, out);
 }
 
 /*
- * A worker says how an attempt ended: JOB_COMPLETE, JOB_STOPPED or JOB_FAIL,
- * then with whether the work had begun. A report of an earlier attempt is
- * late and changes nothing.
+ * Applies a worker's report of how an attempt ended: JOB_COMPLETE, JOB_STOPPED
+ * or JOB_FAIL. begun matters for JOB_FAIL only: whether the job had started.
+ * A late report, of an earlier attempt, is ignored.
  */
 void job_report(struct jobs *j, uint64_t id, uint32_t attempt,
 		enum job_event ev, bool begun, struct job_out *out)
@@ -281,16 +287,17 @@
 	if (ev == JOB_COMPLETE && b->worker >= 0)
 		job_worker(j, b->worker)->failed.n = 0;
 	if (ev == JOB_FAIL && b->worker >= 0)
-		job_failed(j, b, begun, out);
+		job_handle_failure(j, b, begun, out);
 	else
-		job_event(j, b, ev, out);
+		job_apply_event(j, b, ev, out);
 }
 
 /*
- * What a job really uses, reported late. Declared sizes are off by up to ten
- * times, so the worker is reckoned with the larger of both from now on; if it
- * is over its capacity the job that went furthest over is throttled, not the
- * one that happens to be there.
+ * Applies the actual usage of a job. Declared sizes are too low by a factor of
+ * up to ten, so the job is charged with the larger of declared and actual size
+ * from now on. If the worker is then over its capacity, the job that exceeds
+ * its declared cpu most is throttled, which need not be the reported one;
+ * urgent jobs are never throttled.
  */
 void job_usage(struct jobs *j, uint64_t id, uint32_t attempt,
 	       const struct job_size *used, struct job_out *out)
@@ -302,7 +309,7 @@
 
 	if (!b || b->attempt != attempt || b->worker < 0)
 		return;
-	job_reckon(j, b, used);
+	job_charge_usage(j, b, used);
 	w = job_worker(j, b->worker);
 	if (job_fits(&w->used, &w->capacity))
 		return;
@@ -315,23 +322,23 @@
 			worst = at;
 	}
 	if (worst && worst->spec.cls != JOB_URGENT)
-		job_act(worst, JOB_ACT_THROTTLE, out);
+		job_add_order(worst, JOB_ACT_THROTTLE, out);
 }
 
 /*
- * Sees leases run out and places what can be placed, at most about budget
- * jobs, so that the loop is never held for long. True: nothing is left to do.
+ * Handles expired leases and places waiting jobs, about budget of them at most,
+ * to bound the time in the event loop. Returns true if nothing is left to do.
  */
 bool job_step(struct jobs *j, int64_t now_ms, int budget, struct job_out *out)
 {
 	guint i;
 
-	job_expire(j, now_ms, out);
+	job_expire_leases(j, now_ms, out);
 	for (i = 0; i < j->pools->len && budget > 0; i++) {
 		struct job_pool *p = job_pool(j, j->next_pool);
 
 		if (p->known && p->dirty)
-			budget = job_fill(j, p, budget, out);
+			budget = job_place_waiting(j, p, budget, out);
 		if (budget > 0)
 			j->next_pool = (j->next_pool + 1) % (int)j->pools->len;
 	}
@@ -339,27 +346,27 @@
 }
 
 /*
- * After a restart: every act that may not have arrived, under its old key,
- * which a worker does once.
+ * Repeats, after a restart, every order that may not have arrived. Each has its
+ * old key, so that the worker executes it once.
  */
 void job_resend(struct jobs *j, struct job_out *out)
 {
-	GList *all = job_sorted(j);
+	GList *all = job_list_sorted(j);
 	GList *l;
 
 	for (l = all; l; l = l->next) {
 		struct job *b = l->data;
 
 		if (b->state == JOB_RUNNING)
-			job_act(b, JOB_ACT_START, out);
+			job_add_order(b, JOB_ACT_START, out);
 		if (b->worker >= 0 &&
 		    (b->state == JOB_STOPPING || b->state == JOB_CANCELLING))
-			job_act(b, JOB_ACT_STOP, out);
+			job_add_order(b, JOB_ACT_STOP, out);
 	}
 	g_list_free(all);
 }
 
-/* How a job stands; false: never accepted. */
+/* Returns the status of a job in out; false if it was never accepted. */
 bool job_status(const struct jobs *j, uint64_t id, struct job_status *out)
 {
 	const struct job *b = job_find(j, id);
@@ -376,13 +383,13 @@
 	return true;
 }
 
-/* Whether a worker gets nothing, since it fails everything. */
+/* Whether a worker gets no jobs, since different jobs failed on it. */
 bool job_is_suspect(const struct jobs *j, int worker)
 {
 	return job_worker(j, worker)->suspect;
 }
 
-/* An operator has mended a worker that failed everything. */
+/* Gives a suspect worker jobs again, after an operator repaired it. */
 void job_trust(struct jobs *j, int worker)
 {
 	struct job_worker *w = job_worker(j, worker);
@@ -392,7 +399,7 @@
 	job_pool(j, w->pool)->dirty = true;
 }
 
-/* Forgets a job whose outcome has been told; false: it has none yet. */
+/* Removes a job that has an outcome; returns false if it has none yet. */
 bool job_forget(struct jobs *j, uint64_t id)
 {
 	struct job *b = job_find(j, id);
@@ -404,25 +411,25 @@
 	return true;
 }
 
-/* Jobs in a state. */
+/* Counts the jobs in a state. */
 int job_count(const struct jobs *j, enum job_state state)
 {
 	return j->counts[state];
 }
 
-/* The reason in words. */
+/* Returns a reason as text for logs and answers. */
 const char *job_why_text(enum job_why why)
 {
-	return job_whys[why];
+	return job_reason_texts[why];
 }
 
-/* The state's name as in the chart. */
+/* Returns a state's name as in the chart. */
 const char *job_state_name(enum job_state state)
 {
-	return job_states[state];
+	return job_state_names[state];
 }
 
-/* Empty arrays. */
+/* Initializes the arrays. */
 void job_out_init(struct job_out *out)
 {
 	out->urgent = g_array_new(FALSE, FALSE, sizeof(struct job_act));
@@ -449,16 +456,16 @@
 	g_ptr_array_free(out->audit, TRUE);
 }
 
-/* Read once; the table never changes after that. */
+/* Returns the state chart of a job, which is parsed on the first call. */
 static const struct cht *job_chart(void)
 {
 	static struct cht *chart;
 	const struct cht_names names = {
-		.states = job_states,
+		.states = job_state_names,
 		.n_states = JOB_STATES,
-		.events = job_events,
+		.events = job_event_names,
 		.n_events = JOB_EVENTS,
-		.actions = job_actions,
+		.actions = job_action_names,
 		.n_actions = JOB_ACTIONS,
 	};
 
@@ -467,34 +474,40 @@
 	return chart;
 }
 
+/* Frees a job. */
 static void job_free(gpointer job)
 {
 	g_free(job);
 }
 
+/* Returns the worker of a number, which must be in the table. */
 struct job_worker *job_worker(const struct jobs *j, int worker)
 {
 	g_assert(worker >= 0 && (guint)worker < j->workers->len);
 	return &g_array_index(j->workers, struct job_worker, worker);
 }
 
+/* Returns the team of a number, which must be in the table. */
 struct job_team *job_team(const struct jobs *j, int team)
 {
 	g_assert(team >= 0 && (guint)team < j->teams->len);
 	return &g_array_index(j->teams, struct job_team, team);
 }
 
+/* Returns the pool of a number, which must be in the table. */
 struct job_pool *job_pool(const struct jobs *j, int pool)
 {
 	g_assert(pool >= 0 && (guint)pool < j->pools->len);
 	return &g_array_index(j->pools, struct job_pool, pool);
 }
 
+/* Returns the job of an id, or NULL. */
 struct job *job_find(const struct jobs *j, uint64_t id)
 {
 	return g_hash_table_lookup(j->by_id, &id);
 }
 
+/* Returns the queue for a job's pool, team and class; creates it if needed. */
 static GQueue *job_queue(struct jobs *j, const struct job *b)
 {
 	GPtrArray *queues = job_pool(j, b->spec.pool)->queues;
@@ -507,8 +520,12 @@
 	return queues->pdata[at];
 }
 
-bool job_event(struct jobs *j, struct job *b, enum job_event ev,
-	       struct job_out *out)
+/*
+ * Applies an event to a job's state machine and runs the action of the
+ * transition. Returns false if the event means nothing in the job's state.
+ */
+bool job_apply_event(struct jobs *j, struct job *b, enum job_event ev,
+		     struct job_out *out)
 {
 	struct cht_step step;
 
@@ -522,36 +539,41 @@
 	b->state = (enum job_state)step.next;
 	j->counts[b->state]++;
 	if (step.action != CHT_NONE)
-		job_does[step.action](j, b, out);
+		job_action_handlers[step.action](j, b, out);
 	return true;
 }
 
-static void job_do_start(struct jobs *j, struct job *b, struct job_out *out)
+/* Orders the start of a job. */
+static void job_action_start(struct jobs *j, struct job *b, struct job_out *out)
 {
-	job_act(b, JOB_ACT_START, out);
+	job_add_order(b, JOB_ACT_START, out);
 }
 
-static void job_do_stop(struct jobs *j, struct job *b, struct job_out *out)
+/* Orders the stop of a job. */
+static void job_action_stop(struct jobs *j, struct job *b, struct job_out *out)
 {
-	job_act(b, JOB_ACT_STOP, out);
+	job_add_order(b, JOB_ACT_STOP, out);
 }
 
-static void job_do_queue(struct jobs *j, struct job *b, struct job_out *out)
+/* Puts a job back into its queue. */
+static void job_action_queue(struct jobs *j, struct job *b, struct job_out *out)
 {
 	job_release(j, b);
 	job_enqueue(j, b);
 }
 
-static void job_do_tell(struct jobs *j, struct job *b, struct job_out *out)
+/* Reports the outcome of a job. */
+static void job_action_report(struct jobs *j, struct job *b,
+			      struct job_out *out)
 {
-	struct job_told told = {
+	struct job_told outcome = {
 		.job = b->spec.id, .outcome = b->state, .why = b->why};
 
 	job_release(j, b);
-	g_array_append_val(out->told, told);
+	g_array_append_val(out->told, outcome);
 }
 
-/* Gives back what a job holds of its worker and its team's quota. */
+/* Releases what a job uses of its worker's capacity and its team's quota. */
 static void job_release(struct jobs *j, struct job *b)
 {
 	struct job_worker *w;
@@ -559,17 +581,17 @@
 	if (b->worker < 0)
 		return;
 	w = job_worker(j, b->worker);
-	job_add(&w->used, &b->used, -1);
-	job_add(&job_team(j, b->spec.team)->used, &b->used, -1);
-	g_queue_delete_link(b->ends_ms ? &j->lost : &w->jobs, b->link);
+	job_add_size(&w->used, &b->used, -1);
+	job_add_size(&job_team(j, b->spec.team)->used, &b->used, -1);
+	g_queue_delete_link(b->lost_until_ms ? &j->lost : &w->jobs, b->link);
 	b->link = NULL;
-	b->ends_ms = 0;
+	b->lost_until_ms = 0;
 	b->worker = -1;
 	job_pool(j, w->pool)->dirty = true;
 	job_pool(j, b->spec.pool)->dirty = true;
 }
 
-/* Back at its old place: a job that was stopped is not the last again. */
+/* Queues a job by order of acceptance, so a stopped job keeps its position. */
 void job_enqueue(struct jobs *j, struct job *b)
 {
 	GQueue *q = job_queue(j, b);
@@ -587,9 +609,13 @@
 	job_pool(j, b->spec.pool)->dirty = true;
 }
 
-/* Starts of urgent work are sent before anything a flood has caused. */
-static void job_act(const struct job *b, enum job_act_kind kind,
-		    struct job_out *out)
+/*
+ * Adds an order for a job's worker. Starts of urgent jobs, and the stops that
+ * preempt others for them, are sent before the orders of a flood of
+ * cancellations.
+ */
+static void job_add_order(const struct job *b, enum job_act_kind kind,
+			  struct job_out *out)
 {
 	struct job_act act = {
 		.kind = kind,
@@ -604,8 +630,9 @@
 	g_array_append_val(urgent ? out->urgent : out->acts, act);
 }
 
-/* What can never run is refused now, not after a wait that has no end. */
-static enum job_why job_admit(const struct jobs *j, const struct job_spec *spec)
+/* Refuses a job that can never run on submission, before it waits. */
+static enum job_why job_check_admission(const struct jobs *j,
+					const struct job_spec *spec)
 {
 	struct job probe = {.spec = *spec};
 
@@ -617,14 +644,15 @@
 		return JOB_UNKNOWN_TEAM;
 	if (!job_fits(&spec->size, &job_team(j, spec->team)->quota))
 		return JOB_QUOTA;
-	if (!job_can_ever(j, &probe))
+	if (!job_is_schedulable(j, &probe))
 		return JOB_TOO_LARGE;
 	if (j->counts[JOB_WAITING] >= j->config.waiting_max)
 		return JOB_FULL;
 	return JOB_OK;
 }
 
-static bool job_can_ever(const struct jobs *j, const struct job *b)
+/* Whether a job fits into the capacity of any worker of its pool. */
+static bool job_is_schedulable(const struct jobs *j, const struct job *b)
 {
 	const GArray *workers = job_pool(j, b->spec.pool)->workers;
 	guint i;
@@ -637,34 +665,38 @@
 	return false;
 }
 
-bool job_fits(const struct job_size *a, const struct job_size *room)
+/* Whether a size fits into a free capacity. */
+bool job_fits(const struct job_size *a, const struct job_size *available)
 {
-	return a->cpu_milli <= room->cpu_milli && a->mem_mb <= room->mem_mb &&
-	       a->accels <= room->accels;
+	return a->cpu_milli <= available->cpu_milli &&
+	       a->mem_mb <= available->mem_mb && a->accels <= available->accels;
 }
 
-void job_add(struct job_size *to, const struct job_size *by, int sign)
+/* Adds a size, or subtracts it if sign is -1. */
+void job_add_size(struct job_size *to, const struct job_size *by, int sign)
 {
 	to->cpu_milli += sign * by->cpu_milli;
 	to->mem_mb += sign * by->mem_mb;
 	to->accels += sign * by->accels;
 }
 
-static void job_reckon(struct jobs *j, struct job *b,
-		       const struct job_size *used)
+/* Charges a job with the larger of its declared and its actual size. */
+static void job_charge_usage(struct jobs *j, struct job *b,
+			     const struct job_size *used)
 {
 	struct job_worker *w = job_worker(j, b->worker);
 	struct job_team *team = job_team(j, b->spec.team);
 
-	job_add(&w->used, &b->used, -1);
-	job_add(&team->used, &b->used, -1);
+	job_add_size(&w->used, &b->used, -1);
+	job_add_size(&team->used, &b->used, -1);
 	b->used.cpu_milli = MAX(b->spec.size.cpu_milli, used->cpu_milli);
 	b->used.mem_mb = MAX(b->spec.size.mem_mb, used->mem_mb);
 	b->used.accels = MAX(b->spec.size.accels, used->accels);
-	job_add(&w->used, &b->used, 1);
-	job_add(&team->used, &b->used, 1);
+	job_add_size(&w->used, &b->used, 1);
+	job_add_size(&team->used, &b->used, 1);
 }
 
+/* Adds a line for the audit log. */
 void job_audit(struct job_out *out, const char *fmt, ...)
 {
 	va_list ap;
@@ -674,7 +706,8 @@
 	va_end(ap);
 }
 
-static gint job_by_seq(gconstpointer a, gconstpointer b)
+/* Compares jobs by order of acceptance. */
+static gint job_compare_seq(gconstpointer a, gconstpointer b)
 {
 	const struct job *ja = a;
 	const struct job *jb = b;
@@ -682,8 +715,11 @@
 	return ja->seq < jb->seq ? -1 : ja->seq > jb->seq;
 }
 
-/* Every job in the order of acceptance, so that all voters do the same. */
-GList *job_sorted(const struct jobs *j)
+/*
+ * Returns all jobs in order of acceptance, so that every voter handles them in
+ * the same order; freed with g_list_free.
+ */
+GList *job_list_sorted(const struct jobs *j)
 {
-	return g_list_sort(g_hash_table_get_values(j->by_id), job_by_seq);
+	return g_list_sort(g_hash_table_get_values(j->by_id), job_compare_seq);
 }
--- a/src/job.h
+++ b/src/job.h
@@ -1,6 +1,8 @@
 #ifndef JOB_H
 #define JOB_H
 
+/* The job scheduler: admission, placement, preemption and retry of jobs. */
+
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -9,25 +11,26 @@
 #include "pk.h"
 
 /*
- * Jobs: accepted or refused with the reason, placed on workers of their pool
- * under leases, stopped for urgent work, retried, and told one outcome. No
- * clock, file or socket. Pools, teams and workers are named by the numbers
- * that the caller gives them.
+ * A job is accepted, or refused with a reason. It is placed on a worker of its
+ * pool under a lease, may be preempted for urgent work, is retried, and has
+ * exactly one outcome. The module uses no clock, file or socket. Pools, teams
+ * and workers are identified by numbers that the caller chooses.
  */
 
-/* In the order of the names in charts/job.chart. */
+/* States of a job, in the order of the names in charts/job.chart. */
 enum job_state {
 	JOB_WAITING,
 	JOB_RUNNING,
-	JOB_STOPPING, /* to let urgent work start */
+	JOB_STOPPING, /* preempted by urgent work */
 	JOB_CANCELLING,
-	JOB_LOST, /* its worker's lease ran out */
+	JOB_LOST, /* its worker's lease expired */
 	JOB_FINISHED,
 	JOB_CANCELLED,
 	JOB_REFUSED,
 	JOB_STATES
 };
 
+/* Events of a job. */
 enum job_event {
 	JOB_PLACE,
 	JOB_COMPLETE,
@@ -42,22 +45,22 @@
 };
 
 enum job_class {
-	JOB_ARCHIVE, /* may wait and may be stopped */
+	JOB_ARCHIVE, /* lowest class: may wait and may be preempted */
 	JOB_NORMAL,
 	JOB_URGENT,
 	JOB_CLASSES
 };
 
-/* Why a job is refused, before it waits or after it failed. */
+/* Why a job is refused, on submission or after a failure. */
 enum job_why {
 	JOB_OK,
 	JOB_UNKNOWN_POOL,
 	JOB_UNKNOWN_TEAM,
-	JOB_TOO_LARGE, /* for any worker of the pool */
-	JOB_QUOTA, /* larger than all that the team may use */
-	JOB_FULL, /* too many wait; later there is room again */
+	JOB_TOO_LARGE, /* exceeds every worker of the pool */
+	JOB_QUOTA, /* exceeds the whole quota of the team */
+	JOB_FULL, /* too many jobs are waiting; may be submitted again later */
 	JOB_BAD, /* failed on different workers */
-	JOB_UNSURE, /* not idempotent, and began before it failed */
+	JOB_UNSURE, /* not idempotent, and had started before it failed */
 	JOB_WHYS
 };
 
@@ -68,31 +71,31 @@
 };
 
 struct job_spec {
-	uint64_t id; /* the team's; a second submission changes nothing */
+	uint64_t id; /* chosen by the team; submission is idempotent by id */
 	int pool;
 	int team;
 	enum job_class cls;
-	struct job_size size; /* declared; may be far off */
+	struct job_size size; /* declared; actual usage may be far higher */
 	bool idempotent;
-	bool checkpoints; /* goes on where it was stopped */
+	bool checkpoints; /* resumes where it was stopped */
 };
 
-/* Limits and times; docs/design/jobs.md gives the reason of each. */
+/* Limits and times; docs/design/jobs.md gives the reason for each. */
 struct job_config {
-	int waiting_max; /* over all pools */
-	int oldest_every; /* placements until the oldest job has its turn */
-	int stops_max; /* stops of a job for urgent work before it is spared */
+	int waiting_max; /* maximum jobs waiting over all pools */
+	int oldest_every; /* placements after which the oldest job goes first */
+	int stops_max; /* maximum preemptions of one job */
 	int suspect_after; /* different jobs or workers that fail in a row */
-	int64_t margin_ms; /* clocks differ by at most this */
+	int64_t margin_ms; /* maximum clock difference */
 };
 
 enum job_act_kind {
 	JOB_ACT_START,
-	JOB_ACT_STOP, /* and checkpoint, if the job can */
-	JOB_ACT_THROTTLE, /* to its declared size */
+	JOB_ACT_STOP, /* with a checkpoint, if the job supports that */
+	JOB_ACT_THROTTLE, /* limit usage to the declared size */
 };
 
-/* For a worker, which does each (job, attempt, kind) once. */
+/* An order to a worker, which executes each (job, attempt, kind) once. */
 struct job_act {
 	enum job_act_kind kind;
 	uint64_t job;
@@ -100,18 +103,19 @@
 	int worker;
 };
 
-/* The one outcome of a job, for its team. */
+/* The final outcome of a job; reported to its team once. */
 struct job_told {
 	uint64_t job;
 	enum job_state outcome;
 	enum job_why why;
 };
 
+/* Output of the calls below; the caller sends it and clears it. */
 struct job_out {
 	GArray *urgent; /* struct job_act, to be sent before the others */
 	GArray *acts; /* struct job_act */
 	GArray *told; /* struct job_told */
-	GPtrArray *audit; /* char *, g_free */
+	GPtrArray *audit; /* char *, owned: lines for the audit log */
 };
 
 struct job_status {
@@ -119,9 +123,10 @@
 	enum job_why why;
 	int worker; /* -1: none */
 	uint32_t attempt;
-	int stops;
+	int stops; /* preemptions so far */
 };
 
+/* The table of jobs, pools, teams and workers. */
 struct jobs;
 
 struct jobs *jobs_new(const struct job_config *config);
--- a/src/job_blame.c
+++ b/src/job_blame.c
@@ -1,45 +1,54 @@
 #include "job_int.h"
 
-/* Attempts of a job whose pool has too few workers to tell who is at fault. */
+/*
+ * Maximum attempts of a job whose pool has too few workers to tell whether the
+ * job or a worker is at fault.
+ */
 #define JOB_ATTEMPTS_MAX 5
-/* Turns of the oldest job, without room for it, before others are held. */
+/* Turns of the oldest job without free capacity before others are held back. */
 #define JOB_HOLD_TURNS 8
 /* Largest number of a pool, team or worker. */
 #define JOB_NUMBER_MAX 100000
 
-static bool job_blame_worker(struct jobs *j, struct job *b,
+static bool job_check_worker(struct jobs *j, struct job *b,
 			     struct job_out *out);
-static bool job_blame_job(struct jobs *j, struct job *b, struct job_out *out);
-static bool job_fails_add(struct job_fails *f, uint64_t who, int enough);
-static void job_fails_drop(struct job_fails *f, uint64_t who);
+static bool job_check_job(struct jobs *j, struct job *b, struct job_out *out);
+static bool job_failures_add(struct job_failures *f, uint64_t id,
+			     int threshold);
+static void job_failures_remove(struct job_failures *f, uint64_t id);
 
 /*
- * An attempt failed. Who is at fault, the job or the worker, shows only over
- * different ones: a worker is suspect after failures of different jobs, a job
- * is bad after failures on different workers.
+ * Handles a failed attempt. Whether the job or the worker is at fault shows
+ * only from several failures: a worker is suspect after failures of different
+ * jobs, a job is refused after failures on different workers.
  */
-void job_failed(struct jobs *j, struct job *b, bool begun, struct job_out *out)
+void job_handle_failure(struct jobs *j, struct job *b, bool begun,
+			struct job_out *out)
 {
-	bool bad;
+	bool faulty;
 
 	b->failures++;
-	job_blame_worker(j, b, out);
-	bad = job_blame_job(j, b, out) || b->failures >= JOB_ATTEMPTS_MAX;
+	job_check_worker(j, b, out);
+	faulty = job_check_job(j, b, out) || b->failures >= JOB_ATTEMPTS_MAX;
 	if (begun && !b->spec.idempotent)
 		b->why = JOB_UNSURE;
-	else if (bad)
+	else if (faulty)
 		b->why = JOB_BAD;
-	job_event(j, b, b->why == JOB_OK ? JOB_FAIL : JOB_REFUSE, out);
+	job_apply_event(j, b, b->why == JOB_OK ? JOB_FAIL : JOB_REFUSE, out);
 }
 
-/* True: the worker is found to fail everything, so the job is innocent. */
-static bool job_blame_worker(struct jobs *j, struct job *b, struct job_out *out)
+/*
+ * Counts a failure of a job for its worker. Returns whether the worker is
+ * suspect; its failures then no longer count against the jobs.
+ */
+static bool job_check_worker(struct jobs *j, struct job *b, struct job_out *out)
 {
 	struct job_worker *w = job_worker(j, b->worker);
 	struct job *other;
 	int i;
 
-	if (!job_fails_add(&w->failed, b->spec.id, j->config.suspect_after) ||
+	if (!job_failures_add(&w->failed, b->spec.id,
+			      j->config.suspect_after) ||
 	    w->suspect)
 		return w->suspect;
 	w->suspect = true;
@@ -48,58 +57,66 @@
 		  "the last %" G_GUINT64_FORMAT,
 		  b->worker, w->failed.n, b->spec.id);
 	for (i = 0; i < w->failed.n; i++) {
-		other = job_find(j, w->failed.who[i]);
+		other = job_find(j, w->failed.ids[i]);
 		if (other)
-			job_fails_drop(&other->failed_on, (uint64_t)b->worker);
+			job_failures_remove(&other->failed_on,
+					    (uint64_t)b->worker);
 	}
 	return true;
 }
 
-/* True: the job is found to fail everywhere, so its workers are innocent. */
-static bool job_blame_job(struct jobs *j, struct job *b, struct job_out *out)
+/*
+ * Counts a failure on a worker for its job. Returns whether the job is at
+ * fault; its failures then no longer count against the workers.
+ */
+static bool job_check_job(struct jobs *j, struct job *b, struct job_out *out)
 {
-	GString *on;
+	GString *workers;
 	int i;
 
 	if (job_worker(j, b->worker)->suspect ||
-	    !job_fails_add(&b->failed_on, (uint64_t)b->worker,
-			   j->config.suspect_after))
+	    !job_failures_add(&b->failed_on, (uint64_t)b->worker,
+			      j->config.suspect_after))
 		return false;
-	on = g_string_new(NULL);
+	workers = g_string_new(NULL);
 	for (i = 0; i < b->failed_on.n; i++) {
-		job_fails_drop(&job_worker(j, (int)b->failed_on.who[i])->failed,
-			       b->spec.id);
-		g_string_append_printf(on, " %d", (int)b->failed_on.who[i]);
+		job_failures_remove(
+			&job_worker(j, (int)b->failed_on.ids[i])->failed,
+			b->spec.id);
+		g_string_append_printf(workers, " %d",
+				       (int)b->failed_on.ids[i]);
 	}
 	job_audit(out, "job %" G_GUINT64_FORMAT " refused: failed on workers%s",
-		  b->spec.id, on->str);
-	g_string_free(on, TRUE);
+		  b->spec.id, workers->str);
+	g_string_free(workers, TRUE);
 	return true;
 }
 
-/* True: enough different ones. */
-static bool job_fails_add(struct job_fails *f, uint64_t who, int enough)
+/* Adds an id to a set of failures; returns whether the threshold is reached. */
+static bool job_failures_add(struct job_failures *f, uint64_t id, int threshold)
 {
-	if (!job_fails_has(f, who) && f->n < JOB_FAILS_MAX)
-		f->who[f->n++] = who;
-	return f->n >= enough;
+	if (!job_failures_contain(f, id) && f->n < JOB_FAILURES_MAX)
+		f->ids[f->n++] = id;
+	return f->n >= threshold;
 }
 
-bool job_fails_has(const struct job_fails *f, uint64_t who)
+/* Whether a set of failures has an id. */
+bool job_failures_contain(const struct job_failures *f, uint64_t id)
 {
 	int i;
 
 	for (i = 0; i < f->n; i++)
-		if (f->who[i] == who)
+		if (f->ids[i] == id)
 			return true;
 	return false;
 }
 
-static void job_fails_drop(struct job_fails *f, uint64_t who)
+/* Removes an id from a set of failures. */
+static void job_failures_remove(struct job_failures *f, uint64_t id)
 {
 	int i;
 
 	for (i = 0; i < f->n; i++)
-		if (f->who[i] == who)
-			f->who[i--] = f->who[--f->n];
+		if (f->ids[i] == id)
+			f->ids[i--] = f->ids[--f->n];
 }
--- a/src/job_pack.c
+++ b/src/job_pack.c
@@ -3,19 +3,20 @@
 #include "err.h"
 
 static void job_pack_size(const struct job_size *s, struct pk_out *o);
-static struct job_size job_get_size(struct pk_in *in);
-static void job_pack_fails(const struct job_fails *f, struct pk_out *o);
-static struct job_fails job_get_fails(struct pk_in *in);
-static void job_pack_one(const struct job *b, struct pk_out *o);
-static bool job_unpack_one(struct jobs *j, struct pk_in *in);
+static struct job_size job_unpack_size(struct pk_in *in);
+static void job_pack_failures(const struct job_failures *f, struct pk_out *o);
+static struct job_failures job_unpack_failures(struct pk_in *in);
+static void job_pack_job(const struct job *b, struct pk_out *o);
+static bool job_unpack_job(struct jobs *j, struct pk_in *in);
 static bool job_unpack_tables(struct jobs *j, struct pk_in *in);
-static gint job_by_turn(gconstpointer a, gconstpointer b, gpointer unused);
+static gint job_compare_placement(gconstpointer a, gconstpointer b,
+				  gpointer unused);
 
-/* Packs everything. */
+/* Serializes the whole table. */
 void jobs_pack(const struct jobs *j, struct pk_out *o)
 {
 	const struct job_config *c = &j->config;
-	GList *all = job_sorted(j);
+	GList *all = job_list_sorted(j);
 	GList *l;
 	guint i;
 	int cls;
@@ -37,8 +38,8 @@
 	pk_arr(o, (size_t)j->pools->len * 3);
 	for (i = 0; i < j->pools->len; i++) {
 		pk_bool(o, job_pool(j, (int)i)->known);
-		pk_i(o, job_pool(j, (int)i)->placed);
-		pk_i(o, job_pool(j, (int)i)->owed);
+		pk_i(o, job_pool(j, (int)i)->placed_since_oldest);
+		pk_i(o, job_pool(j, (int)i)->preempted_for);
 	}
 	pk_arr(o, (size_t)j->workers->len * 7);
 	for (i = 0; i < j->workers->len; i++) {
@@ -47,18 +48,18 @@
 		pk_i(o, w->pool);
 		job_pack_size(&w->capacity, o);
 		pk_i(o, w->lease_ms);
-		pk_bool(o, w->up);
+		pk_bool(o, w->lease_valid);
 		pk_bool(o, w->drained);
 		pk_bool(o, w->suspect);
-		job_pack_fails(&w->failed, o);
+		job_pack_failures(&w->failed, o);
 	}
 	pk_arr(o, g_list_length(all));
 	for (l = all; l; l = l->next)
-		job_pack_one(l->data, o);
+		job_pack_job(l->data, o);
 	g_list_free(all);
 }
 
-/* The table that jobs_pack wrote, or NULL with ERR_CORRUPT. */
+/* Returns the table that jobs_pack wrote, or NULL with ERR_CORRUPT. */
 struct jobs *jobs_unpack(struct lstr bytes, GError **err)
 {
 	struct job_config c = {0};
@@ -75,14 +76,14 @@
 		c.stops_max = (int)pk_get_i(&in);
 		c.suspect_after = (int)pk_get_i(&in);
 		c.margin_ms = pk_get_i(&in);
-		ok = pk_in_ok(&in) && c.suspect_after <= JOB_FAILS_MAX;
+		ok = pk_in_ok(&in) && c.suspect_after <= JOB_FAILURES_MAX;
 	}
 	if (ok) {
 		j = jobs_new(&c);
 		ok = job_unpack_tables(j, &in);
 		all = pk_get_arr(&in);
 		while (ok && pk_in_left(&all))
-			ok = job_unpack_one(j, &all);
+			ok = job_unpack_job(j, &all);
 		ok = ok && pk_in_ok(&in) && pk_in_ok(&all) && next >= 0 &&
 		     next <= (int64_t)j->pools->len;
 		j->next_pool = (int)next;
@@ -95,6 +96,7 @@
 	return NULL;
 }
 
+/* Packs a size. */
 static void job_pack_size(const struct job_size *s, struct pk_out *o)
 {
 	pk_arr(o, 3);
@@ -103,7 +105,8 @@
 	pk_i(o, s->accels);
 }
 
-static struct job_size job_get_size(struct pk_in *in)
+/* Unpacks a size; marks in as malformed if there is none. */
+static struct job_size job_unpack_size(struct pk_in *in)
 {
 	struct pk_in a = pk_get_arr(in);
 	struct job_size s;
@@ -115,27 +118,30 @@
 	return s;
 }
 
-static void job_pack_fails(const struct job_fails *f, struct pk_out *o)
+/* Packs a set of failures. */
+static void job_pack_failures(const struct job_failures *f, struct pk_out *o)
 {
 	int i;
 
 	pk_arr(o, (size_t)f->n);
 	for (i = 0; i < f->n; i++)
-		pk_u(o, f->who[i]);
+		pk_u(o, f->ids[i]);
 }
 
-static struct job_fails job_get_fails(struct pk_in *in)
+/* Unpacks a set of failures; marks in as malformed if there is none. */
+static struct job_failures job_unpack_failures(struct pk_in *in)
 {
 	struct pk_in a = pk_get_arr(in);
-	struct job_fails f = {0};
+	struct job_failures f = {0};
 
-	while (pk_in_ok(&a) && pk_in_left(&a) && f.n < JOB_FAILS_MAX)
-		f.who[f.n++] = pk_get_u(&a);
+	while (pk_in_ok(&a) && pk_in_left(&a) && f.n < JOB_FAILURES_MAX)
+		f.ids[f.n++] = pk_get_u(&a);
 	in->bad |= !pk_in_ok(&a);
 	return f;
 }
 
-static void job_pack_one(const struct job *b, struct pk_out *o)
+/* Packs a job. */
+static void job_pack_job(const struct job *b, struct pk_out *o)
 {
 	pk_arr(o, 18);
 	pk_u(o, b->spec.id);
@@ -148,17 +154,18 @@
 	pk_i(o, b->state);
 	pk_i(o, b->why);
 	pk_u(o, b->seq);
-	pk_u(o, b->turn);
+	pk_u(o, b->placement);
 	pk_u(o, b->attempt);
 	pk_i(o, b->worker);
 	pk_i(o, b->stops);
 	pk_i(o, b->failures);
 	job_pack_size(&b->used, o);
-	pk_i(o, b->ends_ms);
-	job_pack_fails(&b->failed_on, o);
+	pk_i(o, b->lost_until_ms);
+	job_pack_failures(&b->failed_on, o);
 }
 
-static bool job_unpack_one(struct jobs *j, struct pk_in *in)
+/* Unpacks a job into the table; returns false if it is malformed. */
+static bool job_unpack_job(struct jobs *j, struct pk_in *in)
 {
 	struct pk_in a = pk_get_arr(in);
 	struct job *b = g_new0(struct job, 1);
@@ -171,20 +178,20 @@
 	b->spec.pool = (int)pk_get_i(&a);
 	b->spec.team = (int)pk_get_i(&a);
 	cls = pk_get_i(&a);
-	b->spec.size = job_get_size(&a);
+	b->spec.size = job_unpack_size(&a);
 	b->spec.idempotent = pk_get_bool(&a);
 	b->spec.checkpoints = pk_get_bool(&a);
 	state = pk_get_i(&a);
 	why = pk_get_i(&a);
 	b->seq = pk_get_u(&a);
-	b->turn = pk_get_u(&a);
+	b->placement = pk_get_u(&a);
 	b->attempt = (uint32_t)pk_get_u(&a);
 	b->worker = (int)pk_get_i(&a);
 	b->stops = (int)pk_get_i(&a);
 	b->failures = (int)pk_get_i(&a);
-	b->used = job_get_size(&a);
-	b->ends_ms = pk_get_i(&a);
-	b->failed_on = job_get_fails(&a);
+	b->used = job_unpack_size(&a);
+	b->lost_until_ms = pk_get_i(&a);
+	b->failed_on = job_unpack_failures(&a);
 	if (!pk_in_ok(&a) || job_find(j, b->spec.id) || cls < 0 ||
 	    cls >= JOB_CLASSES || state < 0 || state >= JOB_STATES || why < 0 ||
 	    why >= JOB_WHYS || b->worker < -1 ||
@@ -205,15 +212,16 @@
 		job_enqueue(j, b);
 	if (b->worker < 0)
 		return true;
-	job_add(&job_worker(j, b->worker)->used, &b->used, 1);
-	job_add(&job_team(j, b->spec.team)->used, &b->used, 1);
-	j->turns = MAX(j->turns, b->turn);
-	q = b->ends_ms ? &j->lost : &job_worker(j, b->worker)->jobs;
-	g_queue_insert_sorted(q, b, job_by_turn, NULL);
+	job_add_size(&job_worker(j, b->worker)->used, &b->used, 1);
+	job_add_size(&job_team(j, b->spec.team)->used, &b->used, 1);
+	j->placements = MAX(j->placements, b->placement);
+	q = b->lost_until_ms ? &j->lost : &job_worker(j, b->worker)->jobs;
+	g_queue_insert_sorted(q, b, job_compare_placement, NULL);
 	b->link = g_queue_find(q, b);
 	return true;
 }
 
+/* Unpacks teams, pools and workers; returns false if they are malformed. */
 static bool job_unpack_tables(struct jobs *j, struct pk_in *in)
 {
 	struct pk_in teams = pk_get_arr(in);
@@ -228,7 +236,7 @@
 	for (i = 0; pk_in_ok(&teams) && pk_in_left(&teams); i++) {
 		bool known = pk_get_bool(&teams);
 
-		size = job_get_size(&teams);
+		size = job_unpack_size(&teams);
 		job_set_team(j, i, &size);
 		job_team(j, i)->known = known;
 		for (cls = 0; cls < JOB_CLASSES; cls++)
@@ -238,12 +246,12 @@
 		g_array_set_size(j->pools, (guint)i + 1);
 		if (pk_get_bool(&pools))
 			job_set_pool(j, i);
-		job_pool(j, i)->placed = (int)pk_get_i(&pools);
-		job_pool(j, i)->owed = (int)pk_get_i(&pools);
+		job_pool(j, i)->placed_since_oldest = (int)pk_get_i(&pools);
+		job_pool(j, i)->preempted_for = (int)pk_get_i(&pools);
 	}
 	for (i = 0; pk_in_ok(&workers) && pk_in_left(&workers); i++) {
 		pool = (int)pk_get_i(&workers);
-		size = job_get_size(&workers);
+		size = job_unpack_size(&workers);
 		if (pool < -1 || pool >= (int)j->pools->len ||
 		    (pool >= 0 && !job_pool(j, pool)->known))
 			return false;
@@ -253,18 +261,21 @@
 		if (pool >= 0)
 			job_set_worker(j, i, pool, &size, NULL);
 		w->lease_ms = pk_get_i(&workers);
-		w->up = pk_get_bool(&workers);
+		w->lease_valid = pk_get_bool(&workers);
 		w->drained = pk_get_bool(&workers);
 		w->suspect = pk_get_bool(&workers);
-		w->failed = job_get_fails(&workers);
+		w->failed = job_unpack_failures(&workers);
 	}
 	return pk_in_ok(&teams) && pk_in_ok(&pools) && pk_in_ok(&workers);
 }
 
-static gint job_by_turn(gconstpointer a, gconstpointer b, gpointer unused)
+/* Compares jobs by order of placement. */
+static gint job_compare_placement(gconstpointer a, gconstpointer b,
+				  gpointer unused)
 {
 	const struct job *ja = a;
 	const struct job *jb = b;
 
-	return ja->turn < jb->turn ? -1 : ja->turn > jb->turn;
+	return ja->placement < jb->placement ? -1
+					     : ja->placement > jb->placement;
 }
--- a/src/job_place.c
+++ b/src/job_place.c
@@ -1,47 +1,51 @@
 #include "job_int.h"
 
-/* Jobs of a queue that are looked at for one that has room. */
+/* Jobs of a queue that are tried for one that fits on a worker. */
 #define JOB_LOOK_AHEAD 16
-/* Urgent jobs of each team for which room is made in one step. */
+/* Urgent jobs of each team for which others are preempted in one step. */
 #define JOB_URGENT_MAX 64
-/* Turns of the oldest job, without room for it, before others are held. */
+/* Turns of the oldest job without free capacity before others are held back. */
 #define JOB_HOLD_TURNS 8
 /* Largest number of a pool, team or worker. */
 #define JOB_NUMBER_MAX 100000
 
-static bool job_usable(const struct job_worker *w);
+static bool job_worker_accepts(const struct job_worker *w);
 static bool job_fits_when_empty(const struct jobs *j, const struct job_pool *p,
 				const struct job *b);
-static struct job *job_oldest(const struct jobs *j, const struct job_pool *p);
-static struct job *job_best(struct jobs *j, struct job_pool *p, int *worker,
-			    struct job **urgent);
-static struct job *job_first(const struct jobs *j, const struct job_pool *p,
-			     const GQueue *q, int *worker);
-static bool job_stopping(const struct jobs *j, const struct job_pool *p);
+static struct job *job_find_oldest(const struct jobs *j,
+				   const struct job_pool *p);
+static struct job *job_find_best(struct jobs *j, struct job_pool *p,
+				 int *worker, struct job **urgent);
+static struct job *job_find_first(const struct jobs *j,
+				  const struct job_pool *p, const GQueue *q,
+				  int *worker);
+static bool job_any_stopping(const struct jobs *j, const struct job_pool *p);
 static bool job_in_quota(const struct jobs *j, const struct job *b);
 static int job_priority(const struct jobs *j, const struct job *b);
-static int job_room(const struct jobs *j, const struct job_pool *p,
-		    const struct job *b);
-static bool job_may_stop(const struct jobs *j, const struct job *b);
-static void job_make_room(struct jobs *j, struct job_pool *p,
-			  struct job_out *out);
-static GPtrArray *job_urgent(struct jobs *j, const struct job_pool *p);
-static gint job_by_rank(gconstpointer a, gconstpointer b, gpointer jobs);
-static struct job_size job_soon_left(const struct job_worker *w);
-static int job_make_room_for(struct jobs *j, struct job_pool *p, struct job *b,
-			     struct job_size *left, struct job_out *out);
-static int job_stops(const struct jobs *j, const struct job_worker *w,
-		     const struct job_size *size, struct job_size left);
+static int job_find_worker(const struct jobs *j, const struct job_pool *p,
+			   const struct job *b);
+static bool job_may_preempt(const struct jobs *j, const struct job *b);
+static void job_preempt_for_urgent(struct jobs *j, struct job_pool *p,
+				   struct job_out *out);
+static GPtrArray *job_list_urgent(struct jobs *j, const struct job_pool *p);
+static gint job_compare_priority(gconstpointer a, gconstpointer b,
+				 gpointer jobs);
+static struct job_size job_free_after_stops(const struct job_worker *w);
+static int job_preempt_for(struct jobs *j, struct job_pool *p, struct job *b,
+			   struct job_size *available, struct job_out *out);
+static int job_count_stops(const struct jobs *j, const struct job_worker *w,
+			   const struct job_size *size,
+			   struct job_size available);
 static void job_place(struct jobs *j, struct job *b, int worker,
 		      struct job_out *out);
 
 /*
- * A worker whose lease has run out may still be running its tasks on the far
- * side of a cut, until its own clock says the same. An idempotent job may run
- * a second time and starts elsewhere at once; any other waits until the lease
- * and the largest difference of clocks are over.
+ * Handles workers whose lease expired. Such a worker may be partitioned and
+ * still run its jobs until its own clock reaches the end of the lease. An
+ * idempotent job may run twice and is queued again at once; any other job waits
+ * until the lease and the maximum clock difference have passed.
  */
-void job_expire(struct jobs *j, int64_t now_ms, struct job_out *out)
+void job_expire_leases(struct jobs *j, int64_t now_ms, struct job_out *out)
 {
 	struct job_worker *w;
 	struct job *b;
@@ -51,35 +55,36 @@
 
 	for (i = 0; i < j->workers->len; i++) {
 		w = job_worker(j, (int)i);
-		if (!w->up || w->lease_ms >= now_ms)
+		if (!w->lease_valid || w->lease_ms >= now_ms)
 			continue;
-		w->up = false;
+		w->lease_valid = false;
 		while ((b = g_queue_pop_head(&w->jobs))) {
-			b->ends_ms = w->lease_ms + j->config.margin_ms;
+			b->lost_until_ms = w->lease_ms + j->config.margin_ms;
 			g_queue_push_tail(&j->lost, b);
 			b->link = j->lost.tail;
-			job_event(j, b, JOB_LOSE, out);
+			job_apply_event(j, b, JOB_LOSE, out);
 			if (b->spec.idempotent && b->state == JOB_LOST)
-				job_event(j, b, JOB_ENDED, out);
+				job_apply_event(j, b, JOB_ENDED, out);
 		}
 	}
 	for (l = j->lost.head; l; l = next) {
 		next = l->next;
 		b = l->data;
-		if (b->ends_ms < now_ms)
-			job_event(j, b, JOB_ENDED, out);
+		if (b->lost_until_ms < now_ms)
+			job_apply_event(j, b, JOB_ENDED, out);
 	}
 }
 
 /*
- * Places what waits in a pool. After every oldest_every placements comes the
- * turn of the job that has waited longest, whatever its rank: urgent work may
- * come in for days, and archive work must still finish. If that job is large
- * and small ones keep taking the room, they are held after JOB_HOLD_TURNS of
- * its turns, until it fits; urgent work is not.
+ * Places the waiting jobs of a pool and returns the budget that is left. After
+ * every oldest_every placements the job that has waited longest goes first,
+ * whatever its priority: urgent jobs may arrive for days, and archive jobs must
+ * still finish. If that job is large and small jobs keep using the free
+ * capacity, they are held back after JOB_HOLD_TURNS of its turns until it fits;
+ * urgent jobs are not held back.
  */
-int job_fill(struct jobs *j, struct job_pool *p, int budget,
-	     struct job_out *out)
+int job_place_waiting(struct jobs *j, struct job_pool *p, int budget,
+		      struct job_out *out)
 {
 	struct job *urgent = NULL;
 	struct job *b;
@@ -89,42 +94,50 @@
 	for (; budget > 0; budget--) {
 		hold = false;
 		worker = -1;
-		b = p->placed >= j->config.oldest_every && !p->owed
-			    ? job_oldest(j, p)
+		b = p->placed_since_oldest >= j->config.oldest_every &&
+				    !p->preempted_for
+			    ? job_find_oldest(j, p)
 			    : NULL;
 		if (b)
-			worker = job_room(j, p, b);
+			worker = job_find_worker(j, p, b);
 		if (b && worker < 0)
-			hold = p->placed >= j->config.oldest_every *
-						    JOB_HOLD_TURNS &&
+			hold = p->placed_since_oldest >=
+				       j->config.oldest_every *
+					       JOB_HOLD_TURNS &&
 			       job_fits_when_empty(j, p, b);
 		if (worker >= 0)
-			p->placed = 0;
+			p->placed_since_oldest = 0;
 		else
-			b = job_best(j, p, &worker, &urgent);
+			b = job_find_best(j, p, &worker, &urgent);
 		if (worker < 0 || (hold && b->spec.cls != JOB_URGENT)) {
 			p->dirty = false;
 			break;
 		}
-		p->placed++;
-		/* Else the oldest would take what was stopped for another. */
-		p->owed = b->spec.cls == JOB_URGENT ? MAX(0, p->owed - 1) : 0;
+		p->placed_since_oldest++;
+		/*
+		 * While this is above 0 the oldest job has no turn: it would
+		 * take the capacity that was freed for an urgent job.
+		 */
+		p->preempted_for = b->spec.cls == JOB_URGENT
+					   ? MAX(0, p->preempted_for - 1)
+					   : 0;
 		job_place(j, b, worker, out);
 	}
 	if (!p->dirty && urgent)
-		job_make_room(j, p, out);
+		job_preempt_for_urgent(j, p, out);
 	return budget;
 }
 
-/* Whether a worker gets new work at all. */
-static bool job_usable(const struct job_worker *w)
+/* Whether a worker may get new jobs. */
+static bool job_worker_accepts(const struct job_worker *w)
 {
-	return w->up && !w->drained && !w->suspect;
+	return w->lease_valid && !w->drained && !w->suspect;
 }
 
 /*
- * Whether holding others can help a job: with its only large worker drained
- * or down the whole pool would stand still for nothing.
+ * Whether a job fits on a worker that may get new jobs, once that is empty. If
+ * not, holding other jobs back would stall the whole pool without helping the
+ * job, as when its only large worker is drained or down.
  */
 static bool job_fits_when_empty(const struct jobs *j, const struct job_pool *p,
 				const struct job *b)
@@ -134,13 +147,16 @@
 
 	for (i = 0; i < p->workers->len; i++) {
 		w = job_worker(j, g_array_index(p->workers, int, i));
-		if (job_usable(w) && job_fits(&b->spec.size, &w->capacity))
+		if (job_worker_accepts(w) &&
+		    job_fits(&b->spec.size, &w->capacity))
 			return true;
 	}
 	return false;
 }
 
-static struct job *job_oldest(const struct jobs *j, const struct job_pool *p)
+/* Returns the waiting job accepted first, within its team's quota, or NULL. */
+static struct job *job_find_oldest(const struct jobs *j,
+				   const struct job_pool *p)
 {
 	struct job *oldest = NULL;
 	guint i;
@@ -157,12 +173,14 @@
 }
 
 /*
- * The job of highest rank that has room, among the first of each team and
- * class. While stops for an urgent one are under way, what ranks below it
- * takes none of the room that they free.
+ * Returns the job of highest priority that fits on a worker, among the first
+ * jobs of each team and class, and that worker. urgent is set to the urgent job
+ * of highest priority that fits nowhere, or NULL. While jobs are stopping for
+ * it, worker is -1 for jobs of lower priority, which would otherwise take the
+ * capacity that the stops free.
  */
-static struct job *job_best(struct jobs *j, struct job_pool *p, int *worker,
-			    struct job **urgent)
+static struct job *job_find_best(struct jobs *j, struct job_pool *p,
+				 int *worker, struct job **urgent)
 {
 	struct job *best = NULL;
 	struct job *b;
@@ -180,7 +198,7 @@
 		rank = job_priority(j, head);
 		if (best && rank < job_priority(j, best))
 			continue;
-		b = job_first(j, p, q, &at);
+		b = job_find_first(j, p, q, &at);
 		if (!b && head->spec.cls == JOB_URGENT &&
 		    job_in_quota(j, head) &&
 		    (!*urgent || rank > job_priority(j, *urgent)))
@@ -193,18 +211,20 @@
 	}
 	if (*urgent && best &&
 	    job_priority(j, *urgent) > job_priority(j, best) &&
-	    job_stopping(j, p))
+	    job_any_stopping(j, p))
 		*worker = -1;
 	return best;
 }
 
 /*
- * The first job of a queue that has room. A few behind one without room are
- * tried, else a large job would hold up its team while its worker is drained;
- * not those at least as large, which makes the usual case one look.
+ * Returns the first job of a queue that fits on a worker, or NULL. Behind a job
+ * that doesn't fit a few more are tried, else a large job would block its team
+ * while its worker is drained. Jobs at least as large are skipped, so that the
+ * usual case needs a single search for a worker.
  */
-static struct job *job_first(const struct jobs *j, const struct job_pool *p,
-			     const GQueue *q, int *worker)
+static struct job *job_find_first(const struct jobs *j,
+				  const struct job_pool *p, const GQueue *q,
+				  int *worker)
 {
 	const struct job *tried = NULL;
 	struct job *b;
@@ -216,7 +236,7 @@
 		if (!job_in_quota(j, b) ||
 		    (tried && job_fits(&tried->spec.size, &b->spec.size)))
 			continue;
-		*worker = job_room(j, p, b);
+		*worker = job_find_worker(j, p, b);
 		if (*worker >= 0)
 			return b;
 		if (b->failed_on.n == 0)
@@ -225,7 +245,8 @@
 	return NULL;
 }
 
-static bool job_stopping(const struct jobs *j, const struct job_pool *p)
+/* Whether any job of a pool is being preempted. */
+static bool job_any_stopping(const struct jobs *j, const struct job_pool *p)
 {
 	GList *l;
 	guint i;
@@ -239,28 +260,31 @@
 	return false;
 }
 
+/* Whether a job fits into the unused part of its team's quota. */
 static bool job_in_quota(const struct jobs *j, const struct job *b)
 {
 	const struct job_team *team = job_team(j, b->spec.team);
-	struct job_size left = team->quota;
+	struct job_size available = team->quota;
 
-	job_add(&left, &team->used, -1);
-	return job_fits(&b->spec.size, &left);
+	job_add_size(&available, &team->used, -1);
+	return job_fits(&b->spec.size, &available);
 }
 
+/* Returns the priority of a job, by its team and class. */
 static int job_priority(const struct jobs *j, const struct job *b)
 {
 	return job_team(j, b->spec.team)->priority[b->spec.cls];
 }
 
 /*
- * The worker with least room left over on which a job may start, or -1. Not
- * one that it failed on: a second failure there would teach nothing.
+ * Returns the worker with the least free cpu that a job fits on, or -1. Workers
+ * it failed on are excluded, unless it failed on all workers of the pool: a
+ * second failure there wouldn't show whether the job or the worker is at fault.
  */
-static int job_room(const struct jobs *j, const struct job_pool *p,
-		    const struct job *b)
+static int job_find_worker(const struct jobs *j, const struct job_pool *p,
+			   const struct job *b)
 {
-	struct job_size left;
+	struct job_size available;
 	int64_t least = INT64_MAX;
 	int best = -1;
 	guint i;
@@ -269,27 +293,28 @@
 		int at = g_array_index(p->workers, int, i);
 		const struct job_worker *w = job_worker(j, at);
 
-		if (!job_usable(w) ||
-		    (job_fails_has(&b->failed_on, (uint64_t)at) &&
+		if (!job_worker_accepts(w) ||
+		    (job_failures_contain(&b->failed_on, (uint64_t)at) &&
 		     b->failed_on.n < (int)p->workers->len))
 			continue;
-		left = w->capacity;
-		job_add(&left, &w->used, -1);
-		if (!job_fits(&b->spec.size, &left) || left.cpu_milli >= least)
+		available = w->capacity;
+		job_add_size(&available, &w->used, -1);
+		if (!job_fits(&b->spec.size, &available) ||
+		    available.cpu_milli >= least)
 			continue;
-		least = left.cpu_milli;
+		least = available.cpu_milli;
 		best = at;
 	}
 	return best;
 }
 
 /*
- * Whether a job may be stopped for urgent work. What was stopped stops_max
- * times already is spared: else a steady trickle of urgent work would start
- * it again and again and it would never finish. Work that is neither
- * idempotent nor able to go on is never stopped.
+ * Whether a job may be preempted. A job is preempted stops_max times at most:
+ * else a steady trickle of urgent jobs would restart it again and again, and it
+ * would never finish. A job that is neither idempotent nor able to resume is
+ * never preempted.
  */
-static bool job_may_stop(const struct jobs *j, const struct job *b)
+static bool job_may_preempt(const struct jobs *j, const struct job *b)
 {
 	return b->spec.cls == JOB_ARCHIVE && b->state == JOB_RUNNING &&
 	       b->stops < j->config.stops_max &&
@@ -297,30 +322,34 @@
 }
 
 /*
- * Stops archive work for all urgent jobs that wait without room, in one go:
- * made one by one, the tenth of a burst would wait for ten rounds of stop and
- * reply. Room that earlier stops are about to free is reckoned with first.
+ * Preempts archive jobs for all urgent jobs that fit nowhere, in one step: one
+ * by one, the tenth of a burst would wait for ten rounds of stop and reply.
+ * Capacity that earlier stops are about to free is used first.
  */
-static void job_make_room(struct jobs *j, struct job_pool *p,
-			  struct job_out *out)
+static void job_preempt_for_urgent(struct jobs *j, struct job_pool *p,
+				   struct job_out *out)
 {
-	struct job_size *left = g_new0(struct job_size, p->workers->len);
-	GPtrArray *urgent = job_urgent(j, p);
-	int owed = 0;
+	struct job_size *available = g_new0(struct job_size, p->workers->len);
+	GPtrArray *urgent = job_list_urgent(j, p);
+	int count = 0;
 	guint i;
 
 	for (i = 0; i < p->workers->len; i++)
-		left[i] = job_soon_left(
+		available[i] = job_free_after_stops(
 			job_worker(j, g_array_index(p->workers, int, i)));
 	for (i = 0; i < urgent->len; i++)
-		owed += job_make_room_for(j, p, urgent->pdata[i], left, out);
-	p->owed = MAX(p->owed, owed);
+		count +=
+			job_preempt_for(j, p, urgent->pdata[i], available, out);
+	p->preempted_for = MAX(p->preempted_for, count);
 	g_ptr_array_free(urgent, TRUE);
-	g_free(left);
+	g_free(available);
 }
 
-/* The first urgent jobs that wait, highest rank first. */
-static GPtrArray *job_urgent(struct jobs *j, const struct job_pool *p)
+/*
+ * Returns the first waiting urgent jobs of each team, by descending priority;
+ * freed with g_ptr_array_free.
+ */
+static GPtrArray *job_list_urgent(struct jobs *j, const struct job_pool *p)
 {
 	GPtrArray *urgent = g_ptr_array_new();
 	GList *l;
@@ -335,11 +364,13 @@
 			if (job_in_quota(j, l->data))
 				g_ptr_array_add(urgent, l->data);
 	}
-	g_ptr_array_sort_with_data(urgent, job_by_rank, j);
+	g_ptr_array_sort_with_data(urgent, job_compare_priority, j);
 	return urgent;
 }
 
-static gint job_by_rank(gconstpointer a, gconstpointer b, gpointer jobs)
+/* Compares jobs by descending priority, then by order of acceptance. */
+static gint job_compare_priority(gconstpointer a, gconstpointer b,
+				 gpointer jobs)
 {
 	const struct job *ja = *(struct job *const *)a;
 	const struct job *jb = *(struct job *const *)b;
@@ -348,24 +379,28 @@
 	return more ? more : (ja->seq < jb->seq ? -1 : 1);
 }
 
-/* Room on a worker once all that is being stopped has stopped. */
-static struct job_size job_soon_left(const struct job_worker *w)
+/* Returns the free capacity of a worker once all its stopping jobs stopped. */
+static struct job_size job_free_after_stops(const struct job_worker *w)
 {
-	struct job_size left = w->capacity;
+	struct job_size available = w->capacity;
 	GList *l;
 
-	if (!job_usable(w))
+	if (!job_worker_accepts(w))
 		return (struct job_size){0};
-	job_add(&left, &w->used, -1);
+	job_add_size(&available, &w->used, -1);
 	for (l = w->jobs.head; l; l = l->next)
 		if (((struct job *)l->data)->state == JOB_STOPPING)
-			job_add(&left, &((struct job *)l->data)->used, 1);
-	return left;
+			job_add_size(&available, &((struct job *)l->data)->used,
+				     1);
+	return available;
 }
 
-/* Stops on the worker where fewest must stop; 1: there will be room. */
-static int job_make_room_for(struct jobs *j, struct job_pool *p, struct job *b,
-			     struct job_size *left, struct job_out *out)
+/*
+ * Preempts jobs for one urgent job, on the worker where the fewest have to
+ * stop. Returns 1 if the urgent job will fit, 0 if it can't.
+ */
+static int job_preempt_for(struct jobs *j, struct job_pool *p, struct job *b,
+			   struct job_size *available, struct job_out *out)
 {
 	int fewest = INT_MAX;
 	struct job_worker *w;
@@ -376,7 +411,7 @@
 
 	for (i = 0; i < p->workers->len; i++) {
 		w = job_worker(j, g_array_index(p->workers, int, i));
-		stops = job_stops(j, w, &b->spec.size, left[i]);
+		stops = job_count_stops(j, w, &b->spec.size, available[i]);
 		if (stops < 0 || stops >= fewest)
 			continue;
 		fewest = stops;
@@ -388,35 +423,40 @@
 	for (l = w->jobs.head; l && fewest > 0; l = l->next) {
 		struct job *a = l->data;
 
-		if (!job_may_stop(j, a))
+		if (!job_may_preempt(j, a))
 			continue;
 		a->stops++;
 		fewest--;
-		job_add(&left[best], &a->used, 1);
-		job_event(j, a, JOB_PREEMPT, out);
+		job_add_size(&available[best], &a->used, 1);
+		job_apply_event(j, a, JOB_PREEMPT, out);
 	}
-	job_add(&left[best], &b->spec.size, -1);
+	job_add_size(&available[best], &b->spec.size, -1);
 	return 1;
 }
 
-/* Jobs of a worker that must stop to make room for a size; -1: not enough. */
-static int job_stops(const struct jobs *j, const struct job_worker *w,
-		     const struct job_size *size, struct job_size left)
+/*
+ * Counts the jobs of a worker that have to stop to free capacity for a size;
+ * returns -1 if stopping all that may be preempted isn't enough.
+ */
+static int job_count_stops(const struct jobs *j, const struct job_worker *w,
+			   const struct job_size *size,
+			   struct job_size available)
 {
 	int stops = 0;
 	GList *l;
 
-	if (!job_usable(w))
+	if (!job_worker_accepts(w))
 		return -1;
-	for (l = w->jobs.head; l && !job_fits(size, &left); l = l->next) {
-		if (!job_may_stop(j, l->data))
+	for (l = w->jobs.head; l && !job_fits(size, &available); l = l->next) {
+		if (!job_may_preempt(j, l->data))
 			continue;
-		job_add(&left, &((struct job *)l->data)->used, 1);
+		job_add_size(&available, &((struct job *)l->data)->used, 1);
 		stops++;
 	}
-	return job_fits(size, &left) ? stops : -1;
+	return job_fits(size, &available) ? stops : -1;
 }
 
+/* Starts a new attempt of a job on a worker. */
 static void job_place(struct jobs *j, struct job *b, int worker,
 		      struct job_out *out)
 {
@@ -425,10 +465,10 @@
 	b->worker = worker;
 	b->attempt++;
 	b->used = b->spec.size;
-	job_add(&w->used, &b->used, 1);
-	job_add(&job_team(j, b->spec.team)->used, &b->used, 1);
-	b->turn = ++j->turns;
-	job_event(j, b, JOB_PLACE, out);
+	job_add_size(&w->used, &b->used, 1);
+	job_add_size(&job_team(j, b->spec.team)->used, &b->used, 1);
+	b->placement = ++j->placements;
+	job_apply_event(j, b, JOB_PLACE, out);
 	g_queue_push_tail(&w->jobs, b);
 	b->link = w->jobs.tail;
 }
--- a/src/jtb.h
+++ b/src/jtb.h
@@ -58,8 +58,8 @@
 		*queues; /* struct jtb_queue, filled by jtb_config_add_queue */
 	GPtrArray *pools; /* struct jtb_pool, filled by jtb_config_add_pool */
 	GHashTable *queue_by_name; /* first queue of each name */
-	GHashTable *
-		queues_by_host; /* lower-case host: GPtrArray of struct jtb_queue */
+	GHashTable
+		*queues_by_host; /* lower case: GPtrArray of struct jtb_queue */
 	GHashTable *pool_by_name; /* first pool of each name */
 	GBytes *document; /* text of the configuration as submitted */
 };
@@ -225,8 +225,7 @@
 	int64_t failed_ms; /* time at which that count last changed */
 	bool suspect; /* leader's: logged as failing every job */
 	bool barred; /* leader's: has no ticket for the step being placed */
-	uint64_t
-		trial_for; /* leader's: seq + 1 of the job retried in isolation */
+	uint64_t trial_for; /* leader's: seq + 1 of the job retried alone */
 	int64_t trial_ms; /* last time it was reserved for that retry */
 	bool trial_begun; /* whether a task of that job was started on it */
 	uint64_t kept_for; /* leader's: seq + 1 of the job it is reserved for */
--- a/src/jtb_snap.c
+++ b/src/jtb_snap.c
@@ -61,7 +61,7 @@
 	jtb_clear(t);
 	ok = jtb_unpack_table(t, &in);
 	pk_in_done(&in);
-	/* the hash table has no order, and listing the newest first needs one */
+	/* a hash table has no order, and listing the newest first needs one */
 	g_ptr_array_sort(t->live, jtb_compare_seq);
 	return ok;
 }
--- a/tests/prop/job_prop.cc
+++ b/tests/prop/job_prop.cc
@@ -17,13 +17,16 @@
 const int POOLS = 2;
 const int TEAMS = 3;
 
-/* Over the whole range in every case; by itself inRange begins with the least. */
+/*
+ * Returns a number of the whole range, from included and to excluded, in every
+ * case; inRange alone starts with the smallest numbers.
+ */
 int roll(int from, int to)
 {
 	return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(from, to));
 }
 
-/* A task on a worker, which does each (job, attempt) once. */
+/* An attempt of a job on a worker, which executes each (job, attempt) once. */
 struct Task {
 	int64_t ends;
 	bool running;
@@ -33,16 +36,17 @@
 
 typedef std::pair<uint64_t, uint32_t> Key;
 
-/* A worker keeps to its lease by its own clock, which may be behind. */
+/* A worker, which checks its lease by its own clock. */
 struct Worker {
-	bool cut = false;
-	bool bad = false; /* fails everything */
+	bool cut = false; /* partitioned */
+	bool bad = false; /* fails every job */
 	int64_t lease = 0;
-	int64_t behind = 0;
+	int64_t behind = 0; /* how far its clock is behind, ms */
 	std::map<Key, Task> tasks;
 };
 
-struct Rig {
+/* Fixture: a job table, its workers and what was reported so far. */
+struct Fixture {
 	struct jobs *j;
 	struct job_out out;
 	int64_t now = 0;
@@ -52,7 +56,7 @@
 	std::set<uint64_t> badJobs;
 	uint64_t nextId = 1;
 
-	Rig()
+	Fixture()
 	{
 		struct job_config c = {};
 		struct job_size capacity = {8000, 8000, 0};
@@ -74,15 +78,16 @@
 			workers[w].behind = roll(0, MARGIN_MS);
 			job_set_worker(j, w, w % POOLS, &capacity, &out);
 		}
-		renew();
+		renewLeases();
 	}
-	~Rig()
+	~Fixture()
 	{
 		jobs_free(j);
 		job_out_done(&out);
 	}
 
-	void renew()
+	/* Renews the leases of all workers that are not partitioned. */
+	void renewLeases()
 	{
 		for (int w = 0; w < (int)workers.size(); w++) {
 			if (workers[w].cut)
@@ -111,8 +116,8 @@
 			accepted[s.id] = s;
 	}
 
-	/* A non-idempotent job never runs on two workers at a time. */
-	void runsOnce(uint64_t id) const
+	/* Asserts that a non-idempotent job runs on one worker at most. */
+	void assertRunsOnce(uint64_t id) const
 	{
 		int running = 0;
 
@@ -124,7 +129,8 @@
 			RC_ASSERT(running <= 1);
 	}
 
-	void act(const struct job_act &a)
+	/* Executes an order on its worker. */
+	void execute(const struct job_act &a)
 	{
 		Worker &w = workers[a.worker];
 		Key key(a.job, a.attempt);
@@ -136,7 +142,7 @@
 			RC_ASSERT(!told.count(a.job));
 			w.tasks[key] = {now + roll(1, 20) * STEP_MS, true,
 					false, JOB_COMPLETE};
-			runsOnce(a.job);
+			assertRunsOnce(a.job);
 		} else if (a.kind == JOB_ACT_START && !at->second.running) {
 			at->second.reported = false;
 		} else if (a.kind == JOB_ACT_STOP && at == w.tasks.end()) {
@@ -149,11 +155,12 @@
 		}
 	}
 
+	/* Executes all orders; asserts that outcomes are unique. */
 	void deliver()
 	{
 		for (GArray *acts : {out.urgent, out.acts})
 			for (guint i = 0; i < acts->len; i++)
-				act(g_array_index(acts, struct job_act, i));
+				execute(g_array_index(acts, struct job_act, i));
 		for (guint i = 0; i < out.told->len; i++) {
 			struct job_told &t =
 				g_array_index(out.told, struct job_told, i);
@@ -164,15 +171,16 @@
 		job_out_clear(&out);
 	}
 
-	/* Tasks end by themselves, by a stop, or with the lease. */
-	void work()
+	/* Ends attempts that are done, stopped or without a lease. */
+	void endAttempts()
 	{
 		for (int w = 0; w < (int)workers.size(); w++)
 			for (auto &t : workers[w].tasks)
-				workOn(workers[w], t.first, t.second);
+				endAttempt(workers[w], t.first, t.second);
 	}
 
-	void workOn(Worker &w, const Key &key, Task &t)
+	/* Ends an attempt if it is due, and reports its end. */
+	void endAttempt(Worker &w, const Key &key, Task &t)
 	{
 		if (t.running && now - w.behind > w.lease) {
 			t.running = false;
@@ -192,13 +200,14 @@
 	void step()
 	{
 		now += STEP_MS;
-		renew();
-		work();
+		renewLeases();
+		endAttempts();
 		job_step(j, now, 20, &out);
 		deliver();
 	}
 
-	void worldActs()
+	/* Makes one random submission, command, fault or restart. */
+	void randomEvent()
 	{
 		int w = roll(0, (int)workers.size());
 		uint64_t id = (uint64_t)roll(1, (int)nextId + 1);
@@ -248,7 +257,7 @@
 		job_resend(j, &out);
 	}
 
-	/* The table comes back from its bytes and decides as before. */
+	/* Replaces the table by one restored from its serialized form. */
 	void restart()
 	{
 		struct pk_out a;
@@ -275,24 +284,24 @@
 int main()
 {
 	bool ok = rc::check("every accepted job has one outcome", [] {
-		Rig r;
+		Fixture f;
 		int open = 0;
 
 		for (int t = roll(5, 120); t > 0; t--) {
-			r.worldActs();
-			r.step();
+			f.randomEvent();
+			f.step();
 		}
-		r.badJobs.clear();
-		for (int w = 0; w < (int)r.workers.size(); w++) {
-			r.workers[w].bad = false;
-			r.heal(w);
-			job_drain(r.j, w, false);
-			job_trust(r.j, w);
+		f.badJobs.clear();
+		for (int w = 0; w < (int)f.workers.size(); w++) {
+			f.workers[w].bad = false;
+			f.heal(w);
+			job_drain(f.j, w, false);
+			job_trust(f.j, w);
 		}
 		for (int t = 0; t < 3000; t++)
-			r.step();
-		for (auto &a : r.accepted)
-			open += r.told.count(a.first) == 0;
+			f.step();
+		for (auto &a : f.accepted)
+			open += f.told.count(a.first) == 0;
 		RC_ASSERT(open == 0);
 	});
 	return ok ? 0 : 1;
--- a/tests/unit/jtb_test.c
+++ b/tests/unit/jtb_test.c
@@ -465,8 +465,8 @@
 }
 
 /*
- * Guards against callers being told that their job was never accepted: the
- * leader's wall clock jumped ahead, and a job that had just ended was forgotten.
+ * Guards against answers that a job was never accepted: the leader's wall clock
+ * jumped ahead, and a job that had just ended was forgotten.
  */
 static void job_is_kept_across_a_jump_of_the_wall_clock(void **state)
 {
@@ -675,7 +675,7 @@
 	assert_int_equal(jtb_job(t, "a")->n_runs, 2);
 }
 
-/* Guards against a replica with part of the table: its snapshot is truncated. */
+/* Guards against a replica with part of the table: a truncated snapshot. */
 static void truncated_snapshot_is_refused(void **state)
 {
 	struct jtb *t = *state;
--- a/tests/unit/replay.h
+++ b/tests/unit/replay.h
@@ -9,14 +9,15 @@
 #include "trc.h"
 
 /*
- * Replays a trace through the same decisions that the daemon runs: fleet,
- * plans, a wave and jobs, with small fakes for the platform and the workers.
- * The test looks at the stated outcomes, the bench at the measures.
+ * Replays a trace through the modules that the daemon uses: fleet, planner, a
+ * maintenance wave and jobs, with fakes for the platform and the workers. The
+ * test checks the expectations of the trace, the bench prints the measures.
  */
 
 #define REPLAY_TICK_MS 1000
 #define REPLAY_LEASE_MS 10000
 
+/* An attempt of a job that runs on a worker. */
 struct replay_job {
 	uint64_t id;
 	uint32_t attempt;
@@ -27,32 +28,33 @@
 
 struct replay {
 	struct pln_config config;
-	bool eager; /* baseline: moves on every imbalance */
+	bool eager; /* baseline: returns surplus VMs at once */
 	struct flt *f;
 	struct wav *w;
 	struct fake *p;
 	struct wav_out wave_out;
-	int64_t wave_ms; /* from start to end */
+	int64_t wave_ms; /* wave duration; minus its start while it runs */
 	struct jobs *j;
 	struct job_out job_out;
 	int workers;
 	bool bad_worker[64];
-	bool cut_worker[64];
+	bool cut_worker[64]; /* partitioned */
 	GArray *running; /* struct replay_job */
-	GHashTable *seconds; /* id to seconds + 1 */
-	GHashTable *submitted; /* id to ms */
+	GHashTable *seconds; /* job id to run time in seconds + 1 */
+	GHashTable *submitted; /* job id to time of submission, ms + 1 */
 	int64_t slowest_urgent_ms;
-	int told;
+	int told; /* outcomes of jobs */
 	int64_t now;
 	int moves;
-	int bound;
+	int bound; /* lower bound of the moves */
 	int below; /* pool-ticks below the floor */
-	int buffer; /* largest, VMs */
-	int fixed; /* the same by a fixed buffer for each pool */
+	int buffer; /* maximum buffer, VMs */
+	int fixed; /* the same with a fixed buffer for each pool */
 	int wanted;
-	char *failed; /* expectation that was not met; NULL: none */
+	char *failed; /* first expectation that was not met; NULL: none */
 };
 
+/* Runs one line of a trace; words[0] is the verb. */
 typedef void (*replay_fn)(struct replay *r, char **words);
 
 static inline int replay_pool(struct replay *r, const char *name)
@@ -80,8 +82,8 @@
 	flt_pool(r->f, replay_pool(r, w[1]))->budget.wanted = atoi(w[2]);
 }
 
-/* Surplus goes back at once: one of the baselines. */
-static inline int replay_give_back(struct replay *r)
+/* Returns surplus VMs of all pools at once, as a baseline. */
+static inline int replay_return_surplus(struct replay *r)
 {
 	int moves = 0;
 	int v;
@@ -99,27 +101,28 @@
 }
 
 /*
- * Fewest VMs that must join a pool now: what it lacks, without those that a
- * wave will bring back, and none for a cut while the floor holds.
+ * Returns the minimum of VMs that must join a pool now: those it lacks, without
+ * those that return from a maintenance wave. During a network partition only
+ * VMs that are missing for the floor count.
  */
 static inline int replay_lacking(const struct replay *r, int pool)
 {
 	const struct flt_pool *p = flt_pool(r->f, pool);
 	int margin = flt_margin(p);
-	int coming = 0;
+	int returning = 0;
 	int i;
 
 	for (i = 0; i < (int)r->f->zones->len; i++)
 		if (g_array_index(r->f->zones, struct flt_zone, i).cut)
 			return MAX(0, flt_floor(p) - p->serving);
 	for (i = 0; i < (int)r->f->vms->len; i++)
-		coming += flt_vm(r->f, i)->pool == pool &&
-			  flt_vm(r->f, i)->wave != FLT_NO_WAVE &&
-			  flt_vm(r->f, i)->state != FLT_UP &&
-			  flt_vm(r->f, i)->state != FLT_DOWN;
+		returning += flt_vm(r->f, i)->pool == pool &&
+			     flt_vm(r->f, i)->wave != FLT_NO_WAVE &&
+			     flt_vm(r->f, i)->state != FLT_UP &&
+			     flt_vm(r->f, i)->state != FLT_DOWN;
 	return MAX(MAX(0, -margin), MAX(p->budget.wanted - p->serving,
 					r->config.slack - margin) -
-					    coming);
+					    returning);
 }
 
 static inline void replay_plan(struct replay *r, char **w)
@@ -132,8 +135,8 @@
 		r->bound += replay_lacking(r, i);
 	r->moves += fleet_replan(r->f, &r->config);
 	if (r->eager)
-		r->moves += replay_give_back(r);
-	/* The buffer is what an intact fleet sets aside. */
+		r->moves += replay_return_surplus(r);
+	/* The buffer is measured only while no VM is down or partitioned. */
 	for (i = 0; i < (int)r->f->vms->len; i++)
 		if (flt_vm(r->f, i)->state != FLT_UP ||
 		    flt_zone_of(r->f, i)->cut)
@@ -163,7 +166,7 @@
 	}
 }
 
-/* The VM of a pool that joined last fails. */
+/* Fails the VM that joined a pool last. */
 static inline void replay_vm_lost(struct replay *r, char **w)
 {
 	int pool = replay_pool(r, w[1]);
@@ -179,12 +182,12 @@
 	flt_vm_event(r->f, best, FLT_FAIL);
 }
 
-static inline void replay_cut(struct replay *r, char **w)
+static inline void replay_zone_cut(struct replay *r, char **w)
 {
 	flt_cut(r->f, atoi(w[1]), true);
 }
 
-static inline void replay_heal(struct replay *r, char **w)
+static inline void replay_zone_back(struct replay *r, char **w)
 {
 	flt_cut(r->f, atoi(w[1]), false);
 }
@@ -246,7 +249,10 @@
 					      : JOB_NORMAL;
 }
 
-/* submit FROM TO CLASS TEAM CPUS SECONDS [once] */
+/*
+ * submit FROM TO CLASS TEAM CPUS SECONDS [once]: submits a job for each id of
+ * the range; "once" makes them non-idempotent.
+ */
 static inline void replay_submit(struct replay *r, char **w)
 {
 	struct job_spec s = {};
@@ -290,13 +296,14 @@
 		job_resend(r->j, &r->job_out);
 }
 
-static inline bool replay_is(const char *op, double a, double b)
+static inline bool replay_compare(const char *op, double a, double b)
 {
 	return strcmp(op, "=") == 0    ? a == b
 	       : strcmp(op, "<=") == 0 ? a <= b
 				       : a >= b;
 }
 
+/* Returns the value that an expectation names; -1 if it is unknown. */
 static inline double replay_value(struct replay *r, char **w)
 {
 	struct job_status s;
@@ -335,7 +342,7 @@
 	return -1;
 }
 
-/* expect WHAT OP NUMBER, or the name of a state of a wave or job. */
+/* expect WHAT OP VALUE: a number, or the name of a state of a wave or job. */
 static inline void replay_expect(struct replay *r, char **w)
 {
 	double value = replay_value(r, w);
@@ -348,12 +355,12 @@
 	for (i = 0; strncmp(w[1], "job:", 4) == 0 && i < JOB_STATES; i++)
 		if (strcmp(w[3], job_state_name((enum job_state)i)) == 0)
 			want = i;
-	if (!replay_is(w[2], value, want) && !r->failed)
+	if (!replay_compare(w[2], value, want) && !r->failed)
 		r->failed = g_strdup_printf("%s %s %s, but it is %g", w[1],
 					    w[2], w[3], value);
 }
 
-static inline void replay_nothing(struct replay *r, char **w)
+static inline void replay_end(struct replay *r, char **w)
 {
 }
 
@@ -365,15 +372,16 @@
 	{"fleet", 4, replay_fleet},	    {"pool", 5, replay_pool_add},
 	{"wanted", 3, replay_wanted},	    {"plan", 1, replay_plan},
 	{"rack-lost", 2, replay_rack_lost}, {"repair", 1, replay_repair},
-	{"vm-lost", 2, replay_vm_lost},	    {"zone-cut", 2, replay_cut},
-	{"zone-back", 2, replay_heal},	    {"image", 2, replay_image},
+	{"vm-lost", 2, replay_vm_lost},	    {"zone-cut", 2, replay_zone_cut},
+	{"zone-back", 2, replay_zone_back}, {"image", 2, replay_image},
 	{"wave", 2, replay_wave},	    {"workers", 2, replay_workers},
 	{"submit", 7, replay_submit},	    {"cancel", 3, replay_cancel},
 	{"rank", 4, replay_rank},	    {"worker", 3, replay_worker},
-	{"expect", 4, replay_expect},	    {"end", 1, replay_nothing},
+	{"expect", 4, replay_expect},	    {"end", 1, replay_end},
 };
 
-static inline void replay_act(struct replay *r, const struct job_act *a)
+/* Executes an order on its worker. */
+static inline void replay_order(struct replay *r, const struct job_act *a)
 {
 	struct replay_job job = {};
 	struct replay_job *at;
@@ -406,7 +414,10 @@
 	g_array_append_val(r->running, job);
 }
 
-/* Workers report what ended; urgent jobs have ids from 100000 on. */
+/*
+ * Renews leases, reports ended attempts, places jobs and executes the orders.
+ * Urgent jobs have ids from 100000 on.
+ */
 static inline void replay_jobs(struct replay *r)
 {
 	GArray *lists[2] = {r->job_out.urgent, r->job_out.acts};
@@ -434,12 +445,13 @@
 		;
 	for (w = 0; w < 2; w++)
 		for (i = 0; i < lists[w]->len; i++)
-			replay_act(r,
-				   &g_array_index(lists[w], struct job_act, i));
+			replay_order(r, &g_array_index(lists[w], struct job_act,
+						       i));
 	r->told += (int)r->job_out.told->len;
 	job_out_clear(&r->job_out);
 }
 
+/* Advances the clock and all modules by REPLAY_TICK_MS. */
 static inline void replay_tick(struct replay *r)
 {
 	int i;
@@ -461,6 +473,7 @@
 			    flt_pool(r->f, i)->size > 0;
 }
 
+/* Runs one line of a trace; sets r->failed if the line is malformed. */
 static inline void replay_line(struct replay *r, const struct trc_line *l)
 {
 	size_t i;
@@ -477,7 +490,10 @@
 		r->failed = g_strdup_printf("line %d: not understood", l->line);
 }
 
-/* The whole trace; r->failed says which stated outcome was not met. */
+/*
+ * Replays a whole trace, up to the first expectation that is not met, which is
+ * then described in r->failed.
+ */
 static inline struct replay *
 replay_trace(const char *path, const struct pln_config *config, bool eager)
 {
--- a/tests/unit/trace_test.c
+++ b/tests/unit/trace_test.c
@@ -6,8 +6,8 @@
 
 #include "replay.h"
 
-/* Both users' weights; the stated outcomes hold for each. */
-static void replays(const char *name)
+/* Replays a trace with each user's weights; its expectations hold for both. */
+static void replay_with_all_weights(const char *name)
 {
 	struct pln_config users[] = {fleet_harrowgate(), fleet_jadranski()};
 	char *path = g_strdup_printf("tests/traces/%s.trace", name);
@@ -24,37 +24,37 @@
 	g_free(path);
 }
 
-static void housing_rush_with_a_rack_lost(void **state)
+static void housing_rush_with_a_lost_rack(void **state)
 {
-	replays("rush");
+	replay_with_all_weights("rush");
 }
 
-static void flare_with_a_zone_cut_off(void **state)
+static void flare_with_a_partitioned_zone(void **state)
 {
-	replays("flare");
+	replay_with_all_weights("flare");
 }
 
-static void wave_that_meets_a_bad_image(void **state)
+static void wave_with_a_bad_image(void **state)
 {
-	replays("badimage");
+	replay_with_all_weights("badimage");
 }
 
 static void black_hole_worker(void **state)
 {
-	replays("blackhole");
+	replay_with_all_weights("blackhole");
 }
 
 static void cancellation_flood(void **state)
 {
-	replays("cancelflood");
+	replay_with_all_weights("cancelflood");
 }
 
 static void second_vm_lost_right_after_repair(void **state)
 {
-	replays("secondloss");
+	replay_with_all_weights("secondloss");
 }
 
-static void faults_of_a_trace_are_named(void **state)
+static void malformed_trace_is_refused_with_its_line(void **state)
 {
 	const char *const bad[] = {"verb\n", "00:00 verb\n", "00:60:00 verb\n",
 				   "00:00:05 a\n00:00:04 b\n"};
@@ -80,13 +80,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(housing_rush_with_a_rack_lost),
-		cmocka_unit_test(flare_with_a_zone_cut_off),
-		cmocka_unit_test(wave_that_meets_a_bad_image),
+		cmocka_unit_test(housing_rush_with_a_lost_rack),
+		cmocka_unit_test(flare_with_a_partitioned_zone),
+		cmocka_unit_test(wave_with_a_bad_image),
 		cmocka_unit_test(black_hole_worker),
 		cmocka_unit_test(cancellation_flood),
 		cmocka_unit_test(second_vm_lost_right_after_repair),
-		cmocka_unit_test(faults_of_a_trace_are_named),
+		cmocka_unit_test(malformed_trace_is_refused_with_its_line),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
