--- a/src/job_int.h
+++ b/src/job_int.h
@@ -37,7 +37,7 @@
 	int stops;
 	int failures;
 	struct job_size used; /* charged: the larger of declared and actual */
-	int64_t lost_until_ms; /* lost: has stopped after this time */
+	int64_t lost_until_ms; /* 0; lost: no longer runs after this */
 	struct job_failures failed_on; /* workers */
 	GList *link; /* in its queue, its worker's jobs or the lost jobs */
 };
