--- a/src/adm.c
+++ b/src/adm.c
@@ -3,14 +3,14 @@
 #include <string.h>
 
 /* Requests held in all queues where the settings give no number. */
-#define ADM_QUEUE_MAX 20000
+#define ADM_QUEUE_MAX_DEFAULT 20000
 
 /* Targets compared for a placement where the settings give no number. */
-#define ADM_CHOICES 2
+#define ADM_CHOICES_DEFAULT 2
 
 /* A refusal asks to come back after that at least and at most. */
-#define ADM_AFTER_MIN_MS 50
-#define ADM_AFTER_MAX_MS 30000
+#define ADM_RETRY_AFTER_MIN_MS 50
+#define ADM_RETRY_AFTER_MAX_MS 30000
 
 static const char *const adm_reason_names[ADM_REASONS] = {
 	[ADM_OK] = "ok",
@@ -31,13 +31,14 @@
 static struct adm_pool *adm_pool_new(void);
 static struct adm_target *adm_target_new(struct adm_pool *p, uint64_t handle,
 					 uint32_t pool);
-static void adm_target_forget(struct adm *a, struct adm_target *t);
-static void adm_target_end(struct adm_pool *p, struct adm_target *t);
+static void adm_target_remove(struct adm *a, struct adm_target *t);
+static void adm_target_free(struct adm_pool *p, struct adm_target *t);
 static uint64_t adm_hash(struct lstr s);
-static void adm_free_slot(struct adm *a, struct adm_pool *p, struct adm_req *r,
-			  const struct adm_result *res, int64_t now);
-static uint32_t adm_after_ms(struct adm *a, enum adm_reason reason,
-			     int64_t wait_us);
+static void adm_release_slot(struct adm *a, struct adm_pool *p,
+			     struct adm_req *r, const struct adm_result *res,
+			     int64_t now);
+static uint32_t adm_retry_after_ms(struct adm *a, enum adm_reason reason,
+				   int64_t wait_us);
 
 /* An instance without pools and targets. */
 struct adm *adm_new(const struct adm_config *config)
@@ -46,15 +47,15 @@
 
 	a->conf = *config;
 	if (!a->conf.queue_max)
-		a->conf.queue_max = ADM_QUEUE_MAX;
+		a->conf.queue_max = ADM_QUEUE_MAX_DEFAULT;
 	if (!a->conf.choices)
-		a->conf.choices = ADM_CHOICES;
+		a->conf.choices = ADM_CHOICES_DEFAULT;
 	a->rng = config->seed * 2 + 1;
 	a->pools = g_ptr_array_new_with_free_func(adm_pool_free);
 	a->targets = g_hash_table_new(g_int64_hash, g_int64_equal);
 	a->reqs = g_ptr_array_new_with_free_func(adm_req_destroy);
 	a->free_reqs = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	a->waiting = g_ptr_array_new();
+	a->pools_waiting = g_ptr_array_new();
 	return a;
 }
 
@@ -67,7 +68,7 @@
 	g_hash_table_destroy(a->targets);
 	g_ptr_array_free(a->reqs, TRUE);
 	g_array_free(a->free_reqs, TRUE);
-	g_ptr_array_free(a->waiting, TRUE);
+	g_ptr_array_free(a->pools_waiting, TRUE);
 	g_free(a);
 }
 
@@ -103,9 +104,9 @@
 	for (i = 0; i < ADM_LISTS; i++)
 		g_ptr_array_free(p->lists[i], TRUE);
 	for (i = 0; i < ADM_CLASSES; i++)
-		adm_heap_done(&p->ready[i]);
-	adm_heap_done(&p->wake);
-	adm_heap_done(&p->expiry);
+		adm_heap_clear(&p->ready[i]);
+	adm_heap_clear(&p->recheck);
+	adm_heap_clear(&p->expiry);
 	g_hash_table_destroy(p->flows);
 	g_free(p);
 }
@@ -126,15 +127,15 @@
 		p = adm_pool_new();
 		p->tokens = ADM_BUDGET_MAX;
 		a->pools->pdata[pool] = p;
-		a->top_priority = MAX(a->top_priority, spec->priority);
+		a->highest_priority = MAX(a->highest_priority, spec->priority);
 	}
 	p->spec = *spec;
-	a->top_priority = MAX(a->top_priority, spec->priority);
+	a->highest_priority = MAX(a->highest_priority, spec->priority);
 	return true;
 }
 
 /* The pool of a number, or NULL. */
-struct adm_pool *adm_pool_of(const struct adm *a, uint32_t pool)
+struct adm_pool *adm_pool_find(const struct adm *a, uint32_t pool)
 {
 	return pool < a->pools->len ? a->pools->pdata[pool] : NULL;
 }
@@ -146,35 +147,35 @@
 
 	t->handle = handle;
 	t->pool = pool;
-	t->speed = 1;
-	t->counted = -1;
-	t->list = ADM_SHUT;
-	t->wake.at = -1;
-	t->at_all = (int)p->targets->len;
+	t->latency_ratio = 1;
+	t->counted_as = -1;
+	t->list = ADM_LIST_NONE;
+	t->recheck.pos = -1;
+	t->pool_index = (int)p->targets->len;
 	g_ptr_array_add(p->targets, t);
 	return t;
 }
 
-static void adm_target_end(struct adm_pool *p, struct adm_target *t)
+static void adm_target_free(struct adm_pool *p, struct adm_target *t)
 {
-	adm_unfile(p, t);
-	g_ptr_array_remove_index_fast(p->targets, (guint)t->at_all);
-	if (t->at_all < (int)p->targets->len)
-		((struct adm_target *)p->targets->pdata[t->at_all])->at_all =
-			t->at_all;
+	adm_target_unlist(p, t);
+	g_ptr_array_remove_index_fast(p->targets, (guint)t->pool_index);
+	if (t->pool_index < (int)p->targets->len)
+		((struct adm_target *)p->targets->pdata[t->pool_index])
+			->pool_index = t->pool_index;
 	g_free(t);
 }
 
 /* Takes a target off its handle; its record stays while work runs there. */
-static void adm_target_forget(struct adm *a, struct adm_target *t)
+static void adm_target_remove(struct adm *a, struct adm_target *t)
 {
-	struct adm_pool *p = adm_pool_of(a, t->pool);
+	struct adm_pool *p = adm_pool_find(a, t->pool);
 
 	t->state = ADM_GONE;
 	g_hash_table_remove(a->targets, &t->handle);
-	adm_unfile(p, t);
-	if (!t->mine)
-		adm_target_end(p, t);
+	adm_target_unlist(p, t);
+	if (!t->in_flight)
+		adm_target_free(p, t);
 }
 
 /*
@@ -185,13 +186,13 @@
 bool adm_target_set(struct adm *a, int64_t now, uint64_t handle,
 		    const struct adm_target_spec *spec)
 {
-	struct adm_pool *p = adm_pool_of(a, spec->pool);
+	struct adm_pool *p = adm_pool_find(a, spec->pool);
 	struct adm_target *t = g_hash_table_lookup(a->targets, &handle);
 
 	if (!p)
 		return false;
 	if (t && (spec->state == ADM_GONE || t->pool != spec->pool)) {
-		adm_target_forget(a, t);
+		adm_target_remove(a, t);
 		t = NULL;
 	}
 	if (spec->state == ADM_GONE)
@@ -202,7 +203,7 @@
 	}
 	t->state = spec->state;
 	t->lease_until = spec->lease_until_us;
-	adm_file(p, t, now);
+	adm_target_classify(p, t, now);
 	return true;
 }
 
@@ -214,9 +215,9 @@
 
 	if (!t || busy < 0)
 		return;
-	p = adm_pool_of(a, t->pool);
-	adm_share_heard(p, t, now, busy);
-	adm_file(p, t, now);
+	p = adm_pool_find(a, t->pool);
+	adm_share_reported(p, t, now, busy);
+	adm_target_classify(p, t, now);
 }
 
 /* An even draw from 0 to below - 1, by xorshift of the given seed. */
@@ -258,7 +259,7 @@
 		g_ptr_array_add(a->reqs, r);
 	}
 	r->index = index;
-	r->expiry.at = -1;
+	r->expiry.pos = -1;
 	return r;
 }
 
@@ -276,13 +277,13 @@
 	g_free(req);
 }
 
-adm_ticket adm_ticket_of(const struct adm_req *r)
+adm_ticket adm_req_ticket(const struct adm_req *r)
 {
 	return (uint64_t)r->gen << 32 | (r->index + 1);
 }
 
 /* The request a ticket names, or NULL once it is over. */
-struct adm_req *adm_req_of(const struct adm *a, adm_ticket ticket)
+struct adm_req *adm_req_find(const struct adm *a, adm_ticket ticket)
 {
 	uint32_t index = (uint32_t)ticket - 1;
 	struct adm_req *r;
@@ -302,7 +303,7 @@
 struct adm_verdict adm_offer(struct adm *a, int64_t now,
 			     const struct adm_request *request, void *user)
 {
-	struct adm_pool *p = adm_pool_of(a, request->pool);
+	struct adm_pool *p = adm_pool_find(a, request->pool);
 	struct adm_req *r = adm_req_new(a);
 	struct adm_verdict v;
 
@@ -310,41 +311,41 @@
 	r->pool = request->pool;
 	r->user = user;
 	if (!p)
-		return adm_give_up(a, p, r, ADM_NO_POOL, 0);
+		return adm_refuse(a, p, r, ADM_NO_POOL, 0);
 	r->caller = adm_hash(request->caller);
 	r->class = request->class;
-	r->since = now;
+	r->offered_at = now;
 	r->deadline = request->deadline_us ? request->deadline_us
 					   : now + p->spec.deadline_us;
 	r->repeatable = request->repeatable;
-	r->shifted = request->shifted;
-	r->from_away = request->shifted;
-	r->size = adm_size_group(request->size_hint);
-	adm_demand_note(p, now);
+	r->no_shift = request->shifted;
+	r->from_other_zone = request->shifted;
+	r->size_group = adm_size_group(request->size_hint);
+	adm_demand_record(p, now);
 	v = adm_admit(a, p, r, now, false);
 	if (v.kind != ADM_REFUSE)
-		adm_budget_earn(p);
+		adm_budget_credit(p);
 	return v;
 }
 
 /* Starts a request on a target; it holds a slot until adm_done. */
-struct adm_verdict adm_run(struct adm *a, int64_t now, struct adm_req *r,
-			   struct adm_target *t)
+struct adm_verdict adm_start(struct adm *a, int64_t now, struct adm_req *r,
+			     struct adm_target *t)
 {
-	struct adm_pool *p = adm_pool_of(a, r->pool);
+	struct adm_pool *p = adm_pool_find(a, r->pool);
 
 	r->state = ADM_REQ_RUNNING;
 	r->target = t;
-	t->mine++;
+	t->in_flight++;
 	p->in_flight++;
-	p->starts_since++;
+	p->starts_since_slow_probe++;
 	a->stats.in_flight++;
 	a->stats.run++;
 	a->stats.probes += r->probe;
 	adm_flow_charge(p, r);
-	adm_file(p, t, now);
+	adm_target_classify(p, t, now);
 	return (struct adm_verdict){.kind = ADM_RUN,
-				    .ticket = adm_ticket_of(r),
+				    .ticket = adm_req_ticket(r),
 				    .target = t->handle,
 				    .user = r->user};
 }
@@ -354,75 +355,76 @@
  * and up to half as long again by lot, so that those refused together don't
  * come together.
  */
-static uint32_t adm_after_ms(struct adm *a, enum adm_reason reason,
-			     int64_t wait_us)
+static uint32_t adm_retry_after_ms(struct adm *a, enum adm_reason reason,
+				   int64_t wait_us)
 {
 	int64_t ms = wait_us / ADM_MS;
 
 	if (reason == ADM_DEADLINE_SHORT || reason == ADM_MAY_HAVE_RUN ||
 	    reason == ADM_NO_POOL)
 		return 0;
-	ms = CLAMP(ms, ADM_AFTER_MIN_MS, ADM_AFTER_MAX_MS);
+	ms = CLAMP(ms, ADM_RETRY_AFTER_MIN_MS, ADM_RETRY_AFTER_MAX_MS);
 	return (uint32_t)ms + adm_random(a, (uint32_t)ms / 2);
 }
 
 /* Refuses a request for good, and ends it. */
-struct adm_verdict adm_give_up(struct adm *a, struct adm_pool *p,
-			       struct adm_req *r, enum adm_reason reason,
-			       int64_t wait_us)
+struct adm_verdict adm_refuse(struct adm *a, struct adm_pool *p,
+			      struct adm_req *r, enum adm_reason reason,
+			      int64_t wait_us)
 {
 	struct adm_verdict v = {.kind = ADM_REFUSE,
 				.reason = reason,
-				.ticket = adm_ticket_of(r),
+				.ticket = adm_req_ticket(r),
 				.user = r->user};
 
-	v.retry_after_ms = adm_after_ms(a, reason, wait_us);
+	v.retry_after_ms = adm_retry_after_ms(a, reason, wait_us);
 	a->stats.refused[reason]++;
 	if (p)
-		adm_leave_flow(p, r);
+		adm_detach_flow(p, r);
 	adm_req_free(a, r);
 	return v;
 }
 
-static void adm_free_slot(struct adm *a, struct adm_pool *p, struct adm_req *r,
-			  const struct adm_result *res, int64_t now)
+static void adm_release_slot(struct adm *a, struct adm_pool *p,
+			     struct adm_req *r, const struct adm_result *res,
+			     int64_t now)
 {
 	struct adm_target *t = r->target;
 	bool ok = res->outcome == ADM_DONE_OK;
 
-	t->mine--;
+	t->in_flight--;
 	p->in_flight--;
 	a->stats.in_flight--;
-	adm_health_note(a, p, t, r, res, now);
+	adm_health_record(a, p, t, r, res, now);
 	if (ok)
-		adm_est_add(p, r->size, res->service_us, now);
+		adm_est_record(p, r->size_group, res->service_us, now);
 	if (res->outcome == ADM_DONE_BUSY)
 		adm_share_refused(p, t, now);
 	else if (res->outcome == ADM_DONE_LEFT ||
 		 res->outcome == ADM_DONE_TIMEOUT)
-		adm_share_left(p, t, now);
+		adm_share_abandoned(p, t, now);
 	else if (res->busy >= 0)
-		adm_share_heard(p, t, now, res->busy);
+		adm_share_reported(p, t, now, res->busy);
 	adm_flow_settle(p, r, MAX(res->service_us, 0));
 	if (t->state != ADM_GONE)
-		adm_file(p, t, now);
-	else if (!t->mine)
-		adm_target_end(p, t);
+		adm_target_classify(p, t, now);
+	else if (!t->in_flight)
+		adm_target_free(p, t);
 	r->target = NULL;
 	r->probe = false;
 }
 
 /* Ends an attempt: gives its slot back and learns from how it ended. */
-void adm_finish(struct adm *a, int64_t now, struct adm_req *r,
-		const struct adm_result *res)
+void adm_end_attempt(struct adm *a, int64_t now, struct adm_req *r,
+		     const struct adm_result *res)
 {
-	struct adm_pool *p = adm_pool_of(a, r->pool);
+	struct adm_pool *p = adm_pool_find(a, r->pool);
 
 	if (r->state == ADM_REQ_SHIFTED)
 		adm_shift_done(a, p, r, res->outcome, now);
 	else
-		adm_free_slot(a, p, r, res, now);
-	adm_leave_flow(p, r);
+		adm_release_slot(a, p, r, res, now);
+	adm_detach_flow(p, r);
 	switch (res->outcome) {
 	case ADM_DONE_OK:
 		a->stats.done_ok++;
@@ -445,11 +447,11 @@
 bool adm_done(struct adm *a, int64_t now, adm_ticket ticket,
 	      const struct adm_result *result)
 {
-	struct adm_req *r = adm_req_of(a, ticket);
+	struct adm_req *r = adm_req_find(a, ticket);
 
 	if (!r || r->state == ADM_REQ_QUEUED)
 		return false;
-	adm_finish(a, now, r, result);
+	adm_end_attempt(a, now, r, result);
 	adm_req_free(a, r);
 	return true;
 }
@@ -462,16 +464,16 @@
 bool adm_cancel(struct adm *a, int64_t now, adm_ticket ticket)
 {
 	const struct adm_result left = {.outcome = ADM_DONE_LEFT, .busy = -1};
-	struct adm_req *r = adm_req_of(a, ticket);
+	struct adm_req *r = adm_req_find(a, ticket);
 	struct adm_pool *p;
 
 	if (!r)
 		return false;
 	if (r->state != ADM_REQ_QUEUED)
 		return adm_done(a, now, ticket, &left);
-	p = adm_pool_of(a, r->pool);
-	adm_queue_drop(a, p, r);
-	adm_leave_flow(p, r);
+	p = adm_pool_find(a, r->pool);
+	adm_queue_remove(a, p, r);
+	adm_detach_flow(p, r);
 	adm_req_free(a, r);
 	a->stats.left++;
 	return true;
--- a/src/adm_health.c
+++ b/src/adm_health.c
@@ -14,22 +14,22 @@
  * Five failures in a row: with one request in ten failing for reasons of its
  * own that happens once in 100,000, a dead target shows it within its slots.
  */
-#define ADM_EJECT_ROW 5
+#define ADM_EJECT_CONSECUTIVE 5
 
 /* Or more than half of the last ones, once there were enough to tell. */
-#define ADM_EJECT_SHARE 0.5
-#define ADM_EJECT_SAMPLES 16
+#define ADM_EJECT_FAIL_RATE 0.5
+#define ADM_EJECT_MIN_SAMPLES 16
 
 /*
  * Ejected for a second at first, so that a restarted target is back soon; then
  * twice as long each time, up to 30 s, when a probe costs a caller at most two
  * tries a minute. A quarter of chance keeps entry VMs from probing at once.
  */
-#define ADM_EJECT_FIRST ADM_SEC
-#define ADM_EJECT_LONGEST (30 * ADM_SEC)
+#define ADM_EJECT_MIN ADM_SEC
+#define ADM_EJECT_MAX (30 * ADM_SEC)
 
 /* Good answers in a row that end an ejection. */
-#define ADM_PROBES_GOOD 3
+#define ADM_PROBES_TO_RESTORE 3
 
 /* A share of failures of 1 counts as being 17 times busier. */
 #define ADM_FAIL_PENALTY 16.0
@@ -43,22 +43,22 @@
  */
 #define ADM_SLOW_ENTER 2.5
 #define ADM_SLOW_LEAVE 1.6
-#define ADM_SPEED_WEIGHT (1.0 / 16)
-#define ADM_SPEED_WEIGHT_SLOW (1.0 / 4)
-#define ADM_SPEED_MAX 100.0
+#define ADM_LATENCY_WEIGHT (1.0 / 16)
+#define ADM_LATENCY_WEIGHT_SLOW (1.0 / 4)
+#define ADM_LATENCY_RATIO_MAX 100.0
 
 static bool adm_may_eject(const struct adm_pool *p);
 static void adm_eject(struct adm *a, struct adm_target *t, int64_t now);
-static void adm_note_fail(struct adm *a, struct adm_pool *p,
-			  struct adm_target *t, bool probe, int64_t now);
-static void adm_note_good(struct adm *a, struct adm_target *t, bool probe);
-static void adm_note_speed(const struct adm_pool *p, struct adm_target *t,
-			   const struct adm_req *r, int64_t service);
+static void adm_record_failure(struct adm *a, struct adm_pool *p,
+			       struct adm_target *t, bool probe, int64_t now);
+static void adm_record_success(struct adm *a, struct adm_target *t, bool probe);
+static void adm_record_latency(const struct adm_pool *p, struct adm_target *t,
+			       const struct adm_req *r, int64_t service);
 
 /* How much worse than an idle healthy target; 1 is as good. */
-double adm_health_score(const struct adm_target *t)
+double adm_health_penalty(const struct adm_target *t)
 {
-	return t->speed * (1 + ADM_FAIL_PENALTY * t->fail);
+	return t->latency_ratio * (1 + ADM_FAIL_PENALTY * t->fail_rate);
 }
 
 /*
@@ -71,71 +71,73 @@
 {
 	int out = p->n_health[ADM_EJECTED];
 
-	return 2 * (out + 1) <= adm_targets_ok(p) + out;
+	return 2 * (out + 1) <= adm_usable_targets(p) + out;
 }
 
 static void adm_eject(struct adm *a, struct adm_target *t, int64_t now)
 {
-	int64_t us = t->eject_for ? 2 * t->eject_for : ADM_EJECT_FIRST;
+	int64_t us = t->ejection_us ? 2 * t->ejection_us : ADM_EJECT_MIN;
 
-	t->eject_for = MIN(us, ADM_EJECT_LONGEST);
+	t->ejection_us = MIN(us, ADM_EJECT_MAX);
 	t->health = ADM_EJECTED;
-	t->good_probes = 0;
-	t->ejected_until = now + t->eject_for +
-			   adm_random(a, (uint32_t)(t->eject_for / 4));
+	t->probes_ok = 0;
+	t->ejected_until = now + t->ejection_us +
+			   adm_random(a, (uint32_t)(t->ejection_us / 4));
 	a->stats.ejected++;
 }
 
-static void adm_note_fail(struct adm *a, struct adm_pool *p,
-			  struct adm_target *t, bool probe, int64_t now)
+static void adm_record_failure(struct adm *a, struct adm_pool *p,
+			       struct adm_target *t, bool probe, int64_t now)
 {
-	t->fails++;
+	t->consecutive_fails++;
 	t->samples++;
-	t->fail += ADM_FAIL_WEIGHT * (1 - t->fail);
+	t->fail_rate += ADM_FAIL_WEIGHT * (1 - t->fail_rate);
 	if (t->health == ADM_EJECTED) {
 		/* those still running from before the ejection tell no more */
 		if (probe)
 			adm_eject(a, t, now);
 		return;
 	}
-	if (t->fails < ADM_EJECT_ROW &&
-	    (t->fail < ADM_EJECT_SHARE || t->samples < ADM_EJECT_SAMPLES))
+	if (t->consecutive_fails < ADM_EJECT_CONSECUTIVE &&
+	    (t->fail_rate < ADM_EJECT_FAIL_RATE ||
+	     t->samples < ADM_EJECT_MIN_SAMPLES))
 		return;
 	if (adm_may_eject(p))
 		adm_eject(a, t, now);
 }
 
-static void adm_note_good(struct adm *a, struct adm_target *t, bool probe)
+static void adm_record_success(struct adm *a, struct adm_target *t, bool probe)
 {
-	t->fails = 0;
+	t->consecutive_fails = 0;
 	t->samples++;
-	t->fail -= ADM_FAIL_WEIGHT * t->fail;
+	t->fail_rate -= ADM_FAIL_WEIGHT * t->fail_rate;
 	if (t->health != ADM_EJECTED || !probe)
 		return;
-	if (++t->good_probes < ADM_PROBES_GOOD)
+	if (++t->probes_ok < ADM_PROBES_TO_RESTORE)
 		return;
 	t->health = ADM_HEALTHY;
-	t->fail = 0;
-	t->speed = 1;
+	t->fail_rate = 0;
+	t->latency_ratio = 1;
 	t->samples = 0;
-	t->eject_for /= 2;
+	t->ejection_us /= 2;
 	a->stats.restored++;
 }
 
 /* Compares with the usual time of requests of the same declared size. */
-static void adm_note_speed(const struct adm_pool *p, struct adm_target *t,
-			   const struct adm_req *r, int64_t service)
+static void adm_record_latency(const struct adm_pool *p, struct adm_target *t,
+			       const struct adm_req *r, int64_t service)
 {
-	const struct adm_est *e = adm_est_for(p, r->size);
+	const struct adm_est *e = adm_est_for(p, r->size_group);
 	double ratio = e->mean > 0 ? (double)service / e->mean : 1;
-	bool slow = t->health == ADM_SLUGGISH;
-
-	ratio = MIN(ratio, ADM_SPEED_MAX);
-	t->speed += (slow ? ADM_SPEED_WEIGHT_SLOW : ADM_SPEED_WEIGHT) *
-		    (ratio - t->speed);
-	if (t->health == ADM_HEALTHY && t->speed > ADM_SLOW_ENTER)
-		t->health = ADM_SLUGGISH;
-	else if (slow && t->speed < ADM_SLOW_LEAVE)
+	bool slow = t->health == ADM_SLOW;
+
+	ratio = MIN(ratio, ADM_LATENCY_RATIO_MAX);
+	t->latency_ratio +=
+		(slow ? ADM_LATENCY_WEIGHT_SLOW : ADM_LATENCY_WEIGHT) *
+		(ratio - t->latency_ratio);
+	if (t->health == ADM_HEALTHY && t->latency_ratio > ADM_SLOW_ENTER)
+		t->health = ADM_SLOW;
+	else if (slow && t->latency_ratio < ADM_SLOW_LEAVE)
 		t->health = ADM_HEALTHY;
 }
 
@@ -143,19 +145,19 @@
  * Notes how an attempt ended. Refusals for load and callers who left say
  * nothing about health.
  */
-void adm_health_note(struct adm *a, struct adm_pool *p, struct adm_target *t,
-		     const struct adm_req *r, const struct adm_result *res,
-		     int64_t now)
+void adm_health_record(struct adm *a, struct adm_pool *p, struct adm_target *t,
+		       const struct adm_req *r, const struct adm_result *res,
+		       int64_t now)
 {
 	switch (res->outcome) {
 	case ADM_DONE_OK:
-		adm_note_good(a, t, r->probe);
-		adm_note_speed(p, t, r, res->service_us);
+		adm_record_success(a, t, r->probe);
+		adm_record_latency(p, t, r, res->service_us);
 		break;
 	case ADM_DONE_UNSENT:
 	case ADM_DONE_FAILED:
 	case ADM_DONE_TIMEOUT:
-		adm_note_fail(a, p, t, r->probe, now);
+		adm_record_failure(a, p, t, r->probe, now);
 		break;
 	case ADM_DONE_BUSY:
 	case ADM_DONE_LEFT:
--- a/src/adm_queue.c
+++ b/src/adm_queue.c
@@ -12,21 +12,21 @@
  * ends. Limit: one start in 9 for normal work keeps urgent work within an
  * eighth of its best; batch work may wait, one in 17 is enough to finish.
  */
-static const int adm_passed_max[ADM_CLASSES] = {
+static const int adm_bypass_max[ADM_CLASSES] = {
 	[ADM_URGENT] = 0,
 	[ADM_NORMAL] = 8,
 	[ADM_BATCH] = 16,
 };
 
 /* One caller may hold an eighth of the memory for queues. */
-#define ADM_FLOW_SHARE 8
+#define ADM_FLOW_QUEUE_PARTS 8
 
 static int64_t adm_flow_cost(const struct adm_pool *p, const struct adm_req *r);
 
-#define ADM_FLOW_OF_NODE(n)                                               \
+#define ADM_FLOW_FROM_NODE(n)                                             \
 	((struct adm_flow *)((char *)(n)-G_STRUCT_OFFSET(struct adm_flow, \
 							 vtime)))
-#define ADM_REQ_OF_NODE(n)                                              \
+#define ADM_REQ_FROM_NODE(n)                                            \
 	((struct adm_req *)((char *)(n)-G_STRUCT_OFFSET(struct adm_req, \
 							expiry)))
 
@@ -34,8 +34,8 @@
  * The flow of a caller. One that is not known starts level with whoever is
  * served now: neither punished nor rewarded for having been away.
  */
-struct adm_flow *adm_flow_of(struct adm_pool *p, uint64_t caller,
-			     enum adm_class class)
+struct adm_flow *adm_flow_get(struct adm_pool *p, uint64_t caller,
+			      enum adm_class class)
 {
 	uint64_t key = caller * ADM_CLASSES + class;
 	struct adm_flow *f = g_hash_table_lookup(p->flows, &key);
@@ -45,7 +45,7 @@
 	f = g_new0(struct adm_flow, 1);
 	f->key = key;
 	f->class = class;
-	f->vtime.at = -1;
+	f->vtime.pos = -1;
 	f->vtime.key = p->vtime[class];
 	g_queue_init(&f->queue);
 	g_hash_table_insert(p->flows, &f->key, f);
@@ -53,7 +53,7 @@
 }
 
 /* Forgets a flow that has nothing waiting and nothing running. */
-void adm_flow_release(struct adm_pool *p, struct adm_flow *f)
+void adm_flow_free_if_idle(struct adm_pool *p, struct adm_flow *f)
 {
 	if (f->running || f->queue.length)
 		return;
@@ -62,7 +62,7 @@
 
 static int64_t adm_flow_cost(const struct adm_pool *p, const struct adm_req *r)
 {
-	return (int64_t)adm_est_for(p, r->size)->mean + 1;
+	return (int64_t)adm_est_for(p, r->size_group)->mean + 1;
 }
 
 /* Charges a caller in advance with what a request of its group costs. */
@@ -96,7 +96,7 @@
 }
 
 /* Lets a request wait; in front where it had a slot and was sent back. */
-void adm_queue_put(struct adm *a, struct adm_pool *p, struct adm_req *r,
+void adm_queue_add(struct adm *a, struct adm_pool *p, struct adm_req *r,
 		   bool front)
 {
 	struct adm_flow *f = r->flow;
@@ -116,17 +116,17 @@
 }
 
 /* Takes a request out of the queue, whatever its place. */
-void adm_queue_drop(struct adm *a, struct adm_pool *p, struct adm_req *r)
+void adm_queue_remove(struct adm *a, struct adm_pool *p, struct adm_req *r)
 {
 	struct adm_flow *f = r->flow;
 
 	g_queue_unlink(&f->queue, &r->link);
 	if (!f->queue.length)
-		adm_heap_drop(&p->ready[f->class], &f->vtime);
+		adm_heap_remove(&p->ready[f->class], &f->vtime);
 	p->n_queued[f->class]--;
 	if (!p->n_queued[f->class])
-		p->passed[f->class] = 0;
-	adm_heap_drop(&p->expiry, &r->expiry);
+		p->bypassed[f->class] = 0;
+	adm_heap_remove(&p->expiry, &r->expiry);
 	a->stats.in_queue--;
 }
 
@@ -134,7 +134,7 @@
  * The request to start next: the highest class, unless a lower one has been
  * passed as often as allowed; in it the caller with the least slot time.
  */
-struct adm_req *adm_queue_next(struct adm_pool *p)
+struct adm_req *adm_queue_peek(struct adm_pool *p)
 {
 	int pick = -1;
 	int c;
@@ -142,53 +142,56 @@
 	for (c = 0; c < ADM_CLASSES; c++) {
 		if (!p->n_queued[c])
 			continue;
-		if (pick < 0 || adm_queue_due(p, c))
+		if (pick < 0 || adm_queue_must_serve(p, c))
 			pick = c;
 	}
 	if (pick < 0)
 		return NULL;
-	return g_queue_peek_head(&ADM_FLOW_OF_NODE(p->ready[pick].v[0])->queue);
+	return g_queue_peek_head(
+		&ADM_FLOW_FROM_NODE(p->ready[pick].nodes[0])->queue);
 }
 
 /* Whether a class was passed so often that the next start is its own. */
-bool adm_queue_due(const struct adm_pool *p, enum adm_class class)
+bool adm_queue_must_serve(const struct adm_pool *p, enum adm_class class)
 {
-	return p->n_queued[class] && p->passed[class] >= adm_passed_max[class];
+	return p->n_queued[class] &&
+	       p->bypassed[class] >= adm_bypass_max[class];
 }
 
 /* The first of the highest class that waits. */
-struct adm_req *adm_queue_highest(struct adm_pool *p)
+struct adm_req *adm_queue_peek_highest(struct adm_pool *p)
 {
 	int c = ADM_URGENT;
 
 	while (!p->n_queued[c])
 		c++;
-	return g_queue_peek_head(&ADM_FLOW_OF_NODE(p->ready[c].v[0])->queue);
+	return g_queue_peek_head(
+		&ADM_FLOW_FROM_NODE(p->ready[c].nodes[0])->queue);
 }
 
 /* Notes a start of one class that went ahead of the lower ones. */
-void adm_queue_passed(struct adm_pool *p, enum adm_class class)
+void adm_queue_count_bypass(struct adm_pool *p, enum adm_class class)
 {
 	int c;
 
-	p->passed[class] = 0;
+	p->bypassed[class] = 0;
 	for (c = class + 1; c < ADM_CLASSES; c++)
 		if (p->n_queued[c])
-			p->passed[c]++;
+			p->bypassed[c]++;
 }
 
 /* A request that must not start any more, or NULL. */
 struct adm_req *adm_queue_expired(struct adm_pool *p, int64_t now)
 {
-	if (!p->expiry.n || p->expiry.v[0]->key > now)
+	if (!p->expiry.len || p->expiry.nodes[0]->key > now)
 		return NULL;
-	return ADM_REQ_OF_NODE(p->expiry.v[0]);
+	return ADM_REQ_FROM_NODE(p->expiry.nodes[0]);
 }
 
 /* Requests that wait in this pool. */
 int adm_queue_len(const struct adm_pool *p)
 {
-	return p->expiry.n;
+	return p->expiry.len;
 }
 
 /*
@@ -202,9 +205,9 @@
 {
 	uint32_t max = a->conf.queue_max;
 
-	if (f->queue.length >= 1 + max / ADM_FLOW_SHARE)
+	if (f->queue.length >= 1 + max / ADM_FLOW_QUEUE_PARTS)
 		return true;
-	if (p->spec.priority < a->top_priority)
+	if (p->spec.priority < a->highest_priority)
 		max -= max / 4;
 	return a->stats.in_queue >= max;
 }
@@ -215,10 +218,10 @@
  * service time, by Little's law). Of its own class those go before it that
  * fair turns put there: each waiting caller once for every own one.
  */
-int64_t adm_queue_wait(const struct adm *a, const struct adm_pool *p,
-		       const struct adm_flow *f)
+int64_t adm_queue_estimate_wait(const struct adm *a, const struct adm_pool *p,
+				const struct adm_flow *f)
 {
-	int64_t flows = p->ready[f->class].n + (f->queue.length == 0);
+	int64_t flows = p->ready[f->class].len + (f->queue.length == 0);
 	int64_t ahead = ((int64_t)f->queue.length + 1) * flows - 1;
 	int held = p->in_flight;
 	int c;
@@ -227,7 +230,7 @@
 	for (c = 0; c < (int)f->class; c++)
 		ahead += p->n_queued[c];
 	if (!held)
-		held = adm_targets_ok(p) * p->spec.slots /
+		held = adm_usable_targets(p) * p->spec.slots /
 		       MAX(a->conf.entries, 1);
-	return (ahead + 1) * adm_mean(p) / MAX(held, 1);
+	return (ahead + 1) * adm_mean_service(p) / MAX(held, 1);
 }
