--- a/src/adm.c
+++ b/src/adm.c
@@ -2,13 +2,13 @@
 
 #include <string.h>
 
-/* Requests held in all queues where the settings give no number. */
+/* Default for adm_config.queue_max, requests. */
 #define ADM_QUEUE_MAX_DEFAULT 20000
 
-/* Targets compared for a placement where the settings give no number. */
+/* Default for adm_config.choices, targets. */
 #define ADM_CHOICES_DEFAULT 2
 
-/* A refusal asks to come back after that at least and at most. */
+/* Bounds of the retry delay that a refusal names, before jitter. */
 #define ADM_RETRY_AFTER_MIN_MS 50
 #define ADM_RETRY_AFTER_MAX_MS 30000
 
@@ -40,7 +40,7 @@
 static uint32_t adm_retry_after_ms(struct adm *a, enum adm_reason reason,
 				   int64_t wait_us);
 
-/* An instance without pools and targets. */
+/* Returns a new instance without pools and targets; adm_free frees it. */
 struct adm *adm_new(const struct adm_config *config)
 {
 	struct adm *a = g_new0(struct adm, 1);
@@ -59,7 +59,7 @@
 	return a;
 }
 
-/* Frees the instance; requests it holds end without a verdict. */
+/* Frees the instance and drops the requests it holds without a verdict. */
 void adm_free(struct adm *a)
 {
 	if (!a)
@@ -72,7 +72,10 @@
 	g_free(a);
 }
 
-/* Changes how many entry VMs there are, in our zone and in all others. */
+/*
+ * Sets the numbers of entry VMs in the own zone (entries, including this one)
+ * and in all other zones together (entries_away).
+ */
 void adm_set_entries(struct adm *a, int entries, int entries_away)
 {
 	a->conf.entries = entries;
@@ -111,7 +114,10 @@
 	g_free(p);
 }
 
-/* Sets or changes a pool; false for a number or a limit out of range. */
+/*
+ * Adds a pool or changes its limits. Returns false, and changes nothing, if
+ * pool is ADM_POOLS_MAX or more or if a limit of spec is out of range.
+ */
 bool adm_pool_set(struct adm *a, uint32_t pool,
 		  const struct adm_pool_spec *spec)
 {
@@ -134,7 +140,7 @@
 	return true;
 }
 
-/* The pool of a number, or NULL. */
+/* Returns the pool with this number, or NULL. */
 struct adm_pool *adm_pool_find(const struct adm *a, uint32_t pool)
 {
 	return pool < a->pools->len ? a->pools->pdata[pool] : NULL;
@@ -166,7 +172,10 @@
 	g_free(t);
 }
 
-/* Takes a target off its handle; its record stays while work runs there. */
+/*
+ * Removes a target, so that its handle is unknown. The record is freed once no
+ * request runs on the target.
+ */
 static void adm_target_remove(struct adm *a, struct adm_target *t)
 {
 	struct adm_pool *p = adm_pool_find(a, t->pool);
@@ -179,9 +188,10 @@
 }
 
 /*
- * A target has come, changed or gone. From this call on nothing is placed on
- * one that takes no new work. A handle that comes back after ADM_GONE, or in
- * another pool, is a new target. False for an unknown pool.
+ * Adds, changes or removes a target. After this call nothing is placed on a
+ * target whose state is not ADM_SERVING. A handle that is set again after
+ * ADM_GONE, or for another pool, counts as a new target without history.
+ * Returns false if the pool is unknown.
  */
 bool adm_target_set(struct adm *a, int64_t now, uint64_t handle,
 		    const struct adm_target_spec *spec)
@@ -207,7 +217,10 @@
 	return true;
 }
 
-/* A target has told, outside of an answer, how many of its slots are busy. */
+/*
+ * Records how many slots of a target are busy, as reported by the target
+ * outside of an answer. Ignores an unknown handle and a negative number.
+ */
 void adm_target_busy(struct adm *a, int64_t now, uint64_t handle, int busy)
 {
 	struct adm_target *t = g_hash_table_lookup(a->targets, &handle);
@@ -220,7 +233,10 @@
 	adm_target_classify(p, t, now);
 }
 
-/* An even draw from 0 to below - 1, by xorshift of the given seed. */
+/*
+ * Returns a pseudo-random number from 0 to below - 1, uniformly distributed
+ * (xorshift generator with the seed of adm_config); 0 if below is 0.
+ */
 uint32_t adm_random(struct adm *a, uint32_t below)
 {
 	a->rng ^= a->rng << 13;
@@ -229,7 +245,10 @@
 	return below ? (uint32_t)((a->rng >> 32) * below >> 32) : 0;
 }
 
-/* FNV-1a; callers are told apart by it, and two that meet share a turn. */
+/*
+ * Returns the FNV-1a hash of a caller's name, which identifies the caller. Two
+ * callers with the same hash share one flow.
+ */
 static uint64_t adm_hash(struct lstr s)
 {
 	uint64_t h = UINT64_C(0xcbf29ce484222325);
@@ -240,6 +259,7 @@
 	return h;
 }
 
+/* Returns a cleared request record, reusing a free one if possible. */
 struct adm_req *adm_req_new(struct adm *a)
 {
 	struct adm_req *r;
@@ -263,7 +283,7 @@
 	return r;
 }
 
-/* Ends a request; its ticket names nothing from now on. */
+/* Returns a request record to the free list and invalidates its ticket. */
 void adm_req_free(struct adm *a, struct adm_req *r)
 {
 	r->state = ADM_REQ_FREE;
@@ -277,12 +297,16 @@
 	g_free(req);
 }
 
+/*
+ * Returns the ticket of a request: its generation and index. The index is
+ * counted from 1, so that no ticket is 0.
+ */
 adm_ticket adm_req_ticket(const struct adm_req *r)
 {
 	return (uint64_t)r->gen << 32 | (r->index + 1);
 }
 
-/* The request a ticket names, or NULL once it is over. */
+/* Returns the request that a ticket identifies, or NULL if it has ended. */
 struct adm_req *adm_req_find(const struct adm *a, adm_ticket ticket)
 {
 	uint32_t index = (uint32_t)ticket - 1;
@@ -297,8 +321,8 @@
 }
 
 /*
- * Decides about a new request. user comes back in every verdict about it. A
- * verdict other than ADM_QUEUED is to be carried out at once.
+ * Decides about a new request. Each verdict about the request has user in its
+ * .user. The caller must act on a verdict other than ADM_QUEUED immediately.
  */
 struct adm_verdict adm_offer(struct adm *a, int64_t now,
 			     const struct adm_request *request, void *user)
@@ -328,7 +352,7 @@
 	return v;
 }
 
-/* Starts a request on a target; it holds a slot until adm_done. */
+/* Starts a request on a target, where it holds a slot until adm_done. */
 struct adm_verdict adm_start(struct adm *a, int64_t now, struct adm_req *r,
 			     struct adm_target *t)
 {
@@ -351,9 +375,10 @@
 }
 
 /*
- * When a refused caller is to come back: when the present queue will have run,
- * and up to half as long again by lot, so that those refused together don't
- * come together.
+ * Returns the delay in ms after which a refused caller may retry; 0: don't
+ * retry. The delay is the time to drain the current queue, within bounds, plus
+ * a random jitter of up to half of it: callers that were refused together would
+ * otherwise retry together (thundering herd).
  */
 static uint32_t adm_retry_after_ms(struct adm *a, enum adm_reason reason,
 				   int64_t wait_us)
@@ -367,7 +392,7 @@
 	return (uint32_t)ms + adm_random(a, (uint32_t)ms / 2);
 }
 
-/* Refuses a request for good, and ends it. */
+/* Refuses a request with the given reason and ends it. */
 struct adm_verdict adm_refuse(struct adm *a, struct adm_pool *p,
 			      struct adm_req *r, enum adm_reason reason,
 			      int64_t wait_us)
@@ -385,6 +410,10 @@
 	return v;
 }
 
+/*
+ * Releases the slot of an attempt that has ended, and records the outcome in
+ * the estimates of its pool, its target and its flow.
+ */
 static void adm_release_slot(struct adm *a, struct adm_pool *p,
 			     struct adm_req *r, const struct adm_result *res,
 			     int64_t now)
@@ -414,7 +443,7 @@
 	r->probe = false;
 }
 
-/* Ends an attempt: gives its slot back and learns from how it ended. */
+/* Ends an attempt on a target or in another zone and records its outcome. */
 void adm_end_attempt(struct adm *a, int64_t now, struct adm_req *r,
 		     const struct adm_result *res)
 {
@@ -443,7 +472,10 @@
 	}
 }
 
-/* Ends a request that ran or was shifted; false for a ticket that is over. */
+/*
+ * Ends a request that ran or was shifted. Returns false if the request is
+ * queued or has already ended.
+ */
 bool adm_done(struct adm *a, int64_t now, adm_ticket ticket,
 	      const struct adm_result *result)
 {
@@ -457,20 +489,22 @@
 }
 
 /*
- * The caller has left. A waiting request goes at once, so that a flood of
- * cancellations leaves no dead work behind; a running one gives its slot back.
- * False for a ticket that is over.
+ * Cancels a request whose caller has left. A queued request is removed
+ * immediately, so that a flood of cancellations leaves no abandoned work in the
+ * queue; a running one releases its slot. Returns false if the request has
+ * already ended.
  */
 bool adm_cancel(struct adm *a, int64_t now, adm_ticket ticket)
 {
-	const struct adm_result left = {.outcome = ADM_DONE_LEFT, .busy = -1};
+	const struct adm_result cancelled = {.outcome = ADM_DONE_LEFT,
+					     .busy = -1};
 	struct adm_req *r = adm_req_find(a, ticket);
 	struct adm_pool *p;
 
 	if (!r)
 		return false;
 	if (r->state != ADM_REQ_QUEUED)
-		return adm_done(a, now, ticket, &left);
+		return adm_done(a, now, ticket, &cancelled);
 	p = adm_pool_find(a, r->pool);
 	adm_queue_remove(a, p, r);
 	adm_detach_flow(p, r);
@@ -479,13 +513,13 @@
 	return true;
 }
 
-/* Counters and gauges. */
+/* Returns the counters and current values. */
 struct adm_stats adm_stats(const struct adm *a)
 {
 	return a->stats;
 }
 
-/* The word for a reason, for logs, metrics and answers. */
+/* Returns the name of a reason as used in logs, metrics and answers. */
 const char *adm_reason_name(enum adm_reason reason)
 {
 	return reason >= 0 && reason < ADM_REASONS ? adm_reason_names[reason]
--- a/src/adm_admit.c
+++ b/src/adm_admit.c
@@ -1,9 +1,9 @@
 #include "adm_int.h"
 
 /*
- * What becomes of a request that is offered: it runs, waits, goes to another
- * zone or is refused, and a refusal is final and given at once. Nobody is kept
- * waiting for an answer that is known already.
+ * The decision about a request: run it, queue it, shift it to another zone or
+ * refuse it. Refusals are final and are given as soon as it is known that the
+ * request can't be served in time (fail fast), not after a useless wait.
  */
 
 static struct adm_verdict adm_shift_or_refuse(struct adm *a, struct adm_pool *p,
@@ -11,7 +11,7 @@
 static struct adm_verdict adm_enqueue_or_refuse(struct adm *a,
 						struct adm_pool *p,
 						struct adm_req *r, int64_t now,
-						bool again);
+						bool readmit);
 static struct adm_verdict adm_refuse_expired(struct adm *a, struct adm_pool *p,
 					     struct adm_req *r, int64_t now);
 static struct adm_req *adm_next_startable(struct adm *a, struct adm_pool *p,
@@ -19,13 +19,16 @@
 static size_t adm_pool_dispatch(struct adm *a, struct adm_pool *p, int64_t now,
 				struct adm_verdict *out, size_t max);
 
-/* When to come back to a pool that has no target at all. */
+/* Retry delay that is named when a pool has no usable target. */
 #define ADM_NO_TARGETS_RETRY_AFTER ADM_SEC
 
-/* While requests wait, conditions that come by time alone are seen by then. */
+/*
+ * Longest time between two calls of adm_poll while requests wait. Some
+ * conditions change with time only, without an event that triggers a call.
+ */
 #define ADM_POLL_INTERVAL_MAX (20 * ADM_MS)
 
-/* Lets go of a request's place among its caller's. */
+/* Detaches a request from its flow; frees the flow if it is idle now. */
 void adm_detach_flow(struct adm_pool *p, struct adm_req *r)
 {
 	struct adm_flow *f = r->flow;
@@ -35,6 +38,7 @@
 		adm_flow_free_if_idle(p, f);
 }
 
+/* Shifts a request whose pool has no usable target, or refuses it. */
 static struct adm_verdict adm_shift_or_refuse(struct adm *a, struct adm_pool *p,
 					      struct adm_req *r, int64_t now)
 {
@@ -46,31 +50,33 @@
 }
 
 /*
- * No slot is free now. Load: full saturation, where far more comes than can
- * run. Harm: requests that wait and then miss their deadline, while their
- * callers could have gone elsewhere. Limit: the measured wait in fair turns
- * against the pool's longest wait, and against the deadline less the time that
- * nine in ten of its group need.
+ * Queues, shifts or refuses a request for which no slot is free.
+ *
+ * Load: saturation, where many more requests arrive than can run. Harm:
+ * requests would wait and then miss their deadline, although their callers
+ * could have been served elsewhere. Limit: the wait that fair queueing is
+ * estimated to cause must not exceed the pool's longest wait, nor the deadline
+ * less the 90th percentile of the service time of the request's size group.
  */
 static struct adm_verdict adm_enqueue_or_refuse(struct adm *a,
 						struct adm_pool *p,
 						struct adm_req *r, int64_t now,
-						bool again)
+						bool readmit)
 {
 	int64_t wait = adm_queue_estimate_wait(a, p, r->flow);
 	int64_t by_deadline = r->deadline -
 			      (int64_t)adm_est_for(p, r->size_group)->high -
 			      now;
 	int64_t by_queue = r->offered_at + adm_max_wait(p, now) - now;
-	bool late = wait > MIN(by_queue, by_deadline);
+	bool too_late = wait > MIN(by_queue, by_deadline);
 	int zone = -1;
 
 	adm_shift_record_wait(p, now, wait);
-	if (p->saturated || late)
+	if (p->saturated || too_late)
 		zone = adm_shift_pick_zone(a, p, r, now);
 	if (zone >= 0)
 		return adm_shift(a, p, r, zone);
-	if (late)
+	if (too_late)
 		return adm_refuse(a, p, r,
 				  by_deadline < by_queue ? ADM_DEADLINE_LOAD
 							 : ADM_QUEUE_WAIT,
@@ -79,27 +85,30 @@
 		return adm_refuse(a, p, r, ADM_QUEUE_FULL, wait);
 	if (!adm_queue_len(p))
 		g_ptr_array_add(a->pools_waiting, p);
-	adm_queue_add(a, p, r, again);
+	adm_queue_add(a, p, r, readmit);
 	a->stats.queued++;
 	return (struct adm_verdict){.kind = ADM_QUEUED,
 				    .ticket = adm_req_ticket(r),
 				    .user = r->user};
 }
 
-/* Decides about a request; again: it had a slot before and was sent back. */
+/*
+ * Decides about a request. readmit: the request had been admitted before, and
+ * an attempt to run it has failed; it goes to the front of its queue.
+ */
 struct adm_verdict adm_admit(struct adm *a, struct adm_pool *p,
-			     struct adm_req *r, int64_t now, bool again)
+			     struct adm_req *r, int64_t now, bool readmit)
 {
 	struct adm_target *t = NULL;
 
 	adm_recheck_due(p, now);
-	if (again && now >= adm_latest_start(p, r))
+	if (readmit && now >= adm_latest_start(p, r))
 		return adm_refuse_expired(a, p, r, now);
 	if (adm_deadline_too_short(p, r, now))
 		return adm_refuse(a, p, r, ADM_DEADLINE_SHORT, 0);
 	if (!adm_usable_targets(p))
 		return adm_shift_or_refuse(a, p, r, now);
-	if (r->from_other_zone && !again && !adm_accept_shifted(a, p, now))
+	if (r->from_other_zone && !readmit && !adm_accept_shifted(a, p, now))
 		return adm_refuse(a, p, r, ADM_ZONE_FULL, adm_mean_service(p));
 	r->flow = adm_flow_get(p, r->caller, r->class);
 	if (!adm_queue_len(p))
@@ -110,9 +119,10 @@
 	}
 	if (r->from_other_zone)
 		return adm_refuse(a, p, r, ADM_ZONE_FULL, adm_mean_service(p));
-	return adm_enqueue_or_refuse(a, p, r, now, again);
+	return adm_enqueue_or_refuse(a, p, r, now, readmit);
 }
 
+/* Refuses a request that can no longer start in time. */
 static struct adm_verdict adm_refuse_expired(struct adm *a, struct adm_pool *p,
 					     struct adm_req *r, int64_t now)
 {
@@ -124,8 +134,9 @@
 }
 
 /*
- * The waiting request to start, and where. If the one whose turn it is finds
- * no target that suits it, the first of the highest class may go before it.
+ * Returns the waiting request to start next and sets t to its target; NULL if
+ * none can start. If no target suits the request whose turn it is, the first
+ * one of the highest class may start instead (no head-of-line blocking).
  */
 static struct adm_req *adm_next_startable(struct adm *a, struct adm_pool *p,
 					  int64_t now, struct adm_target **t)
@@ -143,7 +154,10 @@
 	return *t ? other : NULL;
 }
 
-/* Starts and ends waiting requests of a pool, as far as out has place. */
+/*
+ * Starts, shifts and refuses waiting requests of a pool. Writes up to max
+ * verdicts to out and returns their number.
+ */
 static size_t adm_pool_dispatch(struct adm *a, struct adm_pool *p, int64_t now,
 				struct adm_verdict *out, size_t max)
 {
@@ -173,10 +187,11 @@
 }
 
 /*
- * Gives what has become of waiting requests: to be run, to be shifted or
- * refused; a refused one is named by its ticket, which is over then. Call it
- * after adm_done, adm_cancel and adm_target_set, and at the latest at *next
- * (ADM_NEVER: nothing waits); at once again where out was filled.
+ * Decides about waiting requests. Writes up to max verdicts (run, shift or
+ * refuse) to out and returns their number; the ticket of a refused request is
+ * no longer valid. To be called after adm_done, adm_cancel and adm_target_set,
+ * and at the latest at the time *next, us (ADM_NEVER: no request waits). If out
+ * was filled, *next is now, as there may be more verdicts.
  */
 size_t adm_poll(struct adm *a, int64_t now, struct adm_verdict *out, size_t max,
 		int64_t *next)
--- a/src/adm_health.c
+++ b/src/adm_health.c
@@ -1,45 +1,48 @@
 #include "adm_int.h"
 
 /*
- * Targets that fail and targets that are slow, judged by what our own requests
- * met there. A target that fails everything at once is always idle, and any
- * rule that looks for idle targets would send it nearly all work; so failures
- * count, and their speed doesn't.
+ * Outlier detection: failing and slow targets are identified by the outcomes of
+ * this entry VM's requests. A target that fails all requests immediately is
+ * always idle, and would attract nearly all requests of a balancer that prefers
+ * idle targets (black hole); therefore failures count against a target, and the
+ * time they took is ignored.
  */
 
-/* Weight of an attempt in the share of failures: about the last eight. */
+/* EWMA weight of an attempt in the failure rate: about the last eight count. */
 #define ADM_FAIL_WEIGHT (1.0 / 8)
 
 /*
- * Five failures in a row: with one request in ten failing for reasons of its
- * own that happens once in 100,000, a dead target shows it within its slots.
+ * Consecutive failures that eject a target. If one request in ten fails for
+ * reasons of its own, five consecutive failures happen once in 100,000; a
+ * target that is down is detected by fewer attempts than it has slots.
  */
 #define ADM_EJECT_CONSECUTIVE 5
 
-/* Or more than half of the last ones, once there were enough to tell. */
+/* Failure rate that ejects a target with at least this many samples. */
 #define ADM_EJECT_FAIL_RATE 0.5
 #define ADM_EJECT_MIN_SAMPLES 16
 
 /*
- * Ejected for a second at first, so that a restarted target is back soon; then
- * twice as long each time, up to 30 s, when a probe costs a caller at most two
- * tries a minute. A quarter of chance keeps entry VMs from probing at once.
+ * Length of an ejection: 1 s at first, so that a restarted target is used again
+ * soon, then doubled each time up to 30 s, which limits failed probes to two
+ * per minute. A random jitter of up to a quarter keeps entry VMs from probing
+ * simultaneously.
  */
 #define ADM_EJECT_MIN ADM_SEC
 #define ADM_EJECT_MAX (30 * ADM_SEC)
 
-/* Good answers in a row that end an ejection. */
+/* Consecutive successful probes that end an ejection. */
 #define ADM_PROBES_TO_RESTORE 3
 
-/* A share of failures of 1 counts as being 17 times busier. */
+/* A failure rate of 1 makes a target rank as if it were 17 times busier. */
 #define ADM_FAIL_PENALTY 16.0
 
 /*
- * Slow from 2.5 times the usual time on, no more below 1.6; between them
- * nothing changes, so that it doesn't flap. A sample weighs 1/16: a target ten
- * times slower is seen after three answers, a single long request in a mix
- * of long and short ones isn't taken for one. While slow there are few
- * samples, and each weighs 1/4.
+ * A target counts as slow above 2.5 times the mean service time, and as healthy
+ * again below 1.6 times; the hysteresis prevents flapping. The EWMA weight of a
+ * sample is 1/16: a target ten times slower is detected after three answers,
+ * while a single long request in a mix of long and short ones is not enough. A
+ * slow target gets few samples, and each weighs 1/4.
  */
 #define ADM_SLOW_ENTER 2.5
 #define ADM_SLOW_LEAVE 1.6
@@ -53,27 +56,34 @@
 			       struct adm_target *t, bool probe, int64_t now);
 static void adm_record_success(struct adm *a, struct adm_target *t, bool probe);
 static void adm_record_latency(const struct adm_pool *p, struct adm_target *t,
-			       const struct adm_req *r, int64_t service);
+			       const struct adm_req *r, int64_t service_us);
 
-/* How much worse than an idle healthy target; 1 is as good. */
+/*
+ * Returns the factor by which a target ranks lower than a healthy one with the
+ * same number of busy slots; 1 for a target of usual latency without failures.
+ */
 double adm_health_penalty(const struct adm_target *t)
 {
 	return t->latency_ratio * (1 + ADM_FAIL_PENALTY * t->fail_rate);
 }
 
 /*
- * Load: a fault of all targets, or requests that make every target fail. Harm:
- * ejecting one after the other crowds all work onto the last. Limit: half of
- * the targets that take work; beyond that the cause isn't in the targets, and
- * failing ones are only chosen later than others.
+ * Whether one more target of a pool may be ejected.
+ *
+ * Load: a fault common to all targets, or requests that fail on every target.
+ * Harm: ejecting one target after the other concentrates all load on the
+ * remaining ones, down to the last (cascading overload). Limit: half of the
+ * targets that accept work; if more of them fail, the cause is not in the
+ * targets, and failing ones only rank lower than others.
  */
 static bool adm_may_eject(const struct adm_pool *p)
 {
-	int out = p->n_health[ADM_EJECTED];
+	int ejected = p->n_health[ADM_EJECTED];
 
-	return 2 * (out + 1) <= adm_usable_targets(p) + out;
+	return 2 * (ejected + 1) <= adm_usable_targets(p) + ejected;
 }
 
+/* Ejects a target, and doubles the length of its ejections up to the limit. */
 static void adm_eject(struct adm *a, struct adm_target *t, int64_t now)
 {
 	int64_t us = t->ejection_us ? 2 * t->ejection_us : ADM_EJECT_MIN;
@@ -86,6 +96,7 @@
 	a->stats.ejected++;
 }
 
+/* Counts a failed attempt, and ejects the target if it failed too often. */
 static void adm_record_failure(struct adm *a, struct adm_pool *p,
 			       struct adm_target *t, bool probe, int64_t now)
 {
@@ -93,7 +104,7 @@
 	t->samples++;
 	t->fail_rate += ADM_FAIL_WEIGHT * (1 - t->fail_rate);
 	if (t->health == ADM_EJECTED) {
-		/* those still running from before the ejection tell no more */
+		/* Attempts started before the ejection don't count. */
 		if (probe)
 			adm_eject(a, t, now);
 		return;
@@ -106,6 +117,7 @@
 		adm_eject(a, t, now);
 }
 
+/* Counts a successful attempt; enough successful probes end an ejection. */
 static void adm_record_success(struct adm *a, struct adm_target *t, bool probe)
 {
 	t->consecutive_fails = 0;
@@ -123,12 +135,15 @@
 	a->stats.restored++;
 }
 
-/* Compares with the usual time of requests of the same declared size. */
+/*
+ * Compares the service time of an attempt, in us, with the mean of its size
+ * group, and marks the target as slow or as healthy again.
+ */
 static void adm_record_latency(const struct adm_pool *p, struct adm_target *t,
-			       const struct adm_req *r, int64_t service)
+			       const struct adm_req *r, int64_t service_us)
 {
 	const struct adm_est *e = adm_est_for(p, r->size_group);
-	double ratio = e->mean > 0 ? (double)service / e->mean : 1;
+	double ratio = e->mean > 0 ? (double)service_us / e->mean : 1;
 	bool slow = t->health == ADM_SLOW;
 
 	ratio = MIN(ratio, ADM_LATENCY_RATIO_MAX);
@@ -142,8 +157,8 @@
 }
 
 /*
- * Notes how an attempt ended. Refusals for load and callers who left say
- * nothing about health.
+ * Records the outcome of an attempt. Refusals as overloaded and cancellations
+ * say nothing about the health of a target, and are ignored.
  */
 void adm_health_record(struct adm *a, struct adm_pool *p, struct adm_target *t,
 		       const struct adm_req *r, const struct adm_result *res,
--- a/src/adm_heap.c
+++ b/src/adm_heap.c
@@ -1,37 +1,38 @@
 #include "adm_int.h"
 
-static void adm_heap_store(struct adm_heap *h, int at, struct adm_heap_node *n);
-static void adm_heap_sift(struct adm_heap *h, int at);
+static void adm_heap_store(struct adm_heap *h, int pos,
+			   struct adm_heap_node *n);
+static void adm_heap_sift(struct adm_heap *h, int pos);
 
-static void adm_heap_store(struct adm_heap *h, int at, struct adm_heap_node *n)
+static void adm_heap_store(struct adm_heap *h, int pos, struct adm_heap_node *n)
 {
-	h->nodes[at] = n;
-	n->pos = at;
+	h->nodes[pos] = n;
+	n->pos = pos;
 }
 
-/* Moves the member at a place up or down to where its key belongs. */
-static void adm_heap_sift(struct adm_heap *h, int at)
+/* Restores the heap order for the node at a position, moving it up or down. */
+static void adm_heap_sift(struct adm_heap *h, int pos)
 {
-	struct adm_heap_node *n = h->nodes[at];
+	struct adm_heap_node *n = h->nodes[pos];
 	int child;
 
-	while (at > 0 && h->nodes[(at - 1) / 2]->key > n->key) {
-		adm_heap_store(h, at, h->nodes[(at - 1) / 2]);
-		at = (at - 1) / 2;
+	while (pos > 0 && h->nodes[(pos - 1) / 2]->key > n->key) {
+		adm_heap_store(h, pos, h->nodes[(pos - 1) / 2]);
+		pos = (pos - 1) / 2;
 	}
-	while ((child = 2 * at + 1) < h->len) {
+	while ((child = 2 * pos + 1) < h->len) {
 		if (child + 1 < h->len &&
 		    h->nodes[child + 1]->key < h->nodes[child]->key)
 			child++;
 		if (h->nodes[child]->key >= n->key)
 			break;
-		adm_heap_store(h, at, h->nodes[child]);
-		at = child;
+		adm_heap_store(h, pos, h->nodes[child]);
+		pos = child;
 	}
-	adm_heap_store(h, at, n);
+	adm_heap_store(h, pos, n);
 }
 
-/* Adds a member, or moves it where it is in the heap already. */
+/* Inserts a node with a key, or changes the key of a node in the heap. */
 void adm_heap_put(struct adm_heap *h, struct adm_heap_node *n, int64_t key)
 {
 	if (n->pos >= 0 && n->key == key)
@@ -49,22 +50,22 @@
 	adm_heap_sift(h, n->pos);
 }
 
-/* Takes a member out; one that is in no heap is let pass. */
+/* Removes a node; does nothing if it is in no heap. */
 void adm_heap_remove(struct adm_heap *h, struct adm_heap_node *n)
 {
-	int at = n->pos;
+	int pos = n->pos;
 
-	if (at < 0)
+	if (pos < 0)
 		return;
 	n->pos = -1;
 	h->len--;
-	if (at == h->len)
+	if (pos == h->len)
 		return;
-	adm_heap_store(h, at, h->nodes[h->len]);
-	adm_heap_sift(h, at);
+	adm_heap_store(h, pos, h->nodes[h->len]);
+	adm_heap_sift(h, pos);
 }
 
-/* Frees the heap's own memory, not its members. */
+/* Frees the heap's memory, but not the structures that its nodes are in. */
 void adm_heap_clear(struct adm_heap *h)
 {
 	g_free(h->nodes);
--- a/src/adm_int.h
+++ b/src/adm_int.h
@@ -5,15 +5,18 @@
 
 #include "adm.h"
 
-/* Shared by the files of adm only. */
+/* Internal to the files of adm. */
 
 #define ADM_MS INT64_C(1000)
 #define ADM_SEC INT64_C(1000000)
 
-/* A min-heap whose members know their place, so that any can be moved. */
+/*
+ * A binary min-heap of nodes embedded in other structures. Each node stores its
+ * position, so that any node can be moved or removed in O(log n).
+ */
 struct adm_heap_node {
 	int64_t key;
-	int pos; /* -1: in no heap */
+	int pos; /* index in adm_heap.nodes; -1: in no heap */
 };
 
 struct adm_heap {
@@ -26,31 +29,34 @@
 void adm_heap_remove(struct adm_heap *h, struct adm_heap_node *n);
 void adm_heap_clear(struct adm_heap *h);
 
-/* Measured service times of one group of requests, microseconds. */
+/* Estimated service times of one size group, in microseconds. */
 struct adm_est {
-	uint32_t n;
-	double mean;
-	double low; /* about one in ten is faster */
-	double high; /* about one in ten is slower */
-	int64_t sampled_at; /* of the last answer */
+	uint32_t n; /* samples */
+	double mean; /* EWMA */
+	double low; /* about the 10th percentile */
+	double high; /* about the 90th percentile */
+	int64_t sampled_at; /* time of the last sample */
 };
 
-/* Groups by declared size, a power of two each; 0 holds all requests. */
+/*
+ * Groups of requests by declared size, a factor of four each; group 0 holds
+ * the samples of all requests.
+ */
 #define ADM_SIZE_GROUPS 33
 
-/* Where a target stands for placement. */
+/* The list of its pool that a target is in, which limits what it may get. */
 enum adm_list {
-	ADM_LIST_FAST, /* takes work */
-	ADM_LIST_SLOW, /* takes work that would else wait longer */
-	ADM_LIST_PROBE, /* was ejected, may be tried with one request */
+	ADM_LIST_FAST, /* accepts requests */
+	ADM_LIST_SLOW, /* accepts requests that would wait longer elsewhere */
+	ADM_LIST_PROBE, /* ejection time over; may get one probe request */
 	ADM_LISTS,
-	ADM_LIST_NONE = ADM_LISTS, /* full, leaving or ejected */
+	ADM_LIST_NONE = ADM_LISTS, /* no free slot, leaving or ejected */
 };
 
 enum adm_health {
 	ADM_HEALTHY,
 	ADM_SLOW,
-	ADM_EJECTED, /* gets nothing until .ejected_until, then probes */
+	ADM_EJECTED, /* gets no requests until .ejected_until, then probes */
 	ADM_HEALTHS
 };
 
@@ -59,36 +65,35 @@
 	uint32_t pool;
 	enum adm_target_state state;
 	int64_t lease_until;
-	int in_flight; /* our requests running there */
-	/* adm_share: slots busy with others' requests, as last learnt */
+	int in_flight; /* requests of this entry VM */
+	/* adm_share: slots held by other entry VMs, as of the last report */
 	double others_busy;
 	int64_t others_updated_at;
-	int64_t others_decay_us; /* after that long we know nothing any more */
-	int busy_streak; /* refusals for load in a row */
+	int64_t others_decay_us; /* others_busy decays to 0 over this time */
+	int busy_streak; /* consecutive refusals as overloaded */
 	/* adm_health */
 	enum adm_health health;
-	double fail_rate; /* share of failed attempts, lately */
-	double latency_ratio; /* service time over what is usual; 1 is usual */
-	int consecutive_fails; /* in a row */
-	int samples;
-	int probes_ok;
+	double fail_rate; /* EWMA, 0 to 1 */
+	double latency_ratio; /* EWMA of service time over its group's mean */
+	int consecutive_fails;
+	int samples; /* attempts counted in fail_rate */
+	int probes_ok; /* consecutive successful probes */
 	int64_t ejected_until;
-	int64_t ejection_us;
-	/* adm_pick_target */
-	int counted_as; /* where in the pool's n_health; -1: takes no work */
+	int64_t ejection_us; /* of the last ejection; halved on recovery */
+	/* adm_place */
+	int counted_as; /* index into n_health of the pool; -1: not counted */
 	enum adm_list list;
-	int list_index; /* place in that list */
-	int pool_index; /* place in the pool's targets */
-	struct adm_heap_node recheck; /* when it must be filed anew */
+	int list_index; /* index in that list */
+	int pool_index; /* index in the pool's targets */
+	struct adm_heap_node recheck; /* when to classify the target again */
 };
 
-/* The requests of one caller and class in one pool. */
+/* The requests of one caller and class in one pool, for fair queueing. */
 struct adm_flow {
 	uint64_t key;
 	enum adm_class class;
-	struct adm_heap_node
-		vtime; /* slot time it has had, on the class's scale */
-	GQueue queue; /* struct adm_req */
+	struct adm_heap_node vtime; /* virtual time: slot time used, in us */
+	GQueue queue; /* waiting requests, struct adm_req */
 	int running;
 };
 
@@ -100,75 +105,75 @@
 };
 
 struct adm_req {
-	uint32_t index;
-	uint32_t gen;
+	uint32_t index; /* in adm.reqs */
+	uint32_t gen; /* generation; tells tickets of a reused record apart */
 	enum adm_req_state state;
 	uint32_t pool;
 	uint64_t caller;
 	enum adm_class class;
 	int64_t deadline;
-	int64_t offered_at; /* first offered */
+	int64_t offered_at;
 	bool repeatable;
-	bool no_shift; /* may not be shifted (again) */
+	bool no_shift; /* was shifted once already, or is a hedge */
 	bool from_other_zone;
 	bool probe;
-	int size_group; /* group in est */
-	int64_t cost; /* slot time charged to its caller in advance */
-	int failed_attempts; /* failed attempts */
+	int size_group; /* index into est of the pool */
+	int64_t cost; /* slot time charged to its flow in advance, us */
+	int failed_attempts;
 
-	uint64_t last_target; /* target of the last attempt */
+	uint64_t last_target; /* of the last attempt */
 	bool has_last_target;
 	void *user;
 	struct adm_flow *flow;
 	struct adm_target *target;
-	int zone;
-	GList link; /* in its flow's queue */
+	int zone; /* that the request was shifted to */
+	GList link; /* in the queue of its flow */
 	struct adm_heap_node expiry;
 };
 
-/* What we know of another zone's room for a pool. */
+/* How many requests of one pool may be shifted to another zone. */
 struct adm_zone_credit {
 	int64_t reported_at;
-	int sustained; /* ours that may run there, without fresh ones */
-	int additional; /* how many more we may send */
-	int peak; /* the most of ours in flight there since .peak_from */
+	int sustained; /* in flight that may be replaced as requests end */
+	int additional; /* our share of the capacity last reported */
+	int peak; /* maximum of in_flight since .peak_since */
 	int64_t peak_since;
-	int64_t paused_until; /* nothing is sent after a refusal */
-	int in_flight;
+	int64_t paused_until; /* no shifting before, after a refusal */
+	int in_flight; /* requests shifted to the zone */
 	bool has_report;
 };
 
 struct adm_pool {
 	bool set;
 	struct adm_pool_spec spec;
-	/* adm_pick_target */
+	/* adm_place */
 	GPtrArray *lists[ADM_LISTS];
 	struct adm_heap recheck;
-	GPtrArray *targets; /* all, in no order */
-	int n_health[ADM_HEALTHS]; /* of targets that take work */
+	GPtrArray *targets; /* all, unordered */
+	int n_health[ADM_HEALTHS]; /* targets that accept work, by health */
 	int64_t slow_probed_at;
-	int starts_since_slow_probe; /* since a slow target was last tried */
+	int starts_since_slow_probe;
 	int in_flight;
 	/* adm_queue */
 	GHashTable *flows;
 	struct adm_heap ready[ADM_CLASSES]; /* flows that wait, by vtime */
 	int n_queued[ADM_CLASSES];
-	int bypassed[ADM_CLASSES]; /* starts that went ahead of this class */
-	int64_t vtime[ADM_CLASSES];
-	struct adm_heap expiry;
+	int bypassed[ADM_CLASSES]; /* starts made ahead of the waiting class */
+	int64_t vtime[ADM_CLASSES]; /* virtual time of the last flow served */
+	struct adm_heap expiry; /* waiting requests, by latest start */
 	/* adm_limit */
 	struct adm_est est[ADM_SIZE_GROUPS];
 	int64_t demand_window_start;
-	int demand_offered; /* offered since then */
-	double demand_ratio; /* asked for over what could run; 0: nothing waits */
-	int64_t overload_since; /* demand is above 1; 0: it isn't */
+	int demand_offered; /* requests offered in the current window */
+	double demand_ratio; /* EWMA of demand over capacity; 0: empty queue */
+	int64_t overload_since; /* demand exceeds capacity; 0: it doesn't */
 	/* adm_retry */
-	double tokens;
+	double tokens; /* of the retry budget, a token bucket */
 	/* adm_shift */
 	struct adm_zone_credit zones[ADM_ZONES_MAX];
-	bool saturated; /* saturated: shifting */
-	int64_t transition_since; /* since when the opposite of hot is seen; 0: not */
-	int inbound_left; /* for work from elsewhere, when last added up */
+	bool saturated; /* requests may be shifted to other zones */
+	int64_t transition_since; /* the wait calls for the other state; 0: no */
+	int inbound_left; /* shifted requests that may still be accepted */
 	int64_t inbound_refreshed_at;
 };
 
@@ -178,10 +183,10 @@
 	GPtrArray *pools; /* struct adm_pool, NULL where unset */
 	GHashTable *targets; /* by handle */
 	GPtrArray *reqs; /* all records, by index */
-	GArray *free_reqs; /* uint32_t */
-	GPtrArray *pools_waiting; /* pools in which requests wait */
+	GArray *free_reqs; /* indexes of unused records, uint32_t */
+	GPtrArray *pools_waiting; /* pools with queued requests */
 	struct adm_stats stats;
-	int highest_priority;
+	int highest_priority; /* of all pools */
 };
 
 /* adm.c */
@@ -200,9 +205,9 @@
 			      int64_t wait_us);
 
 /* adm_limit.c */
-int adm_size_group(uint64_t hint);
-const struct adm_est *adm_est_for(const struct adm_pool *p, int size);
-void adm_est_record(struct adm_pool *p, int size, int64_t service_us,
+int adm_size_group(uint64_t size_hint);
+const struct adm_est *adm_est_for(const struct adm_pool *p, int size_group);
+void adm_est_record(struct adm_pool *p, int size_group, int64_t service_us,
 		    int64_t now);
 int64_t adm_mean_service(const struct adm_pool *p);
 int64_t adm_latest_start(const struct adm_pool *p, const struct adm_req *r);
@@ -215,7 +220,7 @@
 struct adm_flow *adm_flow_get(struct adm_pool *p, uint64_t caller,
 			      enum adm_class class);
 void adm_flow_charge(struct adm_pool *p, struct adm_req *r);
-void adm_flow_settle(struct adm_pool *p, struct adm_req *r, int64_t service);
+void adm_flow_settle(struct adm_pool *p, struct adm_req *r, int64_t service_us);
 void adm_flow_free_if_idle(struct adm_pool *p, struct adm_flow *f);
 void adm_queue_add(struct adm *a, struct adm_pool *p, struct adm_req *r,
 		   bool front);
@@ -231,7 +236,7 @@
 int64_t adm_queue_estimate_wait(const struct adm *a, const struct adm_pool *p,
 				const struct adm_flow *f);
 
-/* adm_pick_target.c */
+/* adm_place.c */
 void adm_target_classify(struct adm_pool *p, struct adm_target *t, int64_t now);
 void adm_target_unlist(struct adm_pool *p, struct adm_target *t);
 void adm_recheck_due(struct adm_pool *p, int64_t now);
@@ -270,16 +275,17 @@
 bool adm_accept_shifted(struct adm *a, struct adm_pool *p, int64_t now);
 
 /*
- * adm_retry.c: retries and hedges of a pool draw on one budget, a tenth of the
- * requests taken in and this many to begin with, so that a quiet pool may
- * retry at all. At worst the load grows by a tenth.
+ * adm_retry.c: capacity and initial fill of a pool's token bucket for retries
+ * and hedges. Each accepted request adds a tenth of a token, so that retries
+ * add at most a tenth to the load, against retry storms; the initial tokens
+ * allow retries also where there are few requests.
  */
 #define ADM_BUDGET_MAX 10.0
 void adm_budget_credit(struct adm_pool *p);
 
 /* adm_admit.c */
 struct adm_verdict adm_admit(struct adm *a, struct adm_pool *p,
-			     struct adm_req *r, int64_t now, bool again);
+			     struct adm_req *r, int64_t now, bool readmit);
 void adm_detach_flow(struct adm_pool *p, struct adm_req *r);
 
 #endif
--- a/src/adm_limit.c
+++ b/src/adm_limit.c
@@ -1,71 +1,86 @@
 #include "adm_int.h"
 
 /*
- * Measured service time, and what it allows. Declared sizes may be wrong by
- * 10x, so a size only says with which other requests one is measured together;
- * the times themselves are all measured.
+ * Service time estimates and the limits derived from them. Declared sizes may
+ * be wrong by a factor of 10; therefore a size only selects the group of
+ * requests that a request is measured with, and all times are measured.
  */
 
-/* Below that many samples a group says less than all requests together. */
+/* With fewer samples in a group, the estimate of all requests is used. */
 #define ADM_EST_MIN_SAMPLES 16
 
 /*
- * Weight of a sample: 1/64 follows a change of the load within about a
- * hundred answers, some seconds at one pool's rate on one entry VM, and one
- * odd answer moves the mean by 1.6 % of its excess only.
+ * EWMA weight of a sample. With 1/64 the mean follows a change of the load
+ * within about a hundred answers, which is some seconds at the rate of one
+ * pool on one entry VM, and an outlier moves the mean by only 1.6 % of its
+ * excess.
  */
 #define ADM_EST_WEIGHT (1.0 / 64)
 
-/* Step of a quantile; 5 % reaches a value twice as high in 16 answers. */
+/*
+ * Relative step of a percentile estimate. With 5 % it reaches a value twice as
+ * high within 16 answers.
+ */
 #define ADM_EST_QUANTILE_STEP 0.05
 
 /*
- * What is asked for is looked at eight times in the longest wait, and the last
- * four looks weigh most: half a longest wait tells a burst from overload that
- * stays. It is over once demand is 5 % below what can run, as one look at a
- * few dozen requests is off by that much.
+ * Demand is sampled eight times per longest wait (queue_us), as an EWMA of
+ * weight 1/4 over about the last four samples: half a longest wait tells a
+ * burst from sustained overload. An overload counts as over when demand is 5 %
+ * below capacity, as a sample of a few dozen requests has an error of that
+ * size.
  */
 #define ADM_DEMAND_WINDOWS 8
 #define ADM_DEMAND_WEIGHT 0.25
 #define ADM_DEMAND_RECOVERED 0.95
 
-/* Longest wait under lasting overload, in mean service times. */
+/* Longest wait under sustained overload, in mean service times. */
 #define ADM_OVERLOAD_WAIT_MEANS 2
 
-/* Without an answer for that long, a request is let through to learn from. */
+/*
+ * Age from which an estimate no longer causes refusals, so that requests run
+ * and provide new samples.
+ */
 #define ADM_EST_STALE (10 * ADM_SEC)
 
-/* Share of requests that are faster than low, and slower than high. */
+/* Share of requests faster than adm_est.low, and slower than adm_est.high. */
 #define ADM_EST_TAIL 0.1
 
 static void adm_est_update(struct adm_est *e, double x, int64_t now);
 
-/* The group a declared size falls into; 0 where none is declared. */
-int adm_size_group(uint64_t hint)
+/* Returns the size group of a declared size; 0 if none is declared. */
+int adm_size_group(uint64_t size_hint)
 {
-	int bits = 0;
+	int group = 0;
 
-	while (hint) {
-		hint >>= 2;
-		bits++;
+	while (size_hint) {
+		size_hint >>= 2;
+		group++;
 	}
-	return MIN(bits, ADM_SIZE_GROUPS - 1);
+	return MIN(group, ADM_SIZE_GROUPS - 1);
 }
 
-/* The estimate to use for a group: its own, or that of all requests. */
-const struct adm_est *adm_est_for(const struct adm_pool *p, int size)
+/*
+ * Returns the estimate to use for a size group: its own, or that of all
+ * requests if the group has too few samples.
+ */
+const struct adm_est *adm_est_for(const struct adm_pool *p, int size_group)
 {
-	if (size && p->est[size].n >= ADM_EST_MIN_SAMPLES)
-		return &p->est[size];
+	if (size_group && p->est[size_group].n >= ADM_EST_MIN_SAMPLES)
+		return &p->est[size_group];
 	return &p->est[0];
 }
 
+/*
+ * Adds a sample x, in us, to an estimate. Each sample moves the percentiles by
+ * a small step up or down; the steps are weighted so that ADM_EST_TAIL of the
+ * samples lies beyond each of them.
+ */
 static void adm_est_update(struct adm_est *e, double x, int64_t now)
 {
 	double weight;
 
 	e->sampled_at = now;
-
 	if (e->n++ == 0) {
 		e->mean = e->low = e->high = x;
 		return;
@@ -82,29 +97,30 @@
 		e->high *= 1 - ADM_EST_QUANTILE_STEP * ADM_EST_TAIL;
 }
 
-/* Learns from an answer that a target gave in full. */
-void adm_est_record(struct adm_pool *p, int size, int64_t service_us,
+/* Records the service time of a complete answer. */
+void adm_est_record(struct adm_pool *p, int size_group, int64_t service_us,
 		    int64_t now)
 {
 	double x = (double)MAX(service_us, 1);
 
 	adm_est_update(&p->est[0], x, now);
-	if (size)
-		adm_est_update(&p->est[size], x, now);
+	if (size_group)
+		adm_est_update(&p->est[size_group], x, now);
 }
 
-/* Mean service time of the pool in us; 0 before the first answer. */
+/* Returns the mean service time of a pool, us; 0 before the first answer. */
 int64_t adm_mean_service(const struct adm_pool *p)
 {
 	return (int64_t)p->est[0].mean;
 }
 
 /*
- * Last moment at which a queued request may start.
- * Load: saturation, where the queue is as long as it may be. Harm: a slot
- * spent on an answer that comes after its deadline helps nobody and makes the
- * next one late too. Limit: the deadline less the mean time of its group;
- * below that most would be late.
+ * Returns the latest time at which a queued request may start.
+ *
+ * Load: saturation, where the queue has its maximum length. Harm: a slot spent
+ * on an answer that misses its deadline is wasted, and delays the next request
+ * beyond its deadline too. Limit: the deadline less the mean service time of
+ * the size group; most requests that start later would miss their deadline.
  */
 int64_t adm_latest_start(const struct adm_pool *p, const struct adm_req *r)
 {
@@ -115,22 +131,23 @@
 }
 
 /*
- * Notes a request that is offered, and compares what is asked for with what
- * the slots we hold can do. Only while requests wait: with slots free, what
- * runs is what is asked for, and says nothing about what could run.
+ * Counts an offered request, and at the end of a sampling window compares the
+ * demand with the capacity of the slots held. The ratio is 0 unless requests
+ * wait: with free slots, the slots in use reflect the demand and not the
+ * capacity.
  */
 void adm_demand_record(struct adm_pool *p, int64_t now)
 {
 	int64_t elapsed = now - p->demand_window_start;
-	double could;
+	double capacity;
 	double ratio = 0;
 
 	p->demand_offered++;
 	if (elapsed < p->spec.queue_us / ADM_DEMAND_WINDOWS)
 		return;
-	could = (double)elapsed * MAX(p->in_flight, 1);
+	capacity = (double)elapsed * MAX(p->in_flight, 1);
 	if (adm_queue_len(p))
-		ratio = p->demand_offered * p->est[0].mean / could;
+		ratio = p->demand_offered * p->est[0].mean / capacity;
 	p->demand_ratio += ADM_DEMAND_WEIGHT * (ratio - p->demand_ratio);
 	p->demand_window_start = now;
 	p->demand_offered = 0;
@@ -141,12 +158,14 @@
 }
 
 /*
- * How long a request may be let wait for a slot, apart from its deadline.
- * Load: bursts, and overload that stays. A burst that ends is worth waiting
- * for, as long as the pool allows. Harm: when more than can run has come for
- * that long already, all a long queue does is make every caller wait for the
- * longest time. Limit then: two mean service times, a queue of twice the slots
- * held, which still keeps each of them busy.
+ * Returns how long a request may wait for a slot, in us, apart from its
+ * deadline.
+ *
+ * Load: bursts, and sustained overload. In a burst, waiting up to the longest
+ * wait of the pool is worthwhile. Harm: once demand has exceeded capacity for
+ * that long, a long queue only makes each caller wait for the longest time
+ * (standing queue). Limit under sustained overload: two mean service times, a
+ * queue of twice the slots held, which still keeps all of them busy.
  */
 int64_t adm_max_wait(const struct adm_pool *p, int64_t now)
 {
@@ -157,11 +176,11 @@
 }
 
 /*
- * Whether a request can't be done in time even by an idle target. Only nine
- * in ten of its group being slower is proof enough: on an idle slot a try
- * costs nobody anything. What was measured long ago proves nothing: targets
- * that were slow for a while, and refusals since, would leave no answer to
- * learn from, and every caller with a short deadline would be refused for ever.
+ * Whether even an idle target would miss a request's deadline. This requires
+ * that nine in ten requests of its size group take longer, as an attempt on an
+ * idle slot costs no other caller anything. A stale estimate doesn't count:
+ * after a period of slow targets, refusals would prevent new samples, and every
+ * caller with a short deadline would be refused permanently.
  */
 bool adm_deadline_too_short(const struct adm_pool *p, const struct adm_req *r,
 			    int64_t now)
--- a/src/adm_place.c
+++ b/src/adm_place.c
@@ -1,32 +1,38 @@
 #include "adm_int.h"
 
 /*
- * Which target gets a request: the best of a few taken at random from those
- * that have a free slot as far as we know. Targets are kept in lists by what
- * they may get, so that a decision costs the same with 50 and with 575.
+ * Load balancing: the choice of a target for a request, which is the best of a
+ * few that are drawn at random from the targets believed to have a free slot
+ * (power of two choices). Targets are in lists by the requests that they may
+ * get, so that a decision costs the same with 50 targets and with 575.
  *
- * Load: several entry VMs that place at once on the same targets. Harm: if all
- * took the single best one they would meet there (herding). Limit: two choices
- * take off most of the load that pure chance would pile up; more bring little
- * and herd again when knowledge is old.
+ * Load: several entry VMs place requests on the same targets at the same time.
+ * Harm: if each of them took the single best target, they would all take the
+ * same one (herding). Limit: comparing two targets removes most of the
+ * imbalance of a random choice; comparing more gains little, and causes herding
+ * again when the information about targets is old.
  */
 
-/* A slot of a target that batch work leaves free, from so many slots on. */
+/*
+ * Targets with at least this many slots keep one of them free of batch work.
+ */
 #define ADM_RESERVE_MIN_SLOTS 4
 
 /*
- * A slow target is tried now and then, else we would never see it recover:
- * each about once a second, at most one in 200 starts (0.5 % stays out of the
- * 99th percentile of callers' waits), but after ten seconds anyhow.
+ * A slow target gets an occasional probe request, as otherwise its recovery
+ * would not be noticed. Limits: about one probe per second and target, and at
+ * most one in 200 starts, so that probes (0.5 %) don't affect the 99th
+ * percentile of callers' latency; a probe is always allowed 10 s after the
+ * last one.
  */
 #define ADM_SLOW_PROBE_INTERVAL ADM_SEC
 #define ADM_SLOW_PROBE_STARTS 200
 #define ADM_SLOW_PROBE_INTERVAL_MAX (10 * ADM_SEC)
 
 /*
- * A probe of an ejected target may fail, so that it is made with a request
- * that may be repeated and isn't urgent; a pool that has none such is probed
- * with any after this time.
+ * Ejected targets are probed with requests that are repeatable and not urgent,
+ * as the probe may fail. A pool without such requests is probed with any
+ * request when this time has passed since the end of the ejection.
  */
 #define ADM_PROBE_ANY_AFTER (10 * ADM_SEC)
 
@@ -35,7 +41,7 @@
 							   recheck)))
 
 static void adm_count_health(struct adm_pool *p, struct adm_target *t,
-			     bool takes);
+			     bool accepts);
 static void adm_list_move(struct adm_pool *p, struct adm_target *t,
 			  enum adm_list to);
 static struct adm_target *adm_draw_target(struct adm *a, const GPtrArray *list,
@@ -58,22 +64,24 @@
 				const struct adm_target *t,
 				const struct adm_req *r, int64_t now);
 
-/* Targets that take work and are not ejected. */
+/* Returns the number of targets that accept work and are not ejected. */
 int adm_usable_targets(const struct adm_pool *p)
 {
 	return p->n_health[ADM_HEALTHY] + p->n_health[ADM_SLOW];
 }
 
+/* Updates the pool's numbers of targets by health after a change of one. */
 static void adm_count_health(struct adm_pool *p, struct adm_target *t,
-			     bool takes)
+			     bool accepts)
 {
 	if (t->counted_as >= 0)
 		p->n_health[t->counted_as]--;
-	t->counted_as = takes ? (int)t->health : -1;
-	if (takes)
+	t->counted_as = accepts ? (int)t->health : -1;
+	if (accepts)
 		p->n_health[t->health]++;
 }
 
+/* Moves a target from its list to another one, in constant time. */
 static void adm_list_move(struct adm_pool *p, struct adm_target *t,
 			  enum adm_list to)
 {
@@ -96,38 +104,40 @@
 }
 
 /*
- * Puts a target where it belongs now, and sets when to look again. A target
- * that leaves, is drained or whose lease lapsed is in no list from this call
- * on; the lease needs no message, so that it also ends work on a VM that is
- * cut off from control and neighbours.
+ * Moves a target to the list that matches its state, and schedules the next
+ * check. A target that leaves, is drained or whose lease has expired is in no
+ * list after this call. The expiry of a lease needs no message, so that it also
+ * ends placements by an entry VM that is partitioned from the voters and from
+ * the other entry VMs.
  */
 void adm_target_classify(struct adm_pool *p, struct adm_target *t, int64_t now)
 {
-	bool takes = t->state == ADM_SERVING && now < t->lease_until;
+	bool accepts = t->state == ADM_SERVING && now < t->lease_until;
 	enum adm_list to = ADM_LIST_NONE;
-	int64_t again = t->lease_until;
+	int64_t recheck_at = t->lease_until;
 
-	adm_count_health(p, t, takes);
-	if (!takes) {
-		again = ADM_NEVER;
+	adm_count_health(p, t, accepts);
+	if (!accepts) {
+		recheck_at = ADM_NEVER;
 	} else if (t->health == ADM_EJECTED) {
 		if (now < t->ejected_until)
-			again = MIN(again, t->ejected_until);
+			recheck_at = MIN(recheck_at, t->ejected_until);
 		else if (!t->in_flight)
 			to = ADM_LIST_PROBE;
 	} else if (adm_has_free_slot(p, t, now)) {
 		to = t->health == ADM_SLOW ? ADM_LIST_SLOW : ADM_LIST_FAST;
 	} else {
-		again = MIN(again, adm_next_slot_free_at(p, t, now));
+		recheck_at = MIN(recheck_at, adm_next_slot_free_at(p, t, now));
 	}
 	adm_list_move(p, t, to);
-	if (again == ADM_NEVER)
+	if (recheck_at == ADM_NEVER)
 		adm_heap_remove(&p->recheck, &t->recheck);
 	else
-		adm_heap_put(&p->recheck, &t->recheck, MAX(again, now + 1));
+		adm_heap_put(&p->recheck, &t->recheck,
+			     MAX(recheck_at, now + 1));
 }
 
-/* Takes a target out of all lists. */
+/* Removes a target from all lists, counts and scheduled checks of its pool. */
 void adm_target_unlist(struct adm_pool *p, struct adm_target *t)
 {
 	adm_count_health(p, t, false);
@@ -135,7 +145,7 @@
 	adm_heap_remove(&p->recheck, &t->recheck);
 }
 
-/* Files anew the targets whose time has come. */
+/* Classifies the targets again whose scheduled check is due. */
 void adm_recheck_due(struct adm_pool *p, int64_t now)
 {
 	struct adm_heap_node *n;
@@ -147,17 +157,18 @@
 }
 
 /*
- * Whether a target suits this very request: for batch work not the last free
- * slot. Load: archive reprocessing
- * that runs for minutes, then a storm. Harm: urgent work would wait until the
- * first of it ends. Limit: one slot of a target, an eighth; when batch work
- * has been passed as often as allowed it may have that too.
+ * Whether a request may use a slot of a target; batch work may not take the
+ * last free one.
+ *
+ * Load: archive reprocessing that runs for minutes, followed by a storm. Harm:
+ * urgent work would wait until the first batch request ends. Limit: one slot
+ * per target, an eighth of the capacity at 8 slots; batch work that has reached
+ * its limit of bypasses may take that slot too.
  */
 static bool adm_may_use_slot(const struct adm_pool *p,
 			     const struct adm_target *t,
 			     const struct adm_req *r, int64_t now)
 {
-
 	if (r->class != ADM_BATCH || adm_queue_must_serve(p, ADM_BATCH))
 		return true;
 	if (p->spec.slots < ADM_RESERVE_MIN_SLOTS)
@@ -165,7 +176,7 @@
 	return t->in_flight + adm_others_busy(t, now) + 2 <= p->spec.slots;
 }
 
-/* Whether a target is the one that has just failed a request. */
+/* Whether the last attempt of a request failed on this target. */
 static bool adm_is_last_target(const struct adm_req *r,
 			       const struct adm_target *t)
 {
@@ -173,9 +184,10 @@
 }
 
 /*
- * One taken at random; the target that has just failed the request only where
- * the list has no other. To have it wait for another instead would hold up all
- * that wait behind it, with slots free.
+ * Returns a random target of a list, which must not be empty. The target on
+ * which the last attempt failed is returned only if the list has no other:
+ * waiting for another target would cause head-of-line blocking while slots are
+ * free.
  */
 static struct adm_target *adm_draw_target(struct adm *a, const GPtrArray *list,
 					  const struct adm_req *r)
@@ -188,7 +200,11 @@
 	return t;
 }
 
-/* The better of some taken at random; NULL where none of them suits. */
+/*
+ * Returns the best of adm_config.choices targets drawn from a list, which is
+ * the one with the fewest busy slots, weighted by its health; NULL if none of
+ * the targets drawn suits the request.
+ */
 static struct adm_target *adm_best_of_sample(struct adm *a,
 					     const struct adm_pool *p,
 					     const struct adm_req *r,
@@ -197,10 +213,10 @@
 	const GPtrArray *list = p->lists[l];
 	struct adm_target *best = NULL;
 	double best_score = 0;
-	int looks = MAX(a->conf.choices, 4);
-	int left = a->conf.choices;
+	int draws_left = MAX(a->conf.choices, 4);
+	int to_compare = a->conf.choices;
 
-	while (list->len && left > 0 && looks-- > 0) {
+	while (list->len && to_compare > 0 && draws_left-- > 0) {
 		struct adm_target *t = adm_draw_target(a, list, r);
 		double score;
 
@@ -208,7 +224,7 @@
 			continue;
 		if (!adm_may_use_slot(p, t, r, now))
 			continue;
-		left--;
+		to_compare--;
 		score = (t->in_flight + adm_others_busy(t, now) + 1) *
 			adm_health_penalty(t);
 		if (best && score >= best_score)
@@ -219,25 +235,31 @@
 	return best;
 }
 
-/* An ejected target whose time is over, if this request may try it. */
+/*
+ * Returns a target whose ejection time is over, if there is one and this
+ * request may probe it, or NULL. Retries don't probe.
+ */
 static struct adm_target *adm_pick_probe(struct adm *a,
 					 const struct adm_pool *p,
 					 const struct adm_req *r, int64_t now)
 {
 	const GPtrArray *list = p->lists[ADM_LIST_PROBE];
 	struct adm_target *t;
-
-	bool fit = r->repeatable && r->class != ADM_URGENT;
+	bool suitable = r->repeatable && r->class != ADM_URGENT;
 
 	if (!list->len || r->has_last_target)
 		return NULL;
 	t = list->pdata[adm_random(a, list->len)];
-	if (!fit && now < t->ejected_until + ADM_PROBE_ANY_AFTER)
+	if (!suitable && now < t->ejected_until + ADM_PROBE_ANY_AFTER)
 		return NULL;
 	return t;
 }
 
-/* A slow target to be tried again, if this request has the time for it. */
+/*
+ * Returns a slow target that is due for a probe, if the deadline of this
+ * request leaves 1.5 times the time expected there, or NULL. Urgent requests
+ * don't probe.
+ */
 static struct adm_target *adm_pick_slow_probe(struct adm *a,
 					      const struct adm_pool *p,
 					      const struct adm_req *r,
@@ -245,7 +267,7 @@
 {
 	const GPtrArray *list = p->lists[ADM_LIST_SLOW];
 	int64_t since = now - p->slow_probed_at;
-	double need = adm_est_for(p, r->size_group)->mean;
+	double mean = adm_est_for(p, r->size_group)->mean;
 	struct adm_target *t;
 
 	if (!list->len || r->class == ADM_URGENT)
@@ -257,36 +279,38 @@
 		return NULL;
 	t = list->pdata[adm_random(a, list->len)];
 	if (t->in_flight ||
-	    now + (int64_t)(1.5 * need * t->latency_ratio) > r->deadline)
+	    now + (int64_t)(1.5 * mean * t->latency_ratio) > r->deadline)
 		return NULL;
 	return t;
 }
 
 /*
- * Whether a slow target is better than waiting. Load: saturation with some
- * targets slow. Harm: given work as soon as the others are full, a target ten
- * times slower holds its share of all callers up for ten times as long.
- * Limit: no more extra time there than a request would now wait in the queue;
- * so one that is a little slow still carries load when that is needed.
+ * Whether a slow target is better for a request than waiting for another one.
+ *
+ * Load: saturation while some targets are slow. Harm: if it got requests as
+ * soon as the other targets are full, a target ten times slower would delay its
+ * share of all callers tenfold. Limit: the extra time on the slow target must
+ * be less than the current wait in the queue, so that a slightly slow target
+ * still carries load when it is needed.
  */
 static bool adm_slow_beats_wait(const struct adm_pool *p,
 				const struct adm_target *t,
 				const struct adm_req *r, int64_t now)
 {
-	double usual = adm_est_for(p, r->size_group)->mean;
+	double mean = adm_est_for(p, r->size_group)->mean;
 	double wait;
 
 	if (!p->n_health[ADM_HEALTHY])
 		return true;
-	if (now + (int64_t)(usual * t->latency_ratio) > r->deadline)
+	if (now + (int64_t)(mean * t->latency_ratio) > r->deadline)
 		return false;
 	wait = p->est[0].mean * (adm_queue_len(p) + 1) / MAX(p->in_flight, 1);
-	return usual * (t->latency_ratio - 1) < wait;
+	return mean * (t->latency_ratio - 1) < wait;
 }
 
 /*
- * The target to send a request to now, or NULL where it must wait. Sets probe
- * where the target is tried after an ejection.
+ * Returns the target to send a request to now, or NULL if the request must
+ * wait. Sets probe to whether the request is a probe of an ejected target.
  */
 struct adm_target *adm_pick_target(struct adm *a, struct adm_pool *p,
 				   const struct adm_req *r, int64_t now,
@@ -309,9 +333,10 @@
 		return t;
 	slow = adm_best_of_sample(a, p, r, ADM_LIST_SLOW, now);
 	/*
-	 * Load: one target dead, the rest slow. Harm: the dead one stands
-	 * alone among the fast, and each attempt would go there again until
-	 * the request is given up. A slow answer is better than none.
+	 * Load: one target is down, all others are slow. Harm: the target that
+	 * is down is the only one in the fast list, and all attempts would go
+	 * there until the request is refused. A slow answer is better than
+	 * none.
 	 */
 	if (slow && (t || adm_slow_beats_wait(p, slow, r, now)))
 		return slow;
--- a/src/adm_queue.c
+++ b/src/adm_queue.c
@@ -1,16 +1,20 @@
 #include "adm_int.h"
 
 /*
- * Waiting requests: for each class, flows (one a caller) in order of the slot
- * time they have had. Slot time, not requests, so that a caller of long work
- * gets no more of the pool than one of short work.
+ * Queues of waiting requests, with fair queueing between callers: in each class
+ * the flows (one per caller) are ordered by virtual time, which is the slot
+ * time they have used. Slot time rather than the number of requests is used, so
+ * that a caller with long requests gets no larger share of the pool than one
+ * with short requests.
  */
 
 /*
- * Starts that may go ahead of a class that waits. Load: a storm, where the
- * duty officer's work alone fills the pool. Harm: archive work that never
- * ends. Limit: one start in 9 for normal work keeps urgent work within an
- * eighth of its best; batch work may wait, one in 17 is enough to finish.
+ * Maximum number of starts made ahead of a waiting lower class.
+ *
+ * Load: a storm, in which the requests of the duty officer alone fill the pool.
+ * Harm: starvation of batch work. Limits: one start in 9 for normal work, which
+ * slows urgent work down by an eighth at most; one in 17 for batch work, which
+ * may be delayed and needs only enough to finish.
  */
 static const int adm_bypass_max[ADM_CLASSES] = {
 	[ADM_URGENT] = 0,
@@ -18,7 +22,7 @@
 	[ADM_BATCH] = 16,
 };
 
-/* One caller may hold an eighth of the memory for queues. */
+/* One flow may hold an eighth of queue_max. */
 #define ADM_FLOW_QUEUE_PARTS 8
 
 static int64_t adm_flow_cost(const struct adm_pool *p, const struct adm_req *r);
@@ -31,8 +35,9 @@
 							expiry)))
 
 /*
- * The flow of a caller. One that is not known starts level with whoever is
- * served now: neither punished nor rewarded for having been away.
+ * Returns the flow of a caller and class, creating it if necessary. A new flow
+ * starts at the virtual time of the flow served last, so that a caller that was
+ * idle has neither credit nor debt.
  */
 struct adm_flow *adm_flow_get(struct adm_pool *p, uint64_t caller,
 			      enum adm_class class)
@@ -52,7 +57,7 @@
 	return f;
 }
 
-/* Forgets a flow that has nothing waiting and nothing running. */
+/* Frees a flow that has no waiting and no running request. */
 void adm_flow_free_if_idle(struct adm_pool *p, struct adm_flow *f)
 {
 	if (f->running || f->queue.length)
@@ -60,12 +65,16 @@
 	g_hash_table_remove(p->flows, &f->key);
 }
 
+/* Returns the estimated slot time of a request, in us; at least 1. */
 static int64_t adm_flow_cost(const struct adm_pool *p, const struct adm_req *r)
 {
 	return (int64_t)adm_est_for(p, r->size_group)->mean + 1;
 }
 
-/* Charges a caller in advance with what a request of its group costs. */
+/*
+ * Charges a flow for a request that starts. The charge is the mean service time
+ * of the request's size group; adm_flow_settle corrects it later.
+ */
 void adm_flow_charge(struct adm_pool *p, struct adm_req *r)
 {
 	struct adm_flow *f = r->flow;
@@ -80,13 +89,14 @@
 }
 
 /*
- * Puts the measured time in the place of the charge. Harm prevented: a caller
- * who declares small sizes for long work would else get ten times its share.
+ * Replaces the charge for a request by its measured service time, in us.
+ * Without this, a caller that declares small sizes for long requests would get
+ * up to ten times its share.
  */
-void adm_flow_settle(struct adm_pool *p, struct adm_req *r, int64_t service)
+void adm_flow_settle(struct adm_pool *p, struct adm_req *r, int64_t service_us)
 {
 	struct adm_flow *f = r->flow;
-	int64_t vtime = f->vtime.key + service - r->cost;
+	int64_t vtime = f->vtime.key + service_us - r->cost;
 
 	f->running--;
 	if (f->queue.length)
@@ -95,7 +105,7 @@
 		f->vtime.key = vtime;
 }
 
-/* Lets a request wait; in front where it had a slot and was sent back. */
+/* Adds a request to the queue of its flow, at its front or its end. */
 void adm_queue_add(struct adm *a, struct adm_pool *p, struct adm_req *r,
 		   bool front)
 {
@@ -115,7 +125,7 @@
 	a->stats.in_queue++;
 }
 
-/* Takes a request out of the queue, whatever its place. */
+/* Removes a request from its queue, wherever it is in it. */
 void adm_queue_remove(struct adm *a, struct adm_pool *p, struct adm_req *r)
 {
 	struct adm_flow *f = r->flow;
@@ -131,34 +141,39 @@
 }
 
 /*
- * The request to start next: the highest class, unless a lower one has been
- * passed as often as allowed; in it the caller with the least slot time.
+ * Returns the request whose turn it is, without removing it; NULL if none
+ * waits. It belongs to the highest class that waits, or to a lower one that has
+ * reached its limit of bypasses, and in this class to the flow with the lowest
+ * virtual time.
  */
 struct adm_req *adm_queue_peek(struct adm_pool *p)
 {
-	int pick = -1;
+	int chosen = -1;
 	int c;
 
 	for (c = 0; c < ADM_CLASSES; c++) {
 		if (!p->n_queued[c])
 			continue;
-		if (pick < 0 || adm_queue_must_serve(p, c))
-			pick = c;
+		if (chosen < 0 || adm_queue_must_serve(p, c))
+			chosen = c;
 	}
-	if (pick < 0)
+	if (chosen < 0)
 		return NULL;
 	return g_queue_peek_head(
-		&ADM_FLOW_FROM_NODE(p->ready[pick].nodes[0])->queue);
+		&ADM_FLOW_FROM_NODE(p->ready[chosen].nodes[0])->queue);
 }
 
-/* Whether a class was passed so often that the next start is its own. */
+/* Whether a class has reached its limit of bypasses and must be served next. */
 bool adm_queue_must_serve(const struct adm_pool *p, enum adm_class class)
 {
 	return p->n_queued[class] &&
 	       p->bypassed[class] >= adm_bypass_max[class];
 }
 
-/* The first of the highest class that waits. */
+/*
+ * Returns the first request of the highest class that waits, ignoring bypass
+ * limits. At least one request must be waiting.
+ */
 struct adm_req *adm_queue_peek_highest(struct adm_pool *p)
 {
 	int c = ADM_URGENT;
@@ -169,7 +184,7 @@
 		&ADM_FLOW_FROM_NODE(p->ready[c].nodes[0])->queue);
 }
 
-/* Notes a start of one class that went ahead of the lower ones. */
+/* Counts a start of a class as a bypass of the lower classes that wait. */
 void adm_queue_count_bypass(struct adm_pool *p, enum adm_class class)
 {
 	int c;
@@ -180,7 +195,7 @@
 			p->bypassed[c]++;
 }
 
-/* A request that must not start any more, or NULL. */
+/* Returns a waiting request whose latest start has passed, or NULL. */
 struct adm_req *adm_queue_expired(struct adm_pool *p, int64_t now)
 {
 	if (!p->expiry.len || p->expiry.nodes[0]->key > now)
@@ -188,17 +203,19 @@
 	return ADM_REQ_FROM_NODE(p->expiry.nodes[0]);
 }
 
-/* Requests that wait in this pool. */
+/* Returns the number of requests waiting in the pool, of all classes. */
 int adm_queue_len(const struct adm_pool *p)
 {
 	return p->expiry.len;
 }
 
 /*
- * Whether memory forbids to queue one more. Load: a burst before any service
- * time is known, so that no wait can be foretold. Harm: one caller, or a pool
- * of low priority, holding all memory. Limits: an eighth for a caller; the
- * last quarter is kept for pools of the highest priority.
+ * Whether the memory limit forbids to queue one more request of a flow.
+ *
+ * Load: a burst before any service time is measured, so that waits can't be
+ * estimated. Harm: one caller or a low-priority pool uses all queue memory.
+ * Limits: an eighth of it for one flow; the last quarter is reserved for pools
+ * of the highest priority.
  */
 bool adm_queue_full(const struct adm *a, const struct adm_pool *p,
 		    const struct adm_flow *f)
@@ -213,24 +230,26 @@
 }
 
 /*
- * How long one more request of a flow would wait, in us: those that go before
- * it, at the rate at which the slots we hold come free (slots held over mean
- * service time, by Little's law). Of its own class those go before it that
- * fair turns put there: each waiting caller once for every own one.
+ * Returns how long one more request of a flow would wait, in us: the number of
+ * requests ahead of it, divided by the rate at which the slots held by this
+ * entry VM become free (slots held over mean service time, by Little's law).
+ * Ahead of it are all requests of higher classes and, in its own class, those
+ * that fair queueing serves first: one of each waiting flow for each of its
+ * own.
  */
 int64_t adm_queue_estimate_wait(const struct adm *a, const struct adm_pool *p,
 				const struct adm_flow *f)
 {
 	int64_t flows = p->ready[f->class].len + (f->queue.length == 0);
 	int64_t ahead = ((int64_t)f->queue.length + 1) * flows - 1;
-	int held = p->in_flight;
+	int slots_held = p->in_flight;
 	int c;
 
 	ahead = MIN(ahead, p->n_queued[f->class]);
 	for (c = 0; c < (int)f->class; c++)
 		ahead += p->n_queued[c];
-	if (!held)
-		held = adm_usable_targets(p) * p->spec.slots /
-		       MAX(a->conf.entries, 1);
-	return (ahead + 1) * adm_mean_service(p) / MAX(held, 1);
+	if (!slots_held)
+		slots_held = adm_usable_targets(p) * p->spec.slots /
+			     MAX(a->conf.entries, 1);
+	return (ahead + 1) * adm_mean_service(p) / MAX(slots_held, 1);
 }
--- a/src/adm_retry.c
+++ b/src/adm_retry.c
@@ -1,20 +1,22 @@
 #include "adm_int.h"
 
 /*
- * Second attempts. Load: targets failing or slow while the pool is busy. Harm:
- * each failure sent again doubles the load just when there is least room, and
- * the pool stays down after its cause is gone; or work that did run, runs
- * twice.
+ * Retries and hedged requests, limited by a retry budget (token bucket).
+ *
+ * Load: targets fail or are slow while the pool is busy. Harm: retries multiply
+ * the load when there is the least capacity (retry storm), and keep the pool
+ * overloaded after the original cause is gone; or a request that did run is
+ * executed twice.
  */
 
-/* What one request taken in adds to the budget. */
+/* Tokens that an accepted request adds to the retry budget. */
 #define ADM_BUDGET_PER_REQUEST 0.1
 
-/* Attempts of one request that failed. */
+/* Maximum number of retries of a request after failed attempts. */
 #define ADM_RETRIES_MAX 2
 
-/* When to come back after the budget was spent. */
-#define ADM_BUDGET_RETRY_AFTER ADM_SEC
+/* Retry delay that is named when another attempt is refused. */
+#define ADM_REFUSED_RETRY_AFTER ADM_SEC
 
 static enum adm_reason adm_retry_check(struct adm_pool *p, struct adm_req *r,
 				       enum adm_outcome outcome);
@@ -23,12 +25,13 @@
 static struct adm_req *adm_hedge_new(struct adm *a, const struct adm_req *first,
 				     int64_t now);
 
-/* A request was taken in. */
+/* Adds the tokens for one accepted request to the retry budget. */
 void adm_budget_credit(struct adm_pool *p)
 {
 	p->tokens = MIN(p->tokens + ADM_BUDGET_PER_REQUEST, ADM_BUDGET_MAX);
 }
 
+/* Takes one token for a retry or a hedge; returns false if there is none. */
 static bool adm_budget_spend(struct adm_pool *p)
 {
 	if (p->tokens < 1)
@@ -38,10 +41,10 @@
 }
 
 /*
- * What forbids another attempt; ADM_OK: nothing. What may have reached a
- * target goes again only where twice is the same as once. What a target
- * refused for load did not run and held no slot; it draws on no budget, and
- * ends like any waiting request by its longest wait or deadline.
+ * Returns why a request must not be attempted again, or ADM_OK. A request that
+ * may have run is retried only if it is repeatable. A request that was refused
+ * as overloaded did not run and held no slot: it uses no token, and is limited
+ * by the longest wait and its deadline like any waiting request.
  */
 static enum adm_reason adm_retry_check(struct adm_pool *p, struct adm_req *r,
 				       enum adm_outcome outcome)
@@ -56,15 +59,16 @@
 }
 
 /*
- * Ends an attempt as adm_done does, and asks for another one in place of it.
- * The verdict is as for adm_offer; the ticket changes only by a refusal.
+ * Ends an attempt as adm_done does, and decides about another attempt of the
+ * same request. The verdict is as for adm_offer; the ticket stays the same,
+ * unless the request is refused.
  */
 struct adm_verdict adm_retry(struct adm *a, int64_t now, adm_ticket ticket,
 			     const struct adm_result *result)
 {
 	struct adm_req *r = adm_req_find(a, ticket);
 	struct adm_pool *p;
-	enum adm_reason why;
+	enum adm_reason reason;
 
 	if (!r || r->state == ADM_REQ_QUEUED)
 		return (struct adm_verdict){.kind = ADM_REFUSE,
@@ -73,20 +77,21 @@
 	r->has_last_target = r->target != NULL;
 	r->last_target = r->target ? r->target->handle : 0;
 	adm_end_attempt(a, now, r, result);
-	why = adm_retry_check(p, r, result->outcome);
-	if (why != ADM_OK)
-		return adm_refuse(a, p, r, why, ADM_BUDGET_RETRY_AFTER);
+	reason = adm_retry_check(p, r, result->outcome);
+	if (reason != ADM_OK)
+		return adm_refuse(a, p, r, reason, ADM_REFUSED_RETRY_AFTER);
 	if (result->outcome != ADM_DONE_BUSY)
 		a->stats.retries++;
 	return adm_admit(a, p, r, now, true);
 }
 
-/* A hedge that isn't made; its first attempt goes on, nobody is refused. */
+/* Refuses a hedge. Its first attempt continues; no refusal is counted. */
 static struct adm_verdict adm_refuse_hedge(enum adm_reason reason)
 {
 	return (struct adm_verdict){.kind = ADM_REFUSE, .reason = reason};
 }
 
+/* Returns a new request record for a hedge of a running request. */
 static struct adm_req *adm_hedge_new(struct adm *a, const struct adm_req *first,
 				     int64_t now)
 {
@@ -107,10 +112,10 @@
 }
 
 /*
- * A second attempt beside a running one, for a caller who has waited long. It
- * has a ticket of its own; the first answer counts, the other attempt ends
- * with ADM_DONE_LEFT. Refused when requests wait: a slot is worth more to
- * them.
+ * Decides about a hedge, which is a second attempt in parallel to a running one
+ * that takes long. A hedge has its own ticket. The first answer is used; the
+ * other attempt must be ended with ADM_DONE_LEFT. Hedges are refused while
+ * requests wait, as these need free slots more.
  */
 struct adm_verdict adm_hedge(struct adm *a, int64_t now, adm_ticket ticket)
 {
--- a/src/adm_share.c
+++ b/src/adm_share.c
@@ -1,30 +1,34 @@
 #include "adm_int.h"
 
 /*
- * Slots of a target shared with other entry VMs, by what the target's own
- * answers tell: busy slots, and refusals for load. What is not ours is others'
- * and fades with time, since we hear nothing when they finish. A slot that our
- * own request has freed is known to be free: under saturation each VM goes on
- * with the slots it has, and asks for more only as knowledge fades.
+ * Sharing of a target's slots between entry VMs, based on what the target's
+ * answers report: busy slots, and refusals as overloaded. Busy slots that this
+ * entry VM doesn't hold are attributed to the others. Their number decays with
+ * time, since no message reports the end of other VMs' requests. A slot freed
+ * by a request of this VM is known to be free: under saturation each VM reuses
+ * the slots that it holds, and asks for more only as the number decays.
  */
 
-/* Fading starts at two mean service times: by then most of it has ended. */
+/*
+ * The number of slots held by others decays to 0 within two mean service times,
+ * by when most of those requests have ended.
+ */
 #define ADM_DECAY_MEANS 2
 
-/* Before anything is measured. */
+/* Decay time as long as no service time is measured. */
 #define ADM_DECAY_DEFAULT (200 * ADM_MS)
 
 /*
- * Each refusal for load in a row doubles the time until we ask again, up to
- * 32 times: at saturation every VM asks every target, and each ask costs the
- * target an answer and the request a round trip.
+ * Exponential backoff: each consecutive refusal as overloaded doubles the decay
+ * time, up to 32 times. At saturation every entry VM tries every target, and
+ * each refused attempt costs the target an answer and the request a round trip.
  */
 #define ADM_BACKOFF_DOUBLINGS 5
 
 static void adm_share_set(const struct adm_pool *p, struct adm_target *t,
 			  int64_t now, double others);
 
-/* Slots that others' requests hold, as well as we know. */
+/* Returns the estimated number of slots that other entry VMs hold. */
 double adm_others_busy(const struct adm_target *t, int64_t now)
 {
 	int64_t age = now - t->others_updated_at;
@@ -36,11 +40,12 @@
 }
 
 /*
- * Idle connections that an entry VM may keep to each target of a pool. All VMs
- * of the zone share a target's connections, and those in use are bounded by
- * its slots; what is left is divided, so that together they never fill it.
- * Dividing those in use too (64 by 30 VMs are 2 for each) would keep a VM that
- * the balancer favours from slots that are free.
+ * Returns how many idle connections this entry VM may keep to each target of a
+ * pool. All entry VMs of the zone share a target's connections. Connections in
+ * use are limited by the target's slots; the remaining ones are divided between
+ * the VMs, so that together they never exceed the target's limit. Connections
+ * in use aren't divided: with 64 connections and 30 VMs, 2 for each would keep
+ * a VM that gets more requests than others from using free slots.
  */
 int adm_idle_conns(const struct adm *a, uint32_t pool)
 {
@@ -50,14 +55,17 @@
 	return MAX(spare, 0) / MAX(a->conf.entries, 1);
 }
 
-/* Whether one more request of ours fits, as well as we know. */
+/* Whether a target is estimated to have a free slot. */
 bool adm_has_free_slot(const struct adm_pool *p, const struct adm_target *t,
 		       int64_t now)
 {
 	return t->in_flight + adm_others_busy(t, now) + 1 <= p->spec.slots;
 }
 
-/* When a slot will be free if we hear nothing more; ADM_NEVER: not so. */
+/*
+ * Returns when a slot of a target will be estimated as free without a further
+ * report; ADM_NEVER if requests of this VM hold all slots.
+ */
 int64_t adm_next_slot_free_at(const struct adm_pool *p,
 			      const struct adm_target *t, int64_t now)
 {
@@ -67,24 +75,27 @@
 		return ADM_NEVER;
 	if (t->others_busy <= spare)
 		return now;
-	/* one more, as the division rounds down */
+	/* Plus 1, as the conversion rounds down. */
 	return t->others_updated_at + 1 +
 	       (int64_t)((double)t->others_decay_us *
 			 (1.0 - spare / t->others_busy));
 }
 
+/* Sets the number of slots held by others and starts its decay. */
 static void adm_share_set(const struct adm_pool *p, struct adm_target *t,
 			  int64_t now, double others)
 {
-	int64_t fade = ADM_DECAY_MEANS * adm_mean_service(p);
+	int64_t decay = ADM_DECAY_MEANS * adm_mean_service(p);
 
 	t->others_busy = CLAMP(others, 0, p->spec.slots);
 	t->others_updated_at = now;
-	t->others_decay_us = (fade ? fade : ADM_DECAY_DEFAULT)
+	t->others_decay_us = (decay ? decay : ADM_DECAY_DEFAULT)
 			     << t->busy_streak;
 }
 
-/* A target has told how many slots are busy, ours among them. */
+/*
+ * Records a target's report of its busy slots, which include those of this VM.
+ */
 void adm_share_reported(const struct adm_pool *p, struct adm_target *t,
 			int64_t now, int busy)
 {
@@ -92,7 +103,10 @@
 	adm_share_set(p, t, now, busy - t->in_flight);
 }
 
-/* A target has refused for load: all that is not ours is others'. */
+/*
+ * Records a refusal as overloaded: other VMs hold all slots that this VM
+ * doesn't.
+ */
 void adm_share_refused(const struct adm_pool *p, struct adm_target *t,
 		       int64_t now)
 {
@@ -101,8 +115,8 @@
 }
 
 /*
- * Our caller left, or we gave up waiting: the target may go on with that work
- * a while, and its slot isn't free as yet.
+ * Records a request that its caller cancelled or that timed out: the target may
+ * continue to work on it, so that its slot counts as held by others for now.
  */
 void adm_share_abandoned(const struct adm_pool *p, struct adm_target *t,
 			 int64_t now)
--- a/src/adm_shift.c
+++ b/src/adm_shift.c
@@ -1,32 +1,37 @@
 #include "adm_int.h"
 
 /*
- * Work shifted between zones. Load: a zone that has lost its targets or is
- * saturated. Harm: the work of a lost zone takes the next one down, then the
- * third; or it swings to and fro. Guards, each enough by itself against one
- * cause: the sender sends no more than its part of the room last heard, less
- * as that grows old; the receiver runs shifted work only from what its own
- * doesn't need, never queues it, and refuses at once; a request is shifted
- * once at most.
+ * Shifting of requests between zones.
+ *
+ * Load: a zone has lost its targets or is saturated. Harm: its load overloads
+ * the next zone, and then the third (cascading overload), or oscillates between
+ * zones. Each of these limits is sufficient against one cause: a sender shifts
+ * no more than its share of the capacity last reported, and less as the report
+ * ages; a receiver runs shifted requests only on slots that its own requests
+ * don't need, never queues them, and refuses them at once; a request is shifted
+ * at most once.
  */
 
-/* A fifth of the slots is kept for the zone's own next burst. */
+/* A fifth of the slots is reserved for the next burst of the own zone. */
 #define ADM_RESERVE_PARTS 5
 
-/* Room is added up at most that often. */
+/* Shortest time between two computations of the capacity for shifted work. */
 #define ADM_INBOUND_REFRESH (50 * ADM_MS)
 
 /*
- * Room is told about twice a second. It is believed in full for a second, so
- * that one lost message changes nothing, then less and less; after 5 s the
- * zone may be cut off or gone, and unknown room is none.
+ * Zones report their spare capacity about twice a second. A report is used in
+ * full for 1 s, so that the loss of one message has no effect, and then to a
+ * linearly decreasing part. After 5 s the zone may be partitioned or down, and
+ * unknown capacity counts as none.
  */
 #define ADM_REPORT_FRESH ADM_SEC
 #define ADM_REPORT_STALE (5 * ADM_SEC)
 
 /*
- * Saturated: a wait of half the longest allowed, for 100 ms, so that a burst
- * which the queue can take stays at home. No more: a tenth of it for a second.
+ * A pool counts as saturated when requests wait for half of its longest wait or
+ * more during 100 ms, so that a burst which the queue can absorb stays in its
+ * zone. It has recovered when the wait is below a tenth of the longest wait
+ * during 1 s. The hysteresis prevents oscillation.
  */
 #define ADM_SATURATED_WAIT_PART 2
 #define ADM_RECOVERED_WAIT_PART 10
@@ -34,33 +39,38 @@
 #define ADM_RECOVERED_AFTER ADM_SEC
 
 /*
- * A refusal takes an eighth off what we may have in a zone, and nothing is sent
- * there for a mean service time, at least 50 ms: a zone near its limit is full
- * at one moment and not at the next, by the square root of its slots busy.
+ * Multiplicative decrease: a refusal reduces the credit for a zone by an eighth
+ * and pauses shifting to it for the mean service time, at least 50 ms. The
+ * cut is small, as a zone near its limit is full at one moment and not at the
+ * next: its number of busy slots varies by about the square root of it.
  */
 #define ADM_REFUSAL_CUT_PARTS 8
 #define ADM_REFUSAL_PAUSE (50 * ADM_MS)
 
 /*
- * The most we had in a zone is taken over that long: a little less than the
- * time between two tellings, as several of its VMs tell in each.
+ * Window for the peak of requests in flight in a zone: a little less than the
+ * time between two reports, as several VMs of the zone report in each interval.
  */
 #define ADM_PEAK_WINDOW (400 * ADM_MS)
 
-static int adm_reduce_credit(int n);
-static int adm_zone_credit_left(const struct adm_zone_credit *w, int64_t now);
+static int adm_reduce_credit(int credit);
+static int adm_zone_credit_left(const struct adm_zone_credit *credit,
+				int64_t now);
 static int adm_sum_free_slots(const struct adm *a, const struct adm_pool *p,
 			      int64_t now, int *slots);
 
-/* Notes how long requests wait, and turns shifting on or off with it. */
+/*
+ * Records the wait of a request, in us, and enables or disables shifting for
+ * the pool accordingly.
+ */
 void adm_shift_record_wait(struct adm_pool *p, int64_t now, int64_t wait)
 {
-	int64_t edge =
+	int64_t threshold =
 		p->spec.queue_us / (p->saturated ? ADM_RECOVERED_WAIT_PART
 						 : ADM_SATURATED_WAIT_PART);
-	bool turn = p->saturated ? wait < edge : wait >= edge;
+	bool crossed = p->saturated ? wait < threshold : wait >= threshold;
 
-	if (!turn) {
+	if (!crossed) {
 		p->transition_since = 0;
 		return;
 	}
@@ -73,26 +83,28 @@
 	p->transition_since = 0;
 }
 
-/* How many more we may send to a zone now. */
-static int adm_zone_credit_left(const struct adm_zone_credit *w, int64_t now)
+/* Returns how many more requests may be shifted to a zone now. */
+static int adm_zone_credit_left(const struct adm_zone_credit *credit,
+				int64_t now)
 {
-	int64_t age = now - w->reported_at;
-	int fresh = w->additional;
+	int64_t age = now - credit->reported_at;
+	int additional = credit->additional;
 
-	if (!w->has_report || age >= ADM_REPORT_STALE || now < w->paused_until)
+	if (!credit->has_report || age >= ADM_REPORT_STALE ||
+	    now < credit->paused_until)
 		return 0;
 	if (age > ADM_REPORT_FRESH)
-		fresh = (int)(fresh * (ADM_REPORT_STALE - age) /
-			      (ADM_REPORT_STALE - ADM_REPORT_FRESH));
-	return w->sustained + fresh - w->in_flight;
+		additional = (int)(additional * (ADM_REPORT_STALE - age) /
+				   (ADM_REPORT_STALE - ADM_REPORT_FRESH));
+	return credit->sustained + additional - credit->in_flight;
 }
 
-/* The zone with most room left for us, or -1. */
+/* Returns the zone with the most credit left for a request, or -1. */
 int adm_shift_pick_zone(struct adm *a, struct adm_pool *p,
 			const struct adm_req *r, int64_t now)
 {
 	int best = -1;
-	int most = 0;
+	int best_left = 0;
 	int z;
 
 	if (r->no_shift)
@@ -100,24 +112,25 @@
 	for (z = 0; z < ADM_ZONES_MAX; z++) {
 		int left = adm_zone_credit_left(&p->zones[z], now);
 
-		if (z == a->conf.zone || left <= most)
+		if (z == a->conf.zone || left <= best_left)
 			continue;
-		most = left;
+		best_left = left;
 		best = z;
 	}
 	return best;
 }
 
-/* Sends a request to another zone, for good. */
+/* Shifts a request to another zone; it is never shifted again. */
 struct adm_verdict adm_shift(struct adm *a, struct adm_pool *p,
 			     struct adm_req *r, int zone)
 {
-	struct adm_zone_credit *w = &p->zones[zone];
+	struct adm_zone_credit *credit = &p->zones[zone];
+
 	r->state = ADM_REQ_SHIFTED;
 	r->no_shift = true;
 	r->zone = zone;
-	w->in_flight++;
-	w->peak = MAX(w->peak, w->in_flight);
+	credit->in_flight++;
+	credit->peak = MAX(credit->peak, credit->in_flight);
 	adm_detach_flow(p, r);
 	a->stats.shifted++;
 	a->stats.in_shift++;
@@ -127,62 +140,78 @@
 				    .user = r->user};
 }
 
-static int adm_reduce_credit(int n)
+/* Returns the credit that is left after a refusal. */
+static int adm_reduce_credit(int credit)
 {
-	return n - (n + ADM_REFUSAL_CUT_PARTS - 1) / ADM_REFUSAL_CUT_PARTS;
+	return credit -
+	       (credit + ADM_REFUSAL_CUT_PARTS - 1) / ADM_REFUSAL_CUT_PARTS;
 }
 
-/* A shifted request has ended; after a refusal we hold back. */
+/*
+ * Ends a shifted request. If the zone refused it or was not reached, its credit
+ * is reduced and shifting to it is paused.
+ */
 void adm_shift_done(struct adm *a, struct adm_pool *p, struct adm_req *r,
 		    enum adm_outcome outcome, int64_t now)
 {
-	struct adm_zone_credit *w = &p->zones[r->zone];
+	struct adm_zone_credit *credit = &p->zones[r->zone];
 
-	w->in_flight--;
+	credit->in_flight--;
 	a->stats.in_shift--;
 	if (outcome != ADM_DONE_BUSY && outcome != ADM_DONE_UNSENT)
 		return;
-	w->sustained = adm_reduce_credit(w->sustained);
-	w->additional = adm_reduce_credit(w->additional);
-	w->paused_until = now + MAX(adm_mean_service(p), ADM_REFUSAL_PAUSE);
+	credit->sustained = adm_reduce_credit(credit->sustained);
+	credit->additional = adm_reduce_credit(credit->additional);
+	credit->paused_until =
+		now + MAX(adm_mean_service(p), ADM_REFUSAL_PAUSE);
 }
 
 /*
- * Takes in what another zone told about its room, as old as it is by now. All
- * entry VMs outside that zone may send at once, so each takes its part; what
- * doesn't divide is drawn by lot, else a small room would never be used. While
- * there is room at all, the most that we had there of late may run there again:
- * what just runs at the moment of telling is less by chance, and we would lose
- * places by each telling. Where there is none, places aren't filled again.
+ * Applies a report of another zone's spare capacity, which is age_us old.
+ * Outdated reports and unknown pools and zones are ignored.
+ *
+ * All entry VMs outside that zone may shift to it simultaneously, so that each
+ * uses an equal share; the remainder of the division is assigned at random, as
+ * otherwise a small capacity would never be used.
+ *
+ * If there is spare capacity, this VM may keep as many requests in flight in
+ * the zone as its recent peak, in addition to its share. The number in flight
+ * at the time of the report may be lower by chance, and using it would lose
+ * credit with each report. Without spare capacity, requests that end aren't
+ * replaced.
  */
 void adm_zone_room(struct adm *a, int64_t now, uint32_t pool, int zone,
 		   struct adm_room room, int64_t age_us)
 {
 	struct adm_pool *p = adm_pool_find(a, pool);
-	uint32_t share =
+	uint32_t senders =
 		(uint32_t)MAX(a->conf.entries + a->conf.entries_away, 1);
-	struct adm_zone_credit *w;
+	struct adm_zone_credit *credit;
 
 	if (!p || zone < 0 || zone >= ADM_ZONES_MAX)
 		return;
-	w = &p->zones[zone];
-	if (w->has_report && now - age_us < w->reported_at)
+	credit = &p->zones[zone];
+	if (credit->has_report && now - age_us < credit->reported_at)
 		return;
-	w->has_report = true;
-	w->reported_at = now - age_us;
+	credit->has_report = true;
+	credit->reported_at = now - age_us;
 	if (!room.free) {
-		w->sustained = w->in_flight;
-		w->peak = w->in_flight;
-	} else if (now - w->peak_since >= ADM_PEAK_WINDOW) {
-		w->sustained = w->peak;
-		w->peak = w->in_flight;
-		w->peak_since = now;
+		credit->sustained = credit->in_flight;
+		credit->peak = credit->in_flight;
+	} else if (now - credit->peak_since >= ADM_PEAK_WINDOW) {
+		credit->sustained = credit->peak;
+		credit->peak = credit->in_flight;
+		credit->peak_since = now;
 	}
-	w->additional = (int)(room.free / share);
-	if (adm_random(a, share) < room.free % share)
-		w->additional++;
+	credit->additional = (int)(room.free / senders);
+	if (adm_random(a, senders) < room.free % senders)
+		credit->additional++;
 }
 
+/*
+ * Returns the free slots of a pool's healthy targets less the reserve, which
+ * may be negative, and sets slots to the number of all their slots.
+ */
 static int adm_sum_free_slots(const struct adm *a, const struct adm_pool *p,
 			      int64_t now, int *slots)
 {
@@ -192,39 +221,43 @@
 	*slots = 0;
 	for (i = 0; i < p->targets->len; i++) {
 		const struct adm_target *t = p->targets->pdata[i];
-		double room =
+		double unused =
 			p->spec.slots - t->in_flight - adm_others_busy(t, now);
 
 		if (t->counted_as < 0 || t->health != ADM_HEALTHY)
 			continue;
 		*slots += p->spec.slots;
-		free_slots += MAX(room, 0);
+		free_slots += MAX(unused, 0);
 	}
 	return (int)free_slots - *slots / ADM_RESERVE_PARTS;
 }
 
 /*
- * The room of our zone for a pool, to tell the others. It is the whole zone's
- * as this VM sees it, not this VM's part: the lowest that any VM of the zone
- * tells is to be believed, never the sum.
+ * Returns the spare capacity of the own zone for a pool, for the report to
+ * other zones; none for an unknown pool. It is this VM's estimate for the whole
+ * zone and not a share of it: receivers must use the lowest report of the
+ * zone's VMs, never the sum.
  */
 struct adm_room adm_room(struct adm *a, int64_t now, uint32_t pool)
 {
 	struct adm_pool *p = adm_pool_find(a, pool);
 	int slots = 0;
-	int room;
+	int spare;
 
 	if (!p)
 		return (struct adm_room){0};
 	adm_recheck_due(p, now);
-	room = adm_sum_free_slots(a, p, now, &slots);
+	spare = adm_sum_free_slots(a, p, now, &slots);
 	if (p->saturated || adm_queue_len(p))
-		room = 0;
+		spare = 0;
 	return (struct adm_room){.slots = (uint32_t)slots,
-				 .free = (uint32_t)MAX(room, 0)};
+				 .free = (uint32_t)MAX(spare, 0)};
 }
 
-/* Whether a request of another zone may run here; takes its slot of the room. */
+/*
+ * Whether a request that was shifted to this zone may run here. If so, it is
+ * deducted from the capacity for shifted requests.
+ */
 bool adm_accept_shifted(struct adm *a, struct adm_pool *p, int64_t now)
 {
 	int slots;
@@ -235,8 +268,9 @@
 	    !p->inbound_refreshed_at) {
 		p->inbound_left = adm_sum_free_slots(a, p, now, &slots);
 		/*
-		 * Others of our zone take in such work too. Twice the even
-		 * part, as within one such time chance brings one VM more.
+		 * The other entry VMs of the zone accept shifted requests
+		 * too. This VM uses twice an equal share, as arrivals are
+		 * uneven within one refresh interval.
 		 */
 		if (p->inbound_left > 0)
 			p->inbound_left = MAX(2 * p->inbound_left /
