--- a/tests/prop/adm_prop.cc
+++ b/tests/prop/adm_prop.cc
@@ -16,8 +16,8 @@
 #undef class
 
 /*
- * Any order of offers, answers, failures, cancellations, and targets that
- * come, change and go, against a plain account of what callers were told.
+ * Checks random sequences of offers, answers, failures, cancellations and
+ * target changes against a simple reference model of the requests.
  */
 
 namespace
@@ -26,7 +26,7 @@
 const int64_t MS = 1000;
 const int SLOTS = 3;
 const int TARGETS = 4;
-const int ZONES = 3; /* ours is 0 */
+const int ZONES = 3; /* the own zone is 0 */
 
 enum Op {
 	OFFER,
@@ -38,7 +38,7 @@
 	TARGET,
 	LEASE,
 	BUSY,
-	ROOM,
+	CAPACITY,
 	PASS_TIME,
 	OPS
 };
@@ -49,7 +49,7 @@
 	uint32_t b;
 };
 
-/* For what is printed of a failing order of events. */
+/* Prints a step of a failing sequence, for rapidcheck. */
 void showValue(const Step &s, std::ostream &os)
 {
 	os << s.op << ":" << s.a << ":" << s.b;
@@ -59,31 +59,31 @@
 	QUEUED,
 	RUNNING,
 	SHIFTED,
-	OVER
+	ENDED
 };
 
-/* What one attempt's caller knows; hedges have one of their own. */
+/* The expected state of one request; a hedge has a Call of its own. */
 struct Call {
 	State state;
 	bool repeatable;
-	bool from_away;
+	bool from_other_zone;
 	bool was_shifted;
-	int finals; /* answers given: there must be one */
+	int n_ended; /* how often the request ended: must be once */
 	adm_ticket ticket;
-	std::pair<uint64_t, int> at; /* target and its incarnation */
+	std::pair<uint64_t, int> at; /* target handle and incarnation */
 	int zone;
 };
 
 struct Target {
 	adm_target_state state = ADM_GONE;
 	int64_t lease = ADM_NEVER;
-	int life = 0;
+	int incarnation = 0;
 };
 
-class Account
+class Model
 {
       public:
-	Account(uint64_t seed)
+	Model(uint64_t seed)
 	{
 		adm_config conf = {};
 		adm_pool_spec pool = {};
@@ -99,7 +99,7 @@
 		RC_ASSERT(adm_pool_set(adm, 0, &pool));
 	}
 
-	~Account()
+	~Model()
 	{
 		adm_free(adm);
 	}
@@ -110,7 +110,7 @@
 		poll();
 	}
 
-	/* All that still runs ends; then nothing may be left. */
+	/* Ends all running requests, after which no request may be left. */
 	void finish()
 	{
 		for (auto &c : calls)
@@ -122,7 +122,7 @@
 			if (c.state == RUNNING || c.state == SHIFTED)
 				end(c, ADM_DONE_OK, 10 * MS);
 		for (auto &c : calls)
-			RC_ASSERT(c.state == OVER && c.finals == 1);
+			RC_ASSERT(c.state == ENDED && c.n_ended == 1);
 		RC_ASSERT(adm_stats(adm).in_queue == 0u);
 		RC_ASSERT(adm_stats(adm).in_flight == 0u);
 		RC_ASSERT(adm_stats(adm).in_shift == 0u);
@@ -135,8 +135,8 @@
 	std::map<uint64_t, Target> targets;
 	std::map<std::pair<uint64_t, int>, int> running;
 	std::map<int, int> shifted; /* in flight, by zone */
-	std::map<int, int> allowed;
-	std::map<int, int> peak; /* since it last told of no room */
+	std::map<int, int> allowed; /* maximum in flight, by zone */
+	std::map<int, int> peak; /* since the last report of no capacity */
 	int accepted = 0;
 
 	void apply(const Step &s)
@@ -170,8 +170,8 @@
 			adm_target_busy(adm, now, s.a % TARGETS,
 					(int)(s.b % (SLOTS + 1)));
 			break;
-		case ROOM:
-			room(1 + (int)(s.a % (ZONES - 1)), s.b % 6);
+		case CAPACITY:
+			report_capacity(1 + (int)(s.a % (ZONES - 1)), s.b % 6);
 			break;
 		case PASS_TIME:
 			now += s.a % (30 * MS);
@@ -188,7 +188,7 @@
 		return all[b % 6];
 	}
 
-	/* Some attempt that is in flight, or also one that waits. */
+	/* Returns a request in flight or, if waiting is set, a waiting one. */
 	Call *pick(uint32_t a, bool waiting)
 	{
 		std::vector<Call *> live;
@@ -214,15 +214,18 @@
 		r.deadline_us = s.b & 4 ? now + 20 * MS : 0;
 		r.size_hint = s.b / 8 % 3 * 1000;
 		c.repeatable = r.repeatable;
-		c.from_away = r.shifted;
+		c.from_other_zone = r.shifted;
 		c.state = QUEUED;
 		calls.push_back(c);
-		take(adm_offer(adm, now, &r, nullptr), i);
-		accepted += calls[i].state != OVER;
+		apply_verdict(adm_offer(adm, now, &r, nullptr), i);
+		accepted += calls[i].state != ENDED;
 	}
 
-	/* A hedge has the user of its first attempt, but its own ticket. */
-	size_t waiting(adm_ticket ticket)
+	/*
+	 * Returns the index of a waiting request. It is found by its ticket, as
+	 * a hedge has the same user as its first attempt.
+	 */
+	size_t waiting_index(adm_ticket ticket)
 	{
 		size_t i = 0;
 
@@ -233,7 +236,8 @@
 		return i;
 	}
 
-	void leave(Call &c)
+	/* Removes a request from the count of its target or zone. */
+	void release(Call &c)
 	{
 		if (c.state == RUNNING) {
 			running[c.at]--;
@@ -242,11 +246,11 @@
 		shifted[c.zone]--;
 	}
 
-	void over(Call &c)
+	void set_ended(Call &c)
 	{
-		RC_ASSERT(c.state != OVER);
-		c.state = OVER;
-		c.finals++;
+		RC_ASSERT(c.state != ENDED);
+		c.state = ENDED;
+		c.n_ended++;
 	}
 
 	void end(Call &c, adm_outcome o, int64_t service)
@@ -256,10 +260,10 @@
 		res.outcome = o;
 		res.service_us = service;
 		res.busy = -1;
-		leave(c);
+		release(c);
 		RC_ASSERT(adm_done(adm, now, c.ticket, &res));
 		RC_ASSERT(!adm_done(adm, now, c.ticket, &res));
-		over(c);
+		set_ended(c);
 	}
 
 	void retry(Call &c, adm_outcome o)
@@ -273,13 +277,13 @@
 			return;
 		res.outcome = o;
 		res.busy = -1;
-		leave(c);
+		release(c);
 		c.state = QUEUED;
 		v = adm_retry(adm, now, c.ticket, &res);
 		if (may_have_run && !c.repeatable)
 			RC_ASSERT(v.kind == ADM_REFUSE &&
 				  v.reason == ADM_MAY_HAVE_RUN);
-		take(v, (size_t)(&c - calls.data()));
+		apply_verdict(v, (size_t)(&c - calls.data()));
 	}
 
 	void hedge(const Call &first)
@@ -291,20 +295,20 @@
 			return;
 		RC_ASSERT(v.kind == ADM_RUN && first.repeatable);
 		RC_ASSERT(v.target != first.at.first ||
-			  targets[v.target].life != first.at.second);
+			  targets[v.target].incarnation != first.at.second);
 		c.state = QUEUED;
-		c.finals = 0;
+		c.n_ended = 0;
 		calls.push_back(c);
-		take(v, calls.size() - 1);
+		apply_verdict(v, calls.size() - 1);
 	}
 
 	void cancel(Call &c)
 	{
 		if (c.state != QUEUED)
-			leave(c);
+			release(c);
 		RC_ASSERT(adm_cancel(adm, now, c.ticket));
 		RC_ASSERT(!adm_cancel(adm, now, c.ticket));
-		over(c);
+		set_ended(c);
 	}
 
 	void target(const Step &s)
@@ -320,26 +324,26 @@
 			spec.lease_until_us = now + s.b % (60 * MS);
 		}
 		if (spec.state == ADM_GONE && t.state != ADM_GONE)
-			t.life++;
+			t.incarnation++;
 		t.state = spec.state;
 		t.lease = spec.lease_until_us;
 		RC_ASSERT(adm_target_set(adm, now, handle, &spec));
 	}
 
-	void room(int zone, uint32_t free)
+	void report_capacity(int zone, uint32_t spare)
 	{
 		struct adm_room r = {};
 
 		r.slots = 10;
-		r.free = free;
+		r.free = spare;
 		adm_zone_room(adm, now, 0, zone, r, 0);
-		if (!free)
+		if (!spare)
 			peak[zone] = shifted[zone];
-		allowed[zone] = peak[zone] + (int)free;
+		allowed[zone] = peak[zone] + (int)spare;
 	}
 
-	/* A verdict about a call: it must fit what we know. */
-	void take(const adm_verdict &v, size_t i)
+	/* Checks a verdict against the model and applies it to request i. */
+	void apply_verdict(const adm_verdict &v, size_t i)
 	{
 		Call &c = calls[i];
 
@@ -350,9 +354,9 @@
 		else if (v.kind == ADM_SHIFT)
 			shift(c, v);
 		else if (v.kind == ADM_REFUSE)
-			over(c);
+			set_ended(c);
 		else
-			RC_ASSERT(!c.from_away);
+			RC_ASSERT(!c.from_other_zone);
 		check_budget();
 	}
 
@@ -362,14 +366,14 @@
 
 		RC_ASSERT(t.state == ADM_SERVING);
 		RC_ASSERT(now < t.lease);
-		c.at = {v.target, t.life};
+		c.at = {v.target, t.incarnation};
 		c.state = RUNNING;
 		RC_ASSERT(++running[c.at] <= SLOTS);
 	}
 
 	void shift(Call &c, const adm_verdict &v)
 	{
-		RC_ASSERT(!c.from_away && !c.was_shifted);
+		RC_ASSERT(!c.from_other_zone && !c.was_shifted);
 		RC_ASSERT(v.zone > 0 && v.zone < ZONES);
 		c.state = SHIFTED;
 		c.was_shifted = true;
@@ -395,7 +399,8 @@
 			size_t n = adm_poll(adm, now, out, 3, &next);
 
 			for (size_t i = 0; i < n; i++)
-				take(out[i], waiting(out[i].ticket));
+				apply_verdict(out[i],
+					      waiting_index(out[i].ticket));
 		}
 		RC_ASSERT((next == ADM_NEVER) ==
 			  (adm_stats(adm).in_queue == 0));
@@ -417,18 +422,18 @@
 }
 
 /*
- * Two callers always have requests waiting; one sends many more. Whatever the
- * service times, neither gets ahead of the other by more slot time than what
- * runs at once and one request of the longest kind.
+ * Two callers always have requests waiting, and one sends many more. For any
+ * service times, their slot times differ by no more than the requests that run
+ * concurrently plus one of the longest.
  */
-void fair()
+void check_fairness()
 {
 	adm_config conf = {};
 	adm_pool_spec pool = {};
 	adm_target_spec serving = {};
 	const auto times = *rc::gen::container<std::vector<int64_t>>(
 		300, rc::gen::inRange<int64_t>(1 * MS, 20 * MS));
-	const int more = *rc::gen::inRange(1, 8);
+	const int extra = *rc::gen::inRange(1, 8);
 	struct adm *adm;
 	int users[2];
 	int64_t got[2] = {0, 0};
@@ -447,7 +452,7 @@
 		adm_verdict out[1];
 		int64_t next;
 
-		for (int k = 0; k < 1 + more; k++) {
+		for (int k = 0; k < 1 + extra; k++) {
 			const char *name = k ? "many" : "few";
 			adm_request r = {};
 			adm_verdict v;
@@ -481,13 +486,13 @@
 {
 	bool ok = true;
 
-	ok &= rc::check("every order of events keeps the account", [] {
-		Account account(*rc::gen::inRange<uint64_t>(0, 1000));
+	ok &= rc::check("any sequence of events matches the model", [] {
+		Model model(*rc::gen::inRange<uint64_t>(0, 1000));
 
 		for (const auto &s : any_steps())
-			account.step(s);
-		account.finish();
+			model.step(s);
+		model.finish();
 	});
-	ok &= rc::check("callers share by slot time", fair);
+	ok &= rc::check("callers share slot time equally", check_fairness);
 	return ok ? 0 : 1;
 }
--- a/tests/unit/adm_admit_test.c
+++ b/tests/unit/adm_admit_test.c
@@ -7,14 +7,14 @@
 #include "adm_fake.h"
 
 /*
- * Callers send more than the slots run. The first ones run, the next wait, and
- * those who would wait longer than the pool allows are told so at once and
- * when to come back, not after the wait.
+ * Guards against callers that wait in vain under saturation. Requests beyond
+ * the slots are queued, and those that would wait longer than the pool allows
+ * are refused immediately, with a retry delay.
  */
-static void saturation_is_refused_at_once(void **state)
+static void saturated_pool_refuses_excess_immediately(void **state)
 {
-	struct adm *a = fake_zone(2, 1);
-	int64_t now = fake_learn(a, 0, 20, 100 * MS);
+	struct adm *a = new_zone(2, 1);
+	int64_t now = warm_up(a, 0, 20, 100 * MS);
 	int kinds[ADM_REFUSE + 1] = {0};
 	struct adm_verdict v = {0};
 	int i;
@@ -22,11 +22,11 @@
 	for (i = 0; i < 200; i++) {
 		char caller[2] = {(char)('a' + i % 8), 0};
 
-		v = fake_offer(a, now, caller, ADM_NORMAL);
+		v = offer_request(a, now, caller, ADM_NORMAL);
 		kinds[v.kind]++;
 	}
 	assert_int_equal(kinds[ADM_RUN], 2 * SLOTS);
-	/* 500 ms of queue at 16 slots of 100 ms */
+	/* 500 ms of queue at 16 slots and 100 ms per request */
 	assert_in_range(kinds[ADM_QUEUED], 64, 80);
 	assert_int_equal(v.kind, ADM_REFUSE);
 	assert_int_equal(v.reason, ADM_QUEUE_WAIT);
@@ -35,13 +35,14 @@
 }
 
 /*
- * A request's deadline is nearer than any of its kind was ever done. It is
- * refused although slots are free; no wait helps, so none is named.
+ * Guards against work that can't be done in time. A deadline shorter than any
+ * measured service time is refused although slots are free, and without a retry
+ * delay, as a retry would not help.
  */
-static void too_short_a_deadline_is_refused(void **state)
+static void deadline_below_service_time_is_refused(void **state)
 {
-	struct adm *a = fake_zone(2, 1);
-	int64_t now = fake_learn(a, 0, 20, 100 * MS);
+	struct adm *a = new_zone(2, 1);
+	int64_t now = warm_up(a, 0, 20, 100 * MS);
 	const struct adm_request r = {.caller = LSTR("a"),
 				      .deadline_us = now + 20 * MS};
 	struct adm_verdict v = adm_offer(a, now, &r, NULL);
@@ -53,14 +54,14 @@
 }
 
 /*
- * Targets were slow for a while, then nobody asked for long. A caller with a
- * deadline that was too short then is let through, else nothing would ever be
- * learnt about how fast they are now.
+ * Guards against permanent refusals after a period of slow targets. Once the
+ * estimate is stale, a request with a short deadline is admitted, as otherwise
+ * no new service time would ever be measured.
  */
-static void old_measurements_refuse_nobody(void **state)
+static void stale_estimate_refuses_no_request(void **state)
 {
-	struct adm *a = fake_zone(2, 1);
-	int64_t now = fake_learn(a, 0, 20, SEC);
+	struct adm *a = new_zone(2, 1);
+	int64_t now = warm_up(a, 0, 20, SEC);
 	struct adm_request r = {.caller = LSTR("a")};
 
 	r.deadline_us = now + 9 * SEC + 300 * MS;
@@ -72,21 +73,22 @@
 }
 
 /*
- * The queue would let a request start after 400 ms; its deadline is in 450 ms
- * and its kind takes 100 ms. It is refused now, not started in vain then.
+ * Guards against requests that are started too late. The queue would delay the
+ * start by 400 ms, the deadline is in 450 ms, and the service time is 100 ms:
+ * the request is refused when it is offered.
  */
-static void a_deadline_that_the_queue_spends_is_refused(void **state)
+static void deadline_missed_by_queueing_is_refused(void **state)
 {
-	struct adm *a = fake_zone(1, 1);
-	int64_t now = fake_learn(a, 0, 20, 100 * MS);
+	struct adm *a = new_zone(1, 1);
+	int64_t now = warm_up(a, 0, 20, 100 * MS);
 	struct adm_request r = {.caller = LSTR("a"), .class = ADM_NORMAL};
 	adm_ticket held[SLOTS] = {0};
 	struct adm_verdict v;
 	int i;
 
-	fake_fill(a, now, held, SLOTS);
+	fill_slots(a, now, held, SLOTS);
 	for (i = 0; i < 4 * SLOTS - 1; i++)
-		fake_offer(a, now, "a", ADM_NORMAL);
+		offer_request(a, now, "a", ADM_NORMAL);
 	r.deadline_us = now + 450 * MS;
 	v = adm_offer(a, now, &r, NULL);
 	assert_int_equal(v.reason, ADM_DEADLINE_LOAD);
@@ -97,20 +99,21 @@
 }
 
 /*
- * All slots are held by work that hangs. A waiting request is given up when
- * its longest wait is over, and a slot that comes free then isn't its own.
+ * Guards against requests that wait without limit for slots held by hanging
+ * requests. A waiting request is refused when the longest wait of the pool has
+ * passed, and its ticket becomes invalid.
  */
-static void waiting_ends_in_a_refusal(void **state)
+static void longest_wait_ends_in_refusal(void **state)
 {
-	struct adm *a = fake_zone(1, 1);
-	int64_t now = fake_learn(a, 0, 20, 100 * MS);
+	struct adm *a = new_zone(1, 1);
+	int64_t now = warm_up(a, 0, 20, 100 * MS);
 	struct adm_verdict out[4];
 	adm_ticket held[SLOTS] = {0};
 	struct adm_verdict v;
 	int64_t next;
 
-	assert_int_equal(fake_fill(a, now, held, SLOTS), SLOTS);
-	v = fake_offer(a, now, "b", ADM_NORMAL);
+	assert_int_equal(fill_slots(a, now, held, SLOTS), SLOTS);
+	v = offer_request(a, now, "b", ADM_NORMAL);
 	assert_int_equal(v.kind, ADM_QUEUED);
 	assert_int_equal(adm_poll(a, now + 499 * MS, out, 4, &next), 0);
 	assert_true(next <= now + 500 * MS);
@@ -124,12 +127,13 @@
 }
 
 /*
- * A caller declares its long work as tiny. After a few answers the size says
- * nothing good any more: a deadline that long work can't meet is refused.
+ * Guards against estimates that trust declared sizes. A caller declares long
+ * requests as tiny; after some answers, the measured time of that size group
+ * decides, and a deadline that such requests can't meet is refused.
  */
-static void declared_sizes_are_corrected_by_measuring(void **state)
+static void measured_time_overrides_declared_size(void **state)
 {
-	struct adm *a = fake_zone(2, 1);
+	struct adm *a = new_zone(2, 1);
 	struct adm_request r = {.caller = LSTR("a"), .size_hint = 1};
 	struct adm_verdict v;
 	int64_t now = 0;
@@ -139,8 +143,8 @@
 		r.deadline_us = 0;
 		v = adm_offer(a, now, &r, NULL);
 		now += SEC;
-		fake_done(a, now, v.ticket, ADM_DONE_OK, SEC);
-		now = fake_learn(a, now, 4, 10 * MS);
+		end_request(a, now, v.ticket, ADM_DONE_OK, SEC);
+		now = warm_up(a, now, 4, 10 * MS);
 	}
 	r.deadline_us = now + 300 * MS;
 	v = adm_offer(a, now, &r, NULL);
@@ -150,22 +154,23 @@
 }
 
 /*
- * A flood of cancellations: callers leave while they wait and while they run.
- * Nothing of theirs is started afterwards, and their slots are free.
+ * Guards against abandoned work after a flood of cancellations. Waiting and
+ * running requests are cancelled; none of them is started afterwards, and the
+ * counts of queued and running requests are 0.
  */
-static void callers_who_leave_free_their_places(void **state)
+static void cancelled_requests_free_queue_and_slots(void **state)
 {
-	struct adm *a = fake_zone(1, 1);
-	int64_t now = fake_learn(a, 0, 20, 100 * MS);
+	struct adm *a = new_zone(1, 1);
+	int64_t now = warm_up(a, 0, 20, 100 * MS);
 	struct adm_verdict out[8];
 	adm_ticket held[SLOTS] = {0};
 	adm_ticket waiting[20];
 	int64_t next;
 	int i;
 
-	fake_fill(a, now, held, SLOTS);
+	fill_slots(a, now, held, SLOTS);
 	for (i = 0; i < 20; i++)
-		waiting[i] = fake_offer(a, now, "b", ADM_NORMAL).ticket;
+		waiting[i] = offer_request(a, now, "b", ADM_NORMAL).ticket;
 	for (i = 0; i < 20; i++)
 		assert_true(adm_cancel(a, now, waiting[i]));
 	for (i = 0; i < SLOTS; i++)
@@ -177,10 +182,11 @@
 }
 
 /*
- * Before any answer no wait can be foretold. One caller floods: it may hold an
- * eighth of the memory, and the next caller still finds a place.
+ * Guards against one caller that uses all queue memory while no service time is
+ * measured, so that waits can't be estimated. The caller gets an eighth of the
+ * memory, and a request of another caller is still queued.
  */
-static void memory_is_bounded_and_shared(void **state)
+static void one_caller_gets_an_eighth_of_queue_memory(void **state)
 {
 	const struct adm_config conf = {
 		.seed = 1, .entries = 1, .queue_max = 80};
@@ -195,23 +201,24 @@
 	int i;
 
 	adm_pool_set(a, 0, &pool);
-	fake_state(a, 0, 1, ADM_SERVING);
-	fake_fill(a, 0, held, SLOTS);
+	set_target_state(a, 0, 1, ADM_SERVING);
+	fill_slots(a, 0, held, SLOTS);
 	for (i = 0; i < 100; i++) {
-		v = fake_offer(a, 0, "flood", ADM_NORMAL);
+		v = offer_request(a, 0, "flood", ADM_NORMAL);
 		waiting += v.kind == ADM_QUEUED;
 	}
 	assert_int_equal(v.reason, ADM_QUEUE_FULL);
 	assert_int_equal(waiting, 11);
-	assert_int_equal(fake_offer(a, 0, "b", ADM_NORMAL).kind, ADM_QUEUED);
+	assert_int_equal(offer_request(a, 0, "b", ADM_NORMAL).kind, ADM_QUEUED);
 	adm_free(a);
 }
 
 /*
- * Before any answer many callers come at once, for two pools. All the memory
- * is used up and no more; its last quarter is for the pool of higher priority.
+ * Guards against a low-priority pool that uses all queue memory. Many callers
+ * send to two pools while no service time is measured: the last quarter of the
+ * memory is reserved for the pool of higher priority, and the limit holds.
  */
-static void memory_is_kept_for_the_higher_priority(void **state)
+static void queue_memory_is_reserved_for_high_priority(void **state)
 {
 	const struct adm_config conf = {
 		.seed = 1, .entries = 1, .queue_max = 80};
@@ -248,15 +255,15 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(saturation_is_refused_at_once),
-		cmocka_unit_test(too_short_a_deadline_is_refused),
-		cmocka_unit_test(old_measurements_refuse_nobody),
-		cmocka_unit_test(a_deadline_that_the_queue_spends_is_refused),
-		cmocka_unit_test(waiting_ends_in_a_refusal),
-		cmocka_unit_test(declared_sizes_are_corrected_by_measuring),
-		cmocka_unit_test(callers_who_leave_free_their_places),
-		cmocka_unit_test(memory_is_bounded_and_shared),
-		cmocka_unit_test(memory_is_kept_for_the_higher_priority),
+		cmocka_unit_test(saturated_pool_refuses_excess_immediately),
+		cmocka_unit_test(deadline_below_service_time_is_refused),
+		cmocka_unit_test(stale_estimate_refuses_no_request),
+		cmocka_unit_test(deadline_missed_by_queueing_is_refused),
+		cmocka_unit_test(longest_wait_ends_in_refusal),
+		cmocka_unit_test(measured_time_overrides_declared_size),
+		cmocka_unit_test(cancelled_requests_free_queue_and_slots),
+		cmocka_unit_test(one_caller_gets_an_eighth_of_queue_memory),
+		cmocka_unit_test(queue_memory_is_reserved_for_high_priority),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/adm_fake.h
+++ b/tests/unit/adm_fake.h
@@ -5,13 +5,17 @@
 
 #include "adm.h"
 
-/* Small pieces that the tests of adm share: one pool, a zone, requests. */
+/* Fixtures shared by the unit tests of adm: a zone with one pool, requests. */
 
 #define MS INT64_C(1000)
 #define SEC INT64_C(1000000)
 #define SLOTS 8
 
-static inline struct adm *fake_zone(int targets, int entries)
+/*
+ * Returns an instance with pool 0 and targets 1 to targets, in a zone with the
+ * given number of entry VMs.
+ */
+static inline struct adm *new_zone(int targets, int entries)
 {
 	const struct adm_config conf = {.seed = 7, .entries = entries};
 	const struct adm_pool_spec pool = {.slots = SLOTS,
@@ -29,8 +33,9 @@
 	return a;
 }
 
-static inline void fake_state(struct adm *a, int64_t now, uint64_t target,
-			      enum adm_target_state state)
+/* Sets the state of a target of pool 0, with a lease that never expires. */
+static inline void set_target_state(struct adm *a, int64_t now, uint64_t target,
+				    enum adm_target_state state)
 {
 	const struct adm_target_spec spec = {.state = state,
 					     .lease_until_us = ADM_NEVER};
@@ -38,8 +43,10 @@
 	adm_target_set(a, now, target, &spec);
 }
 
-static inline struct adm_verdict
-fake_offer(struct adm *a, int64_t now, const char *caller, enum adm_class class)
+/* Offers a repeatable request without a deadline and size of its own. */
+static inline struct adm_verdict offer_request(struct adm *a, int64_t now,
+					       const char *caller,
+					       enum adm_class class)
 {
 	const struct adm_request r = {.caller = lstr_from(caller),
 				      .class = class,
@@ -48,38 +55,47 @@
 	return adm_offer(a, now, &r, NULL);
 }
 
-static inline void fake_done(struct adm *a, int64_t now, adm_ticket ticket,
-			     enum adm_outcome outcome, int64_t service)
+/* Ends a request; its answer doesn't report the target's busy slots. */
+static inline void end_request(struct adm *a, int64_t now, adm_ticket ticket,
+			       enum adm_outcome outcome, int64_t service_us)
 {
 	const struct adm_result res = {
-		.outcome = outcome, .service_us = service, .busy = -1};
+		.outcome = outcome, .service_us = service_us, .busy = -1};
 
 	adm_done(a, now, ticket, &res);
 }
 
-/* One after the other, so that the pool's service time is known. */
-static inline int64_t fake_learn(struct adm *a, int64_t now, int n,
-				 int64_t service)
+/*
+ * Runs n requests one after the other, so that the pool's service time is
+ * measured. Returns the time at the end.
+ */
+static inline int64_t warm_up(struct adm *a, int64_t now, int n,
+			      int64_t service_us)
 {
 	int i;
 
 	for (i = 0; i < n; i++) {
-		struct adm_verdict v = fake_offer(a, now, "warm", ADM_NORMAL);
+		struct adm_verdict v =
+			offer_request(a, now, "warm", ADM_NORMAL);
 
-		now += service;
-		fake_done(a, now, v.ticket, ADM_DONE_OK, service);
+		now += service_us;
+		end_request(a, now, v.ticket, ADM_DONE_OK, service_us);
 	}
 	return now;
 }
 
-/* Runs normal work until every slot is taken; gives the tickets. */
-static inline int fake_fill(struct adm *a, int64_t now, adm_ticket *tickets,
-			    int max)
+/*
+ * Starts up to max requests until no slot is free. Writes their tickets and
+ * returns their number.
+ */
+static inline int fill_slots(struct adm *a, int64_t now, adm_ticket *tickets,
+			     int max)
 {
 	int n = 0;
 
 	while (n < max) {
-		struct adm_verdict v = fake_offer(a, now, "fill", ADM_NORMAL);
+		struct adm_verdict v =
+			offer_request(a, now, "fill", ADM_NORMAL);
 
 		if (v.kind != ADM_RUN) {
 			adm_cancel(a, now, v.ticket);
--- a/tests/unit/adm_queue_test.c
+++ b/tests/unit/adm_queue_test.c
@@ -6,44 +6,48 @@
 
 #include "adm_fake.h"
 
-/* Frees one held slot and gives what is started in its place. */
-static struct adm_verdict next_start(struct adm *a, int64_t now,
-				     adm_ticket *held)
+/*
+ * Ends the request *held and returns the verdict about the request that is
+ * started in its place, with its ticket in *held.
+ */
+static struct adm_verdict replace_ended_request(struct adm *a, int64_t now,
+						adm_ticket *held)
 {
 	struct adm_verdict out[1] = {{0}};
 	int64_t next;
 
-	fake_done(a, now, *held, ADM_DONE_OK, 10 * MS);
+	end_request(a, now, *held, ADM_DONE_OK, 10 * MS);
 	adm_poll(a, now, out, 1, &next);
 	*held = out[0].ticket;
 	return out[0];
 }
 
 /*
- * One caller floods, another asks now and then. The second one's requests are
- * not behind all of the first one's: they take turns.
+ * Guards against a flooding caller that delays all others. The few requests of
+ * a second caller start in turn with those of the first, not behind all of
+ * them.
  */
-static void a_flooding_caller_does_not_crowd_out_others(void **state)
+static void flooding_caller_does_not_delay_others(void **state)
 {
-	struct adm *a = fake_zone(1, 1);
-	int64_t now = fake_learn(a, 0, 20, 10 * MS);
+	struct adm *a = new_zone(1, 1);
+	int64_t now = warm_up(a, 0, 20, 10 * MS);
 	adm_ticket held[SLOTS] = {0};
 	adm_ticket quiet[3];
 	int order[3] = {0};
 	int i;
-	int k;
+	int j;
 
-	fake_fill(a, now, held, SLOTS);
+	fill_slots(a, now, held, SLOTS);
 	for (i = 0; i < 100; i++)
-		fake_offer(a, now, "flood", ADM_NORMAL);
+		offer_request(a, now, "flood", ADM_NORMAL);
 	for (i = 0; i < 3; i++)
-		quiet[i] = fake_offer(a, now, "quiet", ADM_NORMAL).ticket;
+		quiet[i] = offer_request(a, now, "quiet", ADM_NORMAL).ticket;
 	for (i = 0; i < 12; i++) {
-		struct adm_verdict v = next_start(a, now, &held[0]);
+		struct adm_verdict v = replace_ended_request(a, now, &held[0]);
 
-		for (k = 0; k < 3; k++)
-			if (v.ticket == quiet[k])
-				order[k] = i + 1;
+		for (j = 0; j < 3; j++)
+			if (v.ticket == quiet[j])
+				order[j] = i + 1;
 	}
 	assert_in_range(order[0], 1, 2);
 	assert_in_range(order[1], 2, 4);
@@ -52,13 +56,13 @@
 }
 
 /*
- * One caller's requests run ten times longer than the other's, at the same
- * declared size. Turns by requests would give it ten elevenths of the pool;
- * by slot time each gets about half.
+ * Guards against fair queueing by the number of requests: a caller whose
+ * requests run ten times longer, at the same declared size, would get ten
+ * elevenths of the pool. By slot time each caller gets about half.
  */
-static void turns_are_by_slot_time(void **state)
+static void callers_share_slot_time_equally(void **state)
 {
-	struct adm *a = fake_zone(1, 1);
+	struct adm *a = new_zone(1, 1);
 	const struct adm_request shorts = {.caller = LSTR("short"),
 					   .class = ADM_NORMAL,
 					   .deadline_us = 100 * SEC};
@@ -66,7 +70,7 @@
 					  .class = ADM_NORMAL,
 					  .deadline_us = 100 * SEC};
 	static int long_user;
-	int64_t now = fake_learn(a, 0, 20, 10 * MS);
+	int64_t now = warm_up(a, 0, 20, 10 * MS);
 	adm_ticket held[SLOTS] = {0};
 	struct adm_verdict out[1];
 	bool is_long = false;
@@ -74,12 +78,12 @@
 	int starts[2] = {0};
 	int i;
 
-	fake_fill(a, now, held, SLOTS);
+	fill_slots(a, now, held, SLOTS);
 	for (i = 0; i < 300; i++) {
 		adm_offer(a, now, &shorts, NULL);
 		adm_offer(a, now, &longs, &long_user);
-		fake_done(a, now, held[0], ADM_DONE_OK,
-			  (is_long ? 100 : 10) * MS);
+		end_request(a, now, held[0], ADM_DONE_OK,
+			    (is_long ? 100 : 10) * MS);
 		assert_int_equal(adm_poll(a, now, out, 1, &next), 1);
 		assert_int_equal(out[0].kind, ADM_RUN);
 		held[0] = out[0].ticket;
@@ -91,22 +95,22 @@
 }
 
 /*
- * A storm: the duty officer's requests come behind a queue of others. They go
- * first, yet the others and the archive work get a start now and then, so
- * that nothing waits for ever.
+ * Guards against urgent requests that wait behind a long queue, and against
+ * starvation of the other classes in a storm. Urgent requests start first,
+ * while normal and batch work still get their minimum number of starts.
  */
-static void urgent_goes_first_and_the_rest_is_not_starved(void **state)
+static void urgent_starts_first_without_starving_others(void **state)
 {
-	struct adm *a = fake_zone(1, 1);
+	struct adm *a = new_zone(1, 1);
 	static int user[ADM_CLASSES];
 	struct adm_request r = {.caller = LSTR("a"), .deadline_us = 100 * SEC};
-	int64_t now = fake_learn(a, 0, 20, 10 * MS);
+	int64_t now = warm_up(a, 0, 20, 10 * MS);
 	int starts[ADM_CLASSES] = {0};
 	adm_ticket held[SLOTS] = {0};
 	struct adm_verdict v;
 	int i;
 
-	fake_fill(a, now, held, SLOTS);
+	fill_slots(a, now, held, SLOTS);
 	for (i = 0; i < 120; i++) {
 		r.class = i % 2 ? ADM_NORMAL : ADM_BATCH;
 		adm_offer(a, now, &r, &user[r.class]);
@@ -114,7 +118,7 @@
 	r.class = ADM_URGENT;
 	for (i = 0; i < 90; i++) {
 		adm_offer(a, now, &r, &user[ADM_URGENT]);
-		v = next_start(a, now, &held[0]);
+		v = replace_ended_request(a, now, &held[0]);
 		assert_int_equal(v.kind, ADM_RUN);
 		starts[(int *)v.user - user]++;
 		if (i == 0)
@@ -127,48 +131,51 @@
 }
 
 /*
- * Archive work that runs for minutes comes while the pool is idle. It leaves a
- * slot of each target, so that an alert isn't behind it for minutes.
+ * Guards against long batch work that takes all slots of an idle pool, so that
+ * an urgent request would wait for minutes. Batch work leaves one slot of each
+ * target free.
  */
-static void archive_work_leaves_a_slot_for_alerts(void **state)
+static void batch_work_leaves_one_slot_per_target(void **state)
 {
-	struct adm *a = fake_zone(2, 1);
+	struct adm *a = new_zone(2, 1);
 	int i;
 	int ran = 0;
 
 	for (i = 0; i < 40; i++)
-		ran += fake_offer(a, 0, "archive", ADM_BATCH).kind == ADM_RUN;
+		ran += offer_request(a, 0, "archive", ADM_BATCH).kind ==
+		       ADM_RUN;
 	assert_int_equal(ran, 2 * (SLOTS - 1));
 	adm_free(a);
 
-	a = fake_zone(2, 1);
+	a = new_zone(2, 1);
 	for (i = 0; i < 2 * (SLOTS - 1); i++)
-		fake_offer(a, 0, "archive", ADM_BATCH);
-	assert_int_equal(fake_offer(a, 0, "duty", ADM_URGENT).kind, ADM_RUN);
+		offer_request(a, 0, "archive", ADM_BATCH);
+	assert_int_equal(offer_request(a, 0, "duty", ADM_URGENT).kind, ADM_RUN);
 	adm_free(a);
 }
 
 /*
- * More comes than can run, for long. The queue isn't kept at its longest: whoever
- * is taken in waits for two service times, the others are refused at once.
+ * Guards against a standing queue under sustained overload. After a time, the
+ * longest wait is reduced to two service times, and the requests that exceed it
+ * are refused immediately.
  */
-static void lasting_overload_keeps_the_queue_short(void **state)
+static void sustained_overload_keeps_queue_short(void **state)
 {
-	struct adm *a = fake_zone(1, 1);
-	int64_t now = fake_learn(a, 0, 20, 10 * MS);
+	struct adm *a = new_zone(1, 1);
+	int64_t now = warm_up(a, 0, 20, 10 * MS);
 	adm_ticket held[SLOTS] = {0};
 	uint32_t longest = 0;
 	int i;
-	int k;
+	int j;
 
-	fake_fill(a, now, held, SLOTS);
+	fill_slots(a, now, held, SLOTS);
 	for (i = 0; i < 1500; i++) {
 		char caller[2] = {(char)('a' + i % 4), 0};
 
 		now += 10 * MS / SLOTS;
-		for (k = 0; k < 3; k++)
-			fake_offer(a, now, caller, ADM_NORMAL);
-		next_start(a, now, &held[i % SLOTS]);
+		for (j = 0; j < 3; j++)
+			offer_request(a, now, caller, ADM_NORMAL);
+		replace_ended_request(a, now, &held[i % SLOTS]);
 		longest = MAX(longest, adm_stats(a).in_queue);
 	}
 	assert_in_range(longest, 300, 410);
@@ -179,11 +186,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_flooding_caller_does_not_crowd_out_others),
-		cmocka_unit_test(turns_are_by_slot_time),
-		cmocka_unit_test(urgent_goes_first_and_the_rest_is_not_starved),
-		cmocka_unit_test(archive_work_leaves_a_slot_for_alerts),
-		cmocka_unit_test(lasting_overload_keeps_the_queue_short),
+		cmocka_unit_test(flooding_caller_does_not_delay_others),
+		cmocka_unit_test(callers_share_slot_time_equally),
+		cmocka_unit_test(urgent_starts_first_without_starving_others),
+		cmocka_unit_test(batch_work_leaves_one_slot_per_target),
+		cmocka_unit_test(sustained_overload_keeps_queue_short),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
