--- a/src/lod.c
+++ b/src/lod.c
@@ -2,99 +2,126 @@
 
 #include <glib.h>
 
-/* A plan may take one part in so many of the leader's time, */
-#define LOD_PLAN_PARTS 8
-/* but is never put off for longer, ms: free room is waited for. */
-#define LOD_PLAN_MOST_MS 150
-/* Weight of the newest plan in the moving mean: 1 in so many. */
-#define LOD_PLAN_MEAN 4
-/* Turns of the loop between a call and its answer that a limit allows for. */
-#define LOD_TURNS 4
-/* A limit grows to one part in so many of a lease: that is renewed in time. */
-#define LOD_PATIENCE_PARTS 2
-/* Time of the leader that one more call for a list takes, us. */
-#define LOD_CALL_US 150
-/* So much for a round of all busy workers is no burden, ms. */
-#define LOD_GATHER_FROM_MS 10
-/* Longest that an end waits to be asked for, ms: */
-#define LOD_GATHER_MOST_MS 80
-/* and where the leader is behind, as others wait for longer then. */
-#define LOD_GATHER_BEHIND_MS 250
+/* Planning may use one part in this many of the leader's time. */
+#define LOD_PLAN_TIME_PARTS 8
+/*
+ * Longest delay of a plan because of its duration, ms. A longer one would leave
+ * free capacity unused.
+ */
+#define LOD_PLAN_DELAY_MAX_MS 150
+/* EWMA weight of the newest plan's duration: one part in this many. */
+#define LOD_PLAN_EWMA_PARTS 4
+/* Iterations of the event loop between a call and the reading of its answer. */
+#define LOD_TIMEOUT_ITERATIONS 4
+/*
+ * A timeout is extended up to one part in this many of the lease time, so that
+ * the lease can still be renewed in time.
+ */
+#define LOD_TIMEOUT_LEASE_PARTS 2
+/* Time of the leader that one more poll of a worker takes, us. */
+#define LOD_POLL_COST_US 150
+/* Polling all busy workers within this time is no significant load, ms. */
+#define LOD_POLL_ROUND_FREE_MS 10
+/* Longest delay of a poll because of the number of busy workers, ms. */
+#define LOD_POLL_DELAY_MAX_MS 80
+/*
+ * Longest delay of a poll on a lagging leader, ms, where other work waits
+ * longer anyway.
+ */
+#define LOD_POLL_DELAY_LAG_MAX_MS 250
 
 /*
- * How long the next plan is put off, ms; batch_ms: until the next batch goes to
- * the log. Made for bursts, in which ends and lists come in at each turn of the
- * loop and thousands of jobs wait: a plan looks at all of them, and the longer
- * the backlog the longer it takes, so that planning at each turn left no time
- * for the orders that shorten it. Starts go with the next batch only, so that a
- * plan before that gains nothing; it is made just in time for it. While nothing
- * is on its way both waits are over, and a job is planned as it comes.
+ * Returns the delay until the next plan, in ms. batch_ms: time until the next
+ * batch of commands goes to the log.
+ *
+ * Load: bursts, in which reports of workers and ended tasks arrive in each
+ * iteration of the event loop while thousands of jobs wait. Harm: a plan scans
+ * all of them, so that its duration grows with the backlog; planning in each
+ * iteration would leave no time for the orders that reduce the backlog. Limits:
+ * planning uses at most an eighth of the time, unless that delays it by more
+ * than 150 ms; and as starts are committed with the next batch, a plan runs
+ * just before it, since an earlier one gains nothing. On an idle leader both
+ * delays are over, and a job is planned as soon as it arrives.
  */
 int64_t lod_plan_wait_ms(const struct lod_plan *p, int64_t batch_ms,
 			 int64_t now_ms)
 {
-	int64_t pause = CLAMP((int64_t)(p->took_ms * (LOD_PLAN_PARTS - 1)), 0,
-			      LOD_PLAN_MOST_MS);
+	int64_t pause_ms =
+		CLAMP((int64_t)(p->mean_ms * (LOD_PLAN_TIME_PARTS - 1)), 0,
+		      LOD_PLAN_DELAY_MAX_MS);
 
-	return MAX(0, MAX(batch_ms - 1, p->ended_ms + pause - now_ms));
+	return MAX(0, MAX(batch_ms - 1, p->ended_ms + pause_ms - now_ms));
 }
 
 /*
- * A plan is made and took so long. What a standstill of the machine in the middle
- * of it added says nothing of the next ones.
+ * Records the end and the duration of a plan, in ms. The duration is capped, as
+ * the time added by a process pause says nothing about the next plans.
  */
 void lod_planned(struct lod_plan *p, double took_ms, int64_t now_ms)
 {
-	double took = MIN(took_ms, LOD_PLAN_MOST_MS);
+	double capped_ms = MIN(took_ms, LOD_PLAN_DELAY_MAX_MS);
 
 	p->ended_ms = now_ms;
-	p->took_ms += (took - p->took_ms) / LOD_PLAN_MEAN;
+	p->mean_ms += (capped_ms - p->mean_ms) / LOD_PLAN_EWMA_PARTS;
 }
 
 /*
- * How long an answer is waited for, ms, on a loop that comes so late to what is
- * due. Made for a leader that is behind: answers lie in its sockets for a turn
- * or more, and workers that had answered counted as silent. Their orders were
- * given again over new connections, which put the leader further behind.
+ * Returns the timeout for an answer, in ms: timeout_ms, extended on an event
+ * loop that lags by lag_ms.
+ *
+ * Load: a lagging leader. Harm: answers wait in its socket buffers for an
+ * iteration or more, and workers that have answered count as unreachable; their
+ * orders are sent again over new connections, which makes the leader lag more
+ * (retry storm). Limit: half of the lease time, or timeout_ms if that is
+ * longer, so that a lost worker is detected while its lease is still valid.
  */
-int64_t lod_patience_ms(int64_t patience_ms, int64_t lease_ms, int64_t lag_ms)
+int64_t lod_patience_ms(int64_t timeout_ms, int64_t lease_ms, int64_t lag_ms)
 {
-	int64_t most = MAX(patience_ms, lease_ms / LOD_PATIENCE_PARTS);
+	int64_t max_ms = MAX(timeout_ms, lease_ms / LOD_TIMEOUT_LEASE_PARTS);
 
-	return MIN(patience_ms + LOD_TURNS * lag_ms, most);
+	return MIN(timeout_ms + LOD_TIMEOUT_ITERATIONS * lag_ms, max_ms);
 }
 
 /*
- * How long a worker whose ends are stored may gather more before it is asked
- * again, ms; busy: how many have something to run. Made for bursts on hundreds
- * of workers: with a call for each end a leader came to little else, and ends
- * were taken in so late that their room looked as if it were in use. Few workers
- * are asked at once, as each moment that an end waits delays the steps behind it.
+ * Returns the delay, in ms, before a worker whose ended tasks are stored is
+ * polled again, so that it can batch more of them. busy: number of workers that
+ * have something to run; lag_ms: lag of the event loop.
+ *
+ * Load: bursts on hundreds of workers. Harm: with a call for each ended task
+ * the leader does little else, and processes the reports so late that capacity
+ * which is free counts as in use. Limits: no delay if polling all busy workers
+ * takes 10 ms or less, as each delay of a report delays the steps that depend
+ * on the task; at most 80 ms without lag and 250 ms with it.
  */
 int64_t lod_gather_ms(unsigned int busy, int64_t lag_ms)
 {
-	int64_t round = (int64_t)busy * LOD_CALL_US / 1000;
+	int64_t round_ms = (int64_t)busy * LOD_POLL_COST_US / 1000;
 
-	return CLAMP(round - LOD_GATHER_FROM_MS, 0, LOD_GATHER_MOST_MS) +
-	       MIN(lag_ms, LOD_GATHER_BEHIND_MS - LOD_GATHER_MOST_MS);
+	return CLAMP(round_ms - LOD_POLL_ROUND_FREE_MS, 0,
+		     LOD_POLL_DELAY_MAX_MS) +
+	       MIN(lag_ms, LOD_POLL_DELAY_LAG_MAX_MS - LOD_POLL_DELAY_MAX_MS);
 }
 
 /*
- * Which of the other replicas makes the calls to a worker, from 0 on; -1: the
- * leader itself. Made for fleets on which HTTP alone takes more than a leader
- * has: to hand a call on takes a small part of its time, and the other replicas
- * are idle; a small fleet is served sooner without the detour. worker: a number
- * that is always the same for a worker, so that connections are used again;
- * turn: grows where a call was lost, so that the next one goes another way, in
- * the end the leader's own.
+ * Returns the index of the replica that relays the calls to a worker, from 0 to
+ * relays - 1, or -1 if the leader makes them itself.
+ *
+ * Load: large fleets, where HTTP alone takes more time than the leader has,
+ * while the other replicas are idle and relaying a call costs the leader only a
+ * small part of that time. Without relays (small fleets) calls are direct, as
+ * this is faster.
+ *
+ * worker: a hash that is constant for a worker, so that its connections are
+ * reused. attempt: number of calls lost so far; the next one goes through
+ * another replica, and after all of them directly from the leader.
  */
-int lod_carrier(unsigned int carriers, uint32_t worker, uint32_t turn)
+int lod_carrier(unsigned int relays, uint32_t worker, uint32_t attempt)
 {
-	uint32_t ways = carriers + (turn > 0);
-	uint32_t way;
+	uint32_t choices = relays + (attempt > 0);
+	uint32_t choice;
 
-	if (!carriers)
+	if (!relays)
 		return -1;
-	way = (worker % carriers + turn) % ways;
-	return way < carriers ? (int)way : -1;
+	choice = (worker % relays + attempt) % choices;
+	return choice < relays ? (int)choice : -1;
 }
--- a/src/lod.h
+++ b/src/lod.h
@@ -1,25 +1,28 @@
 #ifndef LOD_H
 #define LOD_H
 
+/* Load regulation of the leader: delays and timeouts that adapt to its load. */
+
 #include <stdint.h>
 
 /*
- * What a busy leader puts off, and for how long. One thread does all its work:
- * what is done more often than it helps is taken from orders that callers wait
- * for. Pure decisions; time is passed in, ms.
+ * One thread does all work of the leader, so that work which is done more often
+ * than it helps takes time from the orders that callers wait for. The functions
+ * here decide how long such work is deferred. They are pure; the time is passed
+ * in, in ms.
  */
 
-/* When pools are planned next. */
+/* State for the decision when to plan the pools again. */
 struct lod_plan {
-	int64_t ended_ms; /* of the last plan */
-	double took_ms; /* moving mean of a plan's time */
+	int64_t ended_ms; /* end of the last plan */
+	double mean_ms; /* EWMA of the duration of a plan */
 };
 
 int64_t lod_plan_wait_ms(const struct lod_plan *p, int64_t batch_ms,
 			 int64_t now_ms);
 void lod_planned(struct lod_plan *p, double took_ms, int64_t now_ms);
-int64_t lod_patience_ms(int64_t patience_ms, int64_t lease_ms, int64_t lag_ms);
+int64_t lod_patience_ms(int64_t timeout_ms, int64_t lease_ms, int64_t lag_ms);
 int64_t lod_gather_ms(unsigned int busy, int64_t lag_ms);
-int lod_carrier(unsigned int carriers, uint32_t worker, uint32_t turn);
+int lod_carrier(unsigned int relays, uint32_t worker, uint32_t attempt);
 
 #endif
--- a/tests/unit/lod_test.c
+++ b/tests/unit/lod_test.c
@@ -11,32 +11,34 @@
 #define SECOND_MS 1000
 
 /*
- * Plans one second of a burst in which something changes each ms, with batches
- * every batch_ms; returns the time that plans of took_ms each came to.
+ * Simulates 1 s of a burst in which a plan is requested each ms, with a batch
+ * every batch_ms and plans that take took_ms each. Returns the total time spent
+ * on planning, ms.
  */
-static int64_t planned_ms(struct lod_plan *p, int64_t took_ms, int64_t batch_ms)
+static int64_t simulate_planning_ms(struct lod_plan *p, int64_t took_ms,
+				    int64_t batch_ms)
 {
-	int64_t batch = SECOND_MS;
+	int64_t next_batch = SECOND_MS;
 	int64_t now = SECOND_MS;
-	int64_t sum = 0;
+	int64_t total_ms = 0;
 
 	while (now < 2 * SECOND_MS) {
-		if (now >= batch)
-			batch += batch_ms;
-		if (lod_plan_wait_ms(p, batch - now, now) > 0) {
+		if (now >= next_batch)
+			next_batch += batch_ms;
+		if (lod_plan_wait_ms(p, next_batch - now, now) > 0) {
 			now++;
 			continue;
 		}
 		now += took_ms;
-		sum += took_ms;
+		total_ms += took_ms;
 		lod_planned(p, (double)took_ms, now);
 		now++;
 	}
-	return sum;
+	return total_ms;
 }
 
-/* Guards against a job that waits on an idle leader. */
-static void an_idle_leader_plans_at_once(void **state)
+/* Guards against a job that waits although the leader is idle. */
+static void idle_leader_plans_immediately(void **state)
 {
 	struct lod_plan p = {0};
 
@@ -44,8 +46,11 @@
 	assert_int_equal(lod_plan_wait_ms(&p, 0, SECOND_MS + 5), 0);
 }
 
-/* Guards against starts that just miss a batch and wait for the next one. */
-static void a_plan_is_made_just_before_the_batch(void **state)
+/*
+ * Guards against starts that just miss a batch of commands and wait for the
+ * next one.
+ */
+static void plan_runs_just_before_next_batch(void **state)
 {
 	struct lod_plan p = {0};
 
@@ -53,19 +58,25 @@
 	assert_int_equal(lod_plan_wait_ms(&p, 1, SECOND_MS), 0);
 }
 
-/* Guards against a backlog that is planned so often that nothing is ordered. */
-static void a_long_backlog_leaves_time_for_orders(void **state)
+/*
+ * Guards against a long backlog that is planned so often that the leader has no
+ * time left for orders.
+ */
+static void planning_long_backlog_leaves_time_for_orders(void **state)
 {
 	struct lod_plan p = {0};
 
-	/* the first plans of a burst come before their cost is known */
-	planned_ms(&p, 15, 10);
+	/* The duration of a plan is unknown at the start of a burst. */
+	simulate_planning_ms(&p, 15, 10);
 	p.ended_ms = 0;
-	assert_in_range(planned_ms(&p, 15, 10), 15, SECOND_MS / 7);
+	assert_in_range(simulate_planning_ms(&p, 15, 10), 15, SECOND_MS / 7);
 }
 
-/* Guards against room that stays free since plans are put off too long. */
-static void no_plan_is_put_off_for_long(void **state)
+/*
+ * Guards against capacity that stays unused because plans take long and are
+ * therefore delayed for a long time.
+ */
+static void plan_delay_is_bounded(void **state)
 {
 	struct lod_plan p = {0};
 	int i;
@@ -75,8 +86,11 @@
 	assert_in_range(lod_plan_wait_ms(&p, 0, SECOND_MS), 1, 150);
 }
 
-/* Guards against a leader that plans seldom long after it has stood still. */
-static void a_standstill_is_soon_forgotten(void **state)
+/*
+ * Guards against long delays of plans after a process pause, which made a
+ * single plan take long.
+ */
+static void process_pause_does_not_delay_later_plans(void **state)
 {
 	struct lod_plan p = {0};
 	int i;
@@ -87,28 +101,34 @@
 	assert_in_range(lod_plan_wait_ms(&p, 0, SECOND_MS), 0, 20);
 }
 
-/* Guards against workers taken for silent whose answers lie in our sockets. */
-static void a_leader_that_is_behind_waits_longer_for_answers(void **state)
+/*
+ * Guards against workers that count as unreachable although their answers are
+ * in the leader's socket buffers.
+ */
+static void lagging_leader_extends_answer_timeout(void **state)
 {
 	assert_int_equal(lod_patience_ms(400, 5000, 0), 400);
-	/* to the worker in one turn, and three until its answer is read */
+	/* One loop iteration to send, and three until the answer is read. */
 	assert_true(lod_patience_ms(400, 5000, 150) >= 400 + 3 * 150);
-	/* a worker that is gone is given up while its lease lasts */
+	/* A lost worker is detected while its lease is still valid. */
 	assert_true(lod_patience_ms(400, 5000, 60000) <= 2500);
 	assert_true(lod_patience_ms(400, 1000, 60000) <= 500);
 	assert_int_equal(lod_patience_ms(2500, 1000, 60000), 2500);
 }
 
-/* Guards against a call for each end while orders wait. */
-static void a_leader_that_is_behind_gathers_more_ends(void **state)
+/*
+ * Guards against a call for each ended task while orders wait on a lagging
+ * leader.
+ */
+static void lagging_leader_polls_workers_less_often(void **state)
 {
 	assert_int_equal(lod_gather_ms(10, 0), 0);
 	assert_true(lod_gather_ms(1100, 100) > lod_gather_ms(1100, 0));
 	assert_true(lod_gather_ms(9200, 60000) <= 250);
 }
 
-/* Guards against a leader that makes all calls while other replicas idle. */
-static void other_replicas_make_the_calls(void **state)
+/* Guards against a leader that makes all calls while others are idle. */
+static void calls_are_spread_over_other_replicas(void **state)
 {
 	int shares[4] = {0};
 	uint32_t w;
@@ -120,34 +140,33 @@
 	assert_int_equal(lod_carrier(0, 5, 0), -1);
 }
 
-/* Guards against calls that keep going by way of a replica that is lost. */
-static void a_lost_call_goes_another_way(void **state)
+/* Guards against calls that are relayed by a lost replica again and again. */
+static void lost_call_is_retried_by_another_replica(void **state)
 {
-	bool own = false;
-	uint32_t turn;
+	bool direct = false;
+	uint32_t attempt;
 
-	for (turn = 0; turn < 4; turn++) {
-		assert_int_not_equal(lod_carrier(4, 6, turn),
-				     lod_carrier(4, 6, turn + 1));
-		own = own || lod_carrier(4, 6, turn) == -1;
+	for (attempt = 0; attempt < 4; attempt++) {
+		assert_int_not_equal(lod_carrier(4, 6, attempt),
+				     lod_carrier(4, 6, attempt + 1));
+		direct = direct || lod_carrier(4, 6, attempt) == -1;
 	}
-	assert_true(own);
+	assert_true(direct);
 	assert_int_not_equal(lod_carrier(1, 6, 0), lod_carrier(1, 6, 1));
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(an_idle_leader_plans_at_once),
-		cmocka_unit_test(a_plan_is_made_just_before_the_batch),
-		cmocka_unit_test(a_long_backlog_leaves_time_for_orders),
-		cmocka_unit_test(no_plan_is_put_off_for_long),
-		cmocka_unit_test(a_standstill_is_soon_forgotten),
-		cmocka_unit_test(
-			a_leader_that_is_behind_waits_longer_for_answers),
-		cmocka_unit_test(a_leader_that_is_behind_gathers_more_ends),
-		cmocka_unit_test(other_replicas_make_the_calls),
-		cmocka_unit_test(a_lost_call_goes_another_way),
+		cmocka_unit_test(idle_leader_plans_immediately),
+		cmocka_unit_test(plan_runs_just_before_next_batch),
+		cmocka_unit_test(planning_long_backlog_leaves_time_for_orders),
+		cmocka_unit_test(plan_delay_is_bounded),
+		cmocka_unit_test(process_pause_does_not_delay_later_plans),
+		cmocka_unit_test(lagging_leader_extends_answer_timeout),
+		cmocka_unit_test(lagging_leader_polls_workers_less_often),
+		cmocka_unit_test(calls_are_spread_over_other_replicas),
+		cmocka_unit_test(lost_call_is_retried_by_another_replica),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
