--- a/src/adm.c
+++ b/src/adm.c
@@ -364,7 +364,7 @@
 	p->in_flight++;
 	p->starts_since_slow_probe++;
 	a->stats.in_flight++;
-	a->stats.run++;
+	a->stats.started++;
 	a->stats.probes += r->probe;
 	adm_flow_charge(p, r);
 	adm_target_classify(p, t, now);
@@ -462,7 +462,7 @@
 		a->stats.done_busy++;
 		break;
 	case ADM_DONE_LEFT:
-		a->stats.left++;
+		a->stats.cancelled++;
 		break;
 	case ADM_DONE_UNSENT:
 	case ADM_DONE_FAILED:
@@ -509,7 +509,7 @@
 	adm_queue_remove(a, p, r);
 	adm_detach_flow(p, r);
 	adm_req_free(a, r);
-	a->stats.left++;
+	a->stats.cancelled++;
 	return true;
 }
 
--- a/src/adm.h
+++ b/src/adm.h
@@ -132,14 +132,14 @@
 /* Counters since the start and, where marked so, current values. */
 struct adm_stats {
 	uint64_t offered;
-	uint64_t run; /* sent to a target, including retries and hedges */
+	uint64_t started; /* sent to a target, including retries and hedges */
 	uint64_t queued;
 	uint64_t shifted;
 	uint64_t refused[ADM_REASONS];
 	uint64_t done_ok;
 	uint64_t done_busy;
 	uint64_t done_failed; /* failed, unsent or timed out */
-	uint64_t left; /* cancelled by their callers */
+	uint64_t cancelled; /* by their callers */
 	uint64_t retries;
 	uint64_t hedges;
 	uint64_t ejected;
--- a/src/adm_health.c
+++ b/src/adm_health.c
@@ -86,9 +86,9 @@
 /* Ejects a target, and doubles the length of its ejections up to the limit. */
 static void adm_eject(struct adm *a, struct adm_target *t, int64_t now)
 {
-	int64_t us = t->ejection_us ? 2 * t->ejection_us : ADM_EJECT_MIN;
+	int64_t length_us = t->ejection_us ? 2 * t->ejection_us : ADM_EJECT_MIN;
 
-	t->ejection_us = MIN(us, ADM_EJECT_MAX);
+	t->ejection_us = MIN(length_us, ADM_EJECT_MAX);
 	t->health = ADM_EJECTED;
 	t->probes_ok = 0;
 	t->ejected_until = now + t->ejection_us +
--- a/src/adm_int.h
+++ b/src/adm_int.h
@@ -135,7 +135,7 @@
 struct adm_zone_credit {
 	int64_t reported_at;
 	int sustained; /* in flight that may be replaced as requests end */
-	int additional; /* our share of the capacity last reported */
+	int additional; /* share of the capacity last reported */
 	int peak; /* maximum of in_flight since .peak_since */
 	int64_t peak_since;
 	int64_t paused_until; /* no shifting before, after a refusal */
--- a/src/adm_place.c
+++ b/src/adm_place.c
@@ -13,9 +13,7 @@
  * again when the information about targets is old.
  */
 
-/*
- * Targets with at least this many slots keep one of them free of batch work.
- */
+/* Targets with at least this many slots keep one of them free of batch work. */
 #define ADM_RESERVE_MIN_SLOTS 4
 
 /*
@@ -202,8 +200,8 @@
 
 /*
  * Returns the best of adm_config.choices targets drawn from a list, which is
- * the one with the fewest busy slots, weighted by its health; NULL if none of
- * the targets drawn suits the request.
+ * the one with the lowest load (busy slots weighted by its health); NULL if the
+ * request may not use any of the targets drawn.
  */
 static struct adm_target *adm_best_of_sample(struct adm *a,
 					     const struct adm_pool *p,
@@ -212,25 +210,25 @@
 {
 	const GPtrArray *list = p->lists[l];
 	struct adm_target *best = NULL;
-	double best_score = 0;
+	double best_load = 0;
 	int draws_left = MAX(a->conf.choices, 4);
 	int to_compare = a->conf.choices;
 
 	while (list->len && to_compare > 0 && draws_left-- > 0) {
 		struct adm_target *t = adm_draw_target(a, list, r);
-		double score;
+		double load;
 
 		if (t == best)
 			continue;
 		if (!adm_may_use_slot(p, t, r, now))
 			continue;
 		to_compare--;
-		score = (t->in_flight + adm_others_busy(t, now) + 1) *
-			adm_health_penalty(t);
-		if (best && score >= best_score)
+		load = (t->in_flight + adm_others_busy(t, now) + 1) *
+		       adm_health_penalty(t);
+		if (best && load >= best_load)
 			continue;
 		best = t;
-		best_score = score;
+		best_load = load;
 	}
 	return best;
 }
