--- a/src/adm.h
+++ b/src/adm.h
@@ -68,7 +68,7 @@
 	uint32_t pool;
 	struct lstr caller; /* for fair queueing; only a hash is kept */
 	enum adm_class class;
-	int64_t deadline_us; /* point in time; 0: the pool's deadline from now */
+	int64_t deadline_us; /* point in time; 0: the pool's deadline_us */
 	bool repeatable; /* idempotent, or deduplicated by its key */
 	bool shifted; /* was sent by an entry VM of another zone */
 	uint64_t size_hint; /* declared size, bytes or units; 0: unknown */
--- a/src/adm_int.h
+++ b/src/adm_int.h
@@ -172,7 +172,7 @@
 	/* adm_shift */
 	struct adm_zone_credit zones[ADM_ZONES_MAX];
 	bool saturated; /* requests may be shifted to other zones */
-	int64_t transition_since; /* the wait calls for the other state; 0: no */
+	int64_t transition_since; /* the wait demands a change; 0: no */
 	int inbound_left; /* shifted requests that may still be accepted */
 	int64_t inbound_refreshed_at;
 };
