--- a/src/upk.c
+++ b/src/upk.c
@@ -3,52 +3,58 @@
 #include "msg.h"
 
 /*
- * From closing a worker to new work until its successor takes some: the rest
- * of its runs, the upkeep itself and the new worker's first word, ms.
+ * Duration of one VM's upkeep cycle, from closing its worker to new work until
+ * its successor accepts some: the remaining runs, the upkeep itself and the
+ * first report of the new worker, ms.
  */
 #define UPK_CYCLE_MS 7000
-/* Kept of a wave's time for what goes wrong, as a share of it. */
-#define UPK_SPARE 4
-/* An order without a good answer is given again after so long, ms. */
-#define UPK_AGAIN_MS 600
-/* A worker kept free for work that lasts goes last for so long, ms. */
-#define UPK_KEPT_MS 1000
+/* Divisor of the wave's time that gives the reserve for failures and delays. */
+#define UPK_RESERVE_DIVISOR 4
+/* An order that was not accepted is sent again after this time, ms. */
+#define UPK_RETRY_MS 600
+/* A worker reserved for long-running work is drained last for this long, ms. */
+#define UPK_RESERVED_MS 1000
 /*
- * A VM from which nothing could be taken for so long is given back: what lasts
- * on it must wait for more of its kind, which may have no other place to go, ms.
+ * A VM that no run has left for this long is returned to service, ms: a
+ * long-running task on it waits for other tasks of its step, which may have no
+ * other VM to run on.
  */
 #define UPK_STUCK_MS 3000
-/* Work that isn't done by then is stopped, and done again elsewhere, ms. */
-#define UPK_PATIENCE_MS 2500
+/*
+ * Runs that have not ended by then are stopped and started again elsewhere, ms.
+ */
+#define UPK_STOP_AFTER_MS 2500
 
 /*
- * A VM that no list has shown for so long never comes back, ms. One that has
- * just been switched on may be due before it is listed.
+ * A VM that has been missing from all lists for this long is taken as removed
+ * permanently, ms. A VM that has just been switched on may be due before it is
+ * listed.
  */
-#define UPK_MISSING_MS 5000
+#define UPK_REMOVED_MS 5000
 
-/* A VM that is being emptied or is down. */
-struct upk_job {
+/* Progress of one VM's upkeep, while it is drained or down. */
+struct upk_drain {
 	char *vm;
-	char *worker; /* lifetime that its order ends */
-	char *later; /* another that came up before that; or NULL */
+	char *worker; /* worker process that the order ends */
+	/* worker that came up before the order was accepted; or NULL */
+	char *new_worker;
 	uint64_t wave;
 	int64_t from_ms;
-	int64_t moved_ms; /* when its runs last grew fewer */
-	guint runs; /* that it had then */
-	int64_t ordered_ms; /* 0: not yet */
-	int64_t agreed_ms; /* when the answer was yes; 0: not yet */
-	bool noted; /* its order is in the table, or on its way there */
-	bool fenced; /* a later leader has taken it over */
-	bool over; /* its end is on its way to the table */
-	bool back; /* it can't be emptied now, and is given back */
+	int64_t progress_ms; /* when the number of its runs last fell */
+	guint progress_runs; /* number of runs at that time */
+	int64_t ordered_ms; /* when it was ordered; 0: not yet */
+	int64_t accepted_ms; /* when the order was accepted; 0: not yet */
+	bool recorded; /* JTB_VM_BEGUN is in the table or on its way there */
+	bool fenced; /* a later leader gives the orders for it now */
+	bool done_recorded; /* JTB_VM_DONE is on its way to the table */
+	bool returning; /* it cannot be drained now and returns to service */
 };
 
-/* A VM whose upkeep may begin. */
-struct upk_pick {
+/* A VM that may be drained next. */
+struct upk_candidate {
 	const struct vms_vm *vm;
 	double cost;
-	guint place; /* in its wave: the first goes first */
+	guint index; /* index in its wave: at equal cost the lowest is first */
 };
 
 struct upk {
@@ -56,44 +62,51 @@
 	const struct vms *vms;
 	const struct upk_ops *ops;
 	void *arg;
-	GPtrArray *jobs; /* struct upk_job */
-	GHashTable *by_vm; /* the same, by their VM's name */
-	GHashTable *missing; /* VM: when it was first missed, int64_t */
+	GPtrArray *drains; /* struct upk_drain */
+	GHashTable *by_vm; /* the same entries, by VM name */
+	/* VM name: when it was first missing from a list, int64_t */
+	GHashTable *missing;
 };
 
-static void upk_job_free(gpointer p);
-static struct upk_job *upk_job_of(const struct upk *u, const char *vm);
-static struct upk_job *upk_own(const struct upk *u, const struct jtb_wave *w,
-			       const char *vm);
-static void upk_ordered(const struct jtb_wave *w, GHashTable *ids);
-static bool upk_unlisted(const struct upk *u, const struct upk_job *j);
-static void upk_close_unlisted(const struct upk *u, GHashTable *ids);
-static bool upk_another_came(const struct upk *u, struct upk_job *j,
+static void upk_free_drain(gpointer p);
+static struct upk_drain *upk_find_drain(const struct upk *u, const char *vm);
+static struct upk_drain *upk_find_own_drain(const struct upk *u,
+					    const struct jtb_wave *w,
+					    const char *vm);
+static void upk_add_ordered(const struct jtb_wave *w, GHashTable *ids);
+static bool upk_is_worker_unknown(const struct upk *u,
+				  const struct upk_drain *d);
+static void upk_add_unlisted(const struct upk *u, GHashTable *ids);
+static bool upk_note_new_worker(const struct upk *u, struct upk_drain *d,
+				int64_t now);
+static void upk_advance_wave(struct upk *u, struct jtb_wave *w, int64_t now,
+			     int64_t wall);
+static void upk_remove_finished(struct upk *u);
+static void upk_reconcile(struct upk *u, struct jtb_wave *w, int64_t now);
+static bool upk_is_removed(struct upk *u, const char *vm, bool listed,
+			   int64_t now);
+static uint32_t upk_count_wanted(const struct jtb_wave *w, uint32_t remaining,
+				 int64_t wall);
+static uint32_t upk_start_drains(struct upk *u, struct jtb_wave *w,
+				 uint32_t most, bool spared, int64_t now);
+static int upk_compare_candidates(gconstpointer a, gconstpointer b);
+static struct upk_drain *upk_add_drain(struct upk *u, const struct jtb_wave *w,
+				       const char *vm, const char *worker,
+				       int64_t now);
+static double upk_drain_cost(const struct upk *u, const struct vms_vm *vm,
 			     int64_t now);
-static void upk_wave(struct upk *u, struct jtb_wave *w, int64_t now,
-		     int64_t wall);
-static void upk_drop_done(struct upk *u);
-static void upk_settle(struct upk *u, struct jtb_wave *w, int64_t now);
-static bool upk_missing(struct upk *u, const char *vm, bool listed,
-			int64_t now);
-static uint32_t upk_wanted(const struct jtb_wave *w, uint32_t left,
-			   int64_t wall);
-static uint32_t upk_begin(struct upk *u, struct jtb_wave *w, uint32_t most,
-			  bool spared, int64_t now);
-static int upk_pick_order(gconstpointer a, gconstpointer b);
-static struct upk_job *upk_job_new(struct upk *u, const struct jtb_wave *w,
-				   const char *vm, const char *worker,
-				   int64_t now);
-static double upk_cost(const struct upk *u, const struct vms_vm *vm,
-		       int64_t now);
-static void upk_empty(struct upk *u, struct jtb_wave *w, struct upk_job *j,
-		      struct jtb_wave_vm *v, int64_t now);
-static void upk_clear(struct upk *u, struct jtb_worker *w, int64_t waited);
-static bool upk_stuck(struct upk_job *j, const struct jtb_worker *w,
-		      int64_t now);
-static bool upk_bound(const struct upk *u, const struct jtb_worker *w);
-
-/* Waves of jtb's table over the VMs of vms; both must outlive it. */
+static void upk_advance_drain(struct upk *u, struct jtb_wave *w,
+			      struct upk_drain *d, struct jtb_wave_vm *v,
+			      int64_t now);
+static void upk_stop_runs(struct upk *u, struct jtb_worker *w, int64_t waited);
+static bool upk_is_stuck(struct upk_drain *d, const struct jtb_worker *w,
+			 int64_t now);
+static bool upk_is_blocked(const struct upk *u, const struct jtb_worker *w);
+
+/*
+ * Creates the planner for the waves in jtb's table and the VMs in vms; both
+ * must outlive it. The ops are called with arg.
+ */
 struct upk *upk_new(struct jtb *jtb, const struct vms *vms,
 		    const struct upk_ops *ops, void *arg)
 {
@@ -103,33 +116,39 @@
 	u->vms = vms;
 	u->ops = ops;
 	u->arg = arg;
-	u->jobs = g_ptr_array_new_with_free_func(upk_job_free);
+	u->drains = g_ptr_array_new_with_free_func(upk_free_drain);
 	u->by_vm = g_hash_table_new(g_str_hash, g_str_equal);
 	u->missing =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return u;
 }
 
-/* Frees it. */
+/* Frees the planner; NULL is allowed. */
 void upk_free(struct upk *u)
 {
 	if (!u)
 		return;
 	g_hash_table_destroy(u->by_vm);
-	g_ptr_array_free(u->jobs, TRUE);
+	g_ptr_array_free(u->drains, TRUE);
 	g_hash_table_destroy(u->missing);
 	g_free(u);
 }
 
-/* A new leader begins with what the table says. */
+/*
+ * Resets the planner when this replica becomes leader: all state is derived
+ * from the job table again.
+ */
 void upk_lead(struct upk *u)
 {
 	g_hash_table_remove_all(u->by_vm);
-	g_ptr_array_set_size(u->jobs, 0);
+	g_ptr_array_set_size(u->drains, 0);
 	g_hash_table_remove_all(u->missing);
 }
 
-/* Goes on with all waves; the list of VMs should be young. */
+/*
+ * Advances all waves that are not completed. Does nothing before the first VM
+ * list; the list should be recent.
+ */
 void upk_tick(struct upk *u, int64_t now_ms, int64_t wall_ms)
 {
 	GPtrArray *waves = jtb_waves(u->jtb);
@@ -137,62 +156,71 @@
 
 	if (!vms_listed_ms(u->vms))
 		return;
-	upk_drop_done(u);
+	upk_remove_finished(u);
 	for (i = 0; i < waves->len; i++) {
 		struct jtb_wave *w = g_ptr_array_index(waves, i);
 
 		if (!w->completed)
-			upk_wave(u, w, now_ms, wall_ms);
+			upk_advance_wave(u, w, now_ms, wall_ms);
 	}
 }
 
-/* Lets go of VMs that the table has as done, or that can't be emptied. */
-static void upk_drop_done(struct upk *u)
+/*
+ * Removes VMs that the table has as done, that are in no wave any more, or that
+ * return to service.
+ */
+static void upk_remove_finished(struct upk *u)
 {
 	guint i;
 
-	for (i = u->jobs->len; i > 0; i--) {
-		const struct upk_job *j = g_ptr_array_index(u->jobs, i - 1);
-		const struct jtb_wave *w = jtb_wave(u->jtb, j->wave);
+	for (i = u->drains->len; i > 0; i--) {
+		const struct upk_drain *d = g_ptr_array_index(u->drains, i - 1);
+		const struct jtb_wave *w = jtb_wave(u->jtb, d->wave);
 		const struct jtb_wave_vm *v =
-			w ? jtb_wave_find(w, j->vm) : NULL;
+			w ? jtb_wave_find(w, d->vm) : NULL;
 
-		if (v && v->state != JTB_VM_DONE && !j->back)
+		if (v && v->state != JTB_VM_DONE && !d->returning)
 			continue;
-		g_hash_table_remove(u->by_vm, j->vm);
-		g_ptr_array_remove_index_fast(u->jobs, i - 1);
+		g_hash_table_remove(u->by_vm, d->vm);
+		g_ptr_array_remove_index_fast(u->drains, i - 1);
 	}
 }
 
-/* The service answered an order. */
+/* Processes the platform's answer to the order for a VM. */
 void upk_answered(struct upk *u, const char *vm, enum vms_answer answer,
 		  int64_t now_ms)
 {
-	struct upk_job *j = upk_job_of(u, vm);
+	struct upk_drain *d = upk_find_drain(u, vm);
 
-	if (!j)
+	if (!d)
 		return;
 	if (answer == VMS_FENCED)
-		j->fenced = true;
-	else if (answer == VMS_YES && !j->agreed_ms)
-		j->agreed_ms = now_ms;
+		d->fenced = true;
+	else if (answer == VMS_YES && !d->accepted_ms)
+		d->accepted_ms = now_ms;
 }
 
-/* The lifetime on a VM whose upkeep was ordered; NULL: it wasn't. */
+/*
+ * Returns the id of the worker that the upkeep order of a VM ends, or NULL if
+ * upkeep of that VM has not been recorded as begun.
+ */
 const char *upk_worker(const struct upk *u, const char *vm)
 {
-	const struct upk_job *j = upk_job_of(u, vm);
+	const struct upk_drain *d = upk_find_drain(u, vm);
 
-	return j && j->noted ? j->worker : NULL;
+	return d && d->recorded ? d->worker : NULL;
 }
 
-/* Whether a VM is being emptied or down for its upkeep. */
+/* Whether a VM is being drained or is down for its upkeep. */
 bool upk_holds(const struct upk *u, const char *vm)
 {
-	return upk_job_of(u, vm) != NULL;
+	return upk_find_drain(u, vm) != NULL;
 }
 
-/* Whether a VM waits in a wave that has little time left for the rest. */
+/*
+ * Whether a VM waits in a wave whose remaining time is less than two upkeep
+ * cycles.
+ */
 bool upk_urgent(const struct upk *u, const char *vm, int64_t wall_ms)
 {
 	GPtrArray *waves = jtb_waves(u->jtb);
@@ -227,7 +255,7 @@
 	return false;
 }
 
-/* Whether a worker's VM is yet to have its upkeep in a wave. */
+/* Whether a worker's VM still waits for its upkeep in a wave. */
 bool upk_due(const struct upk *u, const char *worker)
 {
 	GPtrArray *waves = jtb_waves(u->jtb);
@@ -246,9 +274,9 @@
 }
 
 /*
- * Adds the ids of workers that get nothing new since they are being emptied to
- * a set, which borrows them until upk is told or looks at anything again, or a
- * worker leaves the table.
+ * Adds the ids of workers that get no new work because their VMs are being
+ * drained. The set borrows the strings until the planner is called again or a
+ * worker leaves the job table.
  */
 void upk_closed(const struct upk *u, GHashTable *ids)
 {
@@ -256,41 +284,44 @@
 	bool unlisted = false;
 	guint i;
 
-	for (i = 0; i < u->jobs->len; i++) {
-		const struct upk_job *j = g_ptr_array_index(u->jobs, i);
+	for (i = 0; i < u->drains->len; i++) {
+		const struct upk_drain *d = g_ptr_array_index(u->drains, i);
 
-		g_hash_table_add(ids, j->worker);
-		if (j->later)
-			g_hash_table_add(ids, j->later);
-		unlisted |= upk_unlisted(u, j);
+		g_hash_table_add(ids, d->worker);
+		if (d->new_worker)
+			g_hash_table_add(ids, d->new_worker);
+		unlisted |= upk_is_worker_unknown(u, d);
 	}
 	if (unlisted)
-		upk_close_unlisted(u, ids);
-	/* A leader before us may have ordered it, and be heard late. */
+		upk_add_unlisted(u, ids);
+	/* An earlier leader may have ordered it; that order may arrive late. */
 	for (i = 0; i < waves->len; i++)
-		upk_ordered(g_ptr_array_index(waves, i), ids);
+		upk_add_ordered(g_ptr_array_index(waves, i), ids);
 }
 
 /*
- * Whether a VM's order may yet be carried out while nobody knows what has come
- * up on it: it went down by itself before its order was agreed to.
+ * Whether a VM's order may still be carried out while the worker on that VM is
+ * unknown: the VM went down by itself before its order was accepted.
  */
-static bool upk_unlisted(const struct upk *u, const struct upk_job *j)
+static bool upk_is_worker_unknown(const struct upk *u,
+				  const struct upk_drain *d)
 {
-	const struct vms_vm *vm = vms_find(u->vms, j->vm);
+	const struct vms_vm *vm = vms_find(u->vms, d->vm);
 	const struct jtb_pool *p =
 		vm ? jtb_pool(jtb_config(u->jtb), vm->pool) : NULL;
 
-	if (!j->noted || j->agreed_ms || j->over || (p && p->standby))
+	if (!d->recorded || d->accepted_ms || d->done_recorded ||
+	    (p && p->standby))
 		return false;
 	return !vm || !*vm->worker;
 }
 
 /*
- * Adds the workers that no list shows yet: one of them may be on such a VM, and
- * its work would be thrown away with it. They wait for the next list only.
+ * Adds the workers that are in no VM list yet. One of them may run on a VM with
+ * an outstanding order, and its work would be lost with that VM. Such workers
+ * wait only until the next list.
  */
-static void upk_close_unlisted(const struct upk *u, GHashTable *ids)
+static void upk_add_unlisted(const struct upk *u, GHashTable *ids)
 {
 	GHashTableIter it;
 	struct jtb_worker *w;
@@ -301,8 +332,8 @@
 			g_hash_table_add(ids, w->info.id);
 }
 
-/* Adds the workers of a wave's VMs whose upkeep was ordered. */
-static void upk_ordered(const struct jtb_wave *w, GHashTable *ids)
+/* Adds the workers of a wave's VMs whose upkeep has been recorded as begun. */
+static void upk_add_ordered(const struct jtb_wave *w, GHashTable *ids)
 {
 	guint i;
 
@@ -315,8 +346,8 @@
 }
 
 /*
- * Whether we may end a run of work that lasts. Work that names no number loses
- * one task at a time.
+ * Whether a run may be stopped. Of a long-running step at most may_miss tasks
+ * may be unavailable at a time; if may_miss is 0, one.
  */
 bool upk_may_stop(const struct upk *u, const struct jtb_run *run)
 {
@@ -327,8 +358,8 @@
 }
 
 /*
- * How many other tasks of a run's step are away, for whatever cause; one that
- * has just begun isn't at work yet.
+ * Returns how many other tasks of a run's step are unavailable, for any reason.
+ * A run below 100 percent has just begun and does not count as available.
  */
 uint32_t upk_away(const struct upk *u, const struct jtb_run *run)
 {
@@ -350,117 +381,130 @@
 	return away;
 }
 
-/* Frees what is kept of a wave's VM. */
-static void upk_job_free(gpointer p)
+/* Frees a VM's upkeep progress. */
+static void upk_free_drain(gpointer p)
 {
-	struct upk_job *j = p;
+	struct upk_drain *d = p;
 
-	g_free(j->vm);
-	g_free(j->worker);
-	g_free(j->later);
-	g_free(j);
+	g_free(d->vm);
+	g_free(d->worker);
+	g_free(d->new_worker);
+	g_free(d);
 }
 
-/* What is kept of a wave's VM, or NULL. */
-static struct upk_job *upk_job_of(const struct upk *u, const char *vm)
+/* Returns the upkeep progress of a VM, or NULL. */
+static struct upk_drain *upk_find_drain(const struct upk *u, const char *vm)
 {
 	return g_hash_table_lookup(u->by_vm, vm);
 }
 
-/* Begins to empty a VM, or goes on with what an earlier leader began. */
-static struct upk_job *upk_job_new(struct upk *u, const struct jtb_wave *w,
-				   const char *vm, const char *worker,
-				   int64_t now)
+/* Adds a VM to be drained, or one whose upkeep an earlier leader began. */
+static struct upk_drain *upk_add_drain(struct upk *u, const struct jtb_wave *w,
+				       const char *vm, const char *worker,
+				       int64_t now)
 {
-	struct upk_job *j = g_new0(struct upk_job, 1);
+	struct upk_drain *d = g_new0(struct upk_drain, 1);
 
-	j->vm = g_strdup(vm);
-	j->worker = g_strdup(worker);
-	j->wave = w->no;
-	j->from_ms = now;
-	g_ptr_array_add(u->jobs, j);
-	g_hash_table_insert(u->by_vm, j->vm, j);
-	return j;
+	d->vm = g_strdup(vm);
+	d->worker = g_strdup(worker);
+	d->wave = w->no;
+	d->from_ms = now;
+	g_ptr_array_add(u->drains, d);
+	g_hash_table_insert(u->by_vm, d->vm, d);
+	return d;
 }
 
 /*
- * The same, if this wave has begun it: a VM that two waves name is in the hands
- * of one at a time.
+ * Returns the upkeep progress of a VM if it belongs to this wave, or NULL. A VM
+ * that is in two waves is handled by one of them at a time.
  */
-static struct upk_job *upk_own(const struct upk *u, const struct jtb_wave *w,
-			       const char *vm)
+static struct upk_drain *upk_find_own_drain(const struct upk *u,
+					    const struct jtb_wave *w,
+					    const char *vm)
 {
-	struct upk_job *j = upk_job_of(u, vm);
+	struct upk_drain *d = upk_find_drain(u, vm);
 
-	return j && j->wave == w->no ? j : NULL;
+	return d && d->wave == w->no ? d : NULL;
 }
 
-/* Goes on with one wave. */
-static void upk_wave(struct upk *u, struct jtb_wave *w, int64_t now,
-		     int64_t wall)
+/* Advances one wave. */
+static void upk_advance_wave(struct upk *u, struct jtb_wave *w, int64_t now,
+			     int64_t wall)
 {
-	uint32_t left = 0;
-	uint32_t open = 0;
-	uint32_t want;
+	uint32_t remaining = 0;
+	uint32_t in_progress = 0;
+	uint32_t wanted;
 	guint i;
 
-	upk_settle(u, w, now);
+	upk_reconcile(u, w, now);
 	for (i = 0; i < w->vms->len; i++) {
 		struct jtb_wave_vm *v = g_ptr_array_index(w->vms, i);
-		struct upk_job *j = upk_own(u, w, v->vm);
+		struct upk_drain *d = upk_find_own_drain(u, w, v->vm);
 
-		left += v->state != JTB_VM_DONE;
-		open += j != NULL || v->state == JTB_VM_BEGUN;
-		if (j)
-			upk_empty(u, w, j, v, now);
+		remaining += v->state != JTB_VM_DONE;
+		in_progress += d != NULL || v->state == JTB_VM_BEGUN;
+		if (d)
+			upk_advance_drain(u, w, d, v, now);
 	}
-	want = upk_wanted(w, left, wall);
-	if (open < want)
-		open += upk_begin(u, w, want - open, false, now);
-	/* one a tick: what is closed counts as missing from the next tick on */
-	if (open < w->at_once)
-		upk_begin(u, w, 1, true, now);
+	wanted = upk_count_wanted(w, remaining, wall);
+	if (in_progress < wanted)
+		in_progress += upk_start_drains(u, w, wanted - in_progress,
+						false, now);
+	/*
+	 * At most one in each tick: a VM closed now is missing from its pool's
+	 * capacity only from the next tick on.
+	 */
+	if (in_progress < w->at_once)
+		upk_start_drains(u, w, 1, true, now);
 }
 
 /*
- * Compares the table with the list: a VM whose upkeep was agreed to is through
- * once it is up again, and one that isn't listed any more never comes back.
- * Orders of an earlier leader are given again: only the answer tells whether
- * they were heard, and a second one does nothing.
+ * Reconciles the table with the VM list. A VM whose order was accepted is done
+ * once a later list has it as up; a VM that stays unlisted is taken as removed.
+ * Orders of an earlier leader are sent again: only an answer shows that they
+ * arrived, and a repeated order has no further effect.
  */
-static void upk_settle(struct upk *u, struct jtb_wave *w, int64_t now)
+static void upk_reconcile(struct upk *u, struct jtb_wave *w, int64_t now)
 {
 	guint i;
 
 	for (i = 0; i < w->vms->len; i++) {
 		struct jtb_wave_vm *v = g_ptr_array_index(w->vms, i);
 		const struct vms_vm *vm = vms_find(u->vms, v->vm);
-		struct upk_job *j = upk_own(u, w, v->vm);
+		struct upk_drain *d = upk_find_own_drain(u, w, v->vm);
 		bool over = false;
 
 		if (v->state == JTB_VM_DONE)
 			continue;
-		if (upk_missing(u, v->vm, vm != NULL, now))
+		if (upk_is_removed(u, v->vm, vm != NULL, now))
 			over = true;
 		else if (vm && v->state == JTB_VM_BEGUN && vm->state == VMS_UP)
-			over = j && j->agreed_ms &&
-			       vms_listed_ms(u->vms) > j->agreed_ms;
-		if (over && (!j || !j->over)) {
-			/* kept until the table has it: it would be begun anew */
-			if (j)
-				j->over = true;
+			over = d && d->accepted_ms &&
+			       vms_listed_ms(u->vms) > d->accepted_ms;
+		if (over && (!d || !d->done_recorded)) {
+			/*
+			 * Not removed before the table has it as done, or it
+			 * would be started again.
+			 */
+			if (d)
+				d->done_recorded = true;
 			u->ops->note(u->arg, w, v, JTB_VM_DONE, NULL);
-		} else if (v->state == JTB_VM_BEGUN && !upk_job_of(u, v->vm)) {
-			j = upk_job_new(
+		} else if (v->state == JTB_VM_BEGUN &&
+			   !upk_find_drain(u, v->vm)) {
+			d = upk_add_drain(
 				u, w, v->vm,
 				v->worker_before ? v->worker_before : "", now);
-			j->noted = true;
+			d->recorded = true;
 		}
 	}
 }
 
-/* Whether a VM has been missing for so long that it is gone for good. */
-static bool upk_missing(struct upk *u, const char *vm, bool listed, int64_t now)
+/*
+ * Whether a VM has been unlisted for so long that it is taken as removed
+ * permanently.
+ */
+static bool upk_is_removed(struct upk *u, const char *vm, bool listed,
+			   int64_t now)
 {
 	int64_t *since = g_hash_table_lookup(u->missing, vm);
 
@@ -469,86 +513,91 @@
 		return false;
 	}
 	if (since)
-		return now - *since > UPK_MISSING_MS;
+		return now - *since > UPK_REMOVED_MS;
 	g_hash_table_insert(u->missing, g_strdup(vm),
 			    g_memdup2(&now, sizeof(now)));
 	return false;
 }
 
 /*
- * How many VMs should be on their way now: as few as end the wave in time,
- * since each is missing to its pool meanwhile. Those that nobody would miss
- * are not counted here: they go as soon as they are idle, so that few are left
- * for the time of the next burst.
+ * Returns how many VMs should be in progress now: as few as complete the wave
+ * in time, since each one reduces the capacity of its pool. VMs that can be
+ * spared are started as soon as they are idle and are not counted here, so that
+ * few are left for the time of the next burst.
  */
-static uint32_t upk_wanted(const struct jtb_wave *w, uint32_t left,
-			   int64_t wall)
+static uint32_t upk_count_wanted(const struct jtb_wave *w, uint32_t remaining,
+				 int64_t wall)
 {
-	int64_t rest =
-		w->from_ms + w->within_ms - w->within_ms / UPK_SPARE - wall;
-	int64_t rounds = rest / UPK_CYCLE_MS;
-	uint32_t want;
+	int64_t rest_ms = w->from_ms + w->within_ms -
+			  w->within_ms / UPK_RESERVE_DIVISOR - wall;
+	int64_t rounds = rest_ms / UPK_CYCLE_MS;
+	uint32_t wanted;
 
 	if (rounds < 1)
-		return MIN(left, w->at_once);
-	want = (uint32_t)((left + rounds - 1) / rounds);
-	return MIN(MIN(want, left), w->at_once);
+		return MIN(remaining, w->at_once);
+	wanted = (uint32_t)((remaining + rounds - 1) / rounds);
+	return MIN(MIN(wanted, remaining), w->at_once);
 }
 
 /*
- * Closes the VMs that are missed least to new work, so many at most; returns how
- * many. spared: only such as nobody would miss. The wave is looked through once
- * for all of them: once for each held the loop up when a wave of hundreds began.
+ * Starts to drain at most `most` VMs, the cheapest first; returns how many were
+ * started. spared: only VMs that can be down without being missed. The wave is
+ * scanned once for all of them: a scan for each VM blocked the event loop when
+ * a wave of hundreds of VMs began.
  */
-static uint32_t upk_begin(struct upk *u, struct jtb_wave *w, uint32_t most,
-			  bool spared, int64_t now)
+static uint32_t upk_start_drains(struct upk *u, struct jtb_wave *w,
+				 uint32_t most, bool spared, int64_t now)
 {
-	GArray *picks = g_array_new(FALSE, FALSE, sizeof(struct upk_pick));
+	GArray *candidates =
+		g_array_new(FALSE, FALSE, sizeof(struct upk_candidate));
 	uint32_t n = 0;
 	guint i;
 
 	for (i = 0; i < w->vms->len; i++) {
 		struct jtb_wave_vm *v = g_ptr_array_index(w->vms, i);
 		const struct vms_vm *vm = vms_find(u->vms, v->vm);
-		struct upk_pick pick = {.vm = vm, .place = i};
+		struct upk_candidate candidate = {.vm = vm, .index = i};
 
 		if (v->state != JTB_VM_WAITS || !vm || vm->state != VMS_UP ||
-		    upk_job_of(u, v->vm) || u->ops->held(u->arg, v->vm) ||
+		    upk_find_drain(u, v->vm) || u->ops->held(u->arg, v->vm) ||
 		    (spared && !u->ops->spared(u->arg, v->vm)))
 			continue;
-		pick.cost = upk_cost(u, vm, now);
-		g_array_append_val(picks, pick);
+		candidate.cost = upk_drain_cost(u, vm, now);
+		g_array_append_val(candidates, candidate);
 	}
-	g_array_sort(picks, upk_pick_order);
-	for (i = 0; i < picks->len && n < most; i++) {
+	g_array_sort(candidates, upk_compare_candidates);
+	for (i = 0; i < candidates->len && n < most; i++) {
 		const struct vms_vm *vm =
-			g_array_index(picks, struct upk_pick, i).vm;
+			g_array_index(candidates, struct upk_candidate, i).vm;
 
-		/* a wave may name a VM twice */
-		if (upk_job_of(u, vm->name) ||
-		    upk_bound(u, jtb_worker(u->jtb, vm->worker)))
+		/* a wave may contain a VM twice */
+		if (upk_find_drain(u, vm->name) ||
+		    upk_is_blocked(u, jtb_worker(u->jtb, vm->worker)))
 			continue;
-		upk_job_new(u, w, vm->name, vm->worker, now);
+		upk_add_drain(u, w, vm->name, vm->worker, now);
 		n++;
 	}
-	g_array_free(picks, TRUE);
+	g_array_free(candidates, TRUE);
 	return n;
 }
 
-/* Those missed least come first. */
-static int upk_pick_order(gconstpointer a, gconstpointer b)
+/* Orders candidates by ascending cost, then by index in the wave. */
+static int upk_compare_candidates(gconstpointer a, gconstpointer b)
 {
-	const struct upk_pick *x = a;
-	const struct upk_pick *y = b;
+	const struct upk_candidate *x = a;
+	const struct upk_candidate *y = b;
 
 	if (x->cost != y->cost)
 		return x->cost < y->cost ? -1 : 1;
-	return (x->place > y->place) - (x->place < y->place);
+	return (x->index > y->index) - (x->index < y->index);
 }
 
-/* What emptying a VM costs: work that lasts must begin elsewhere. */
-static double upk_cost(const struct upk *u, const struct vms_vm *vm,
-		       int64_t now)
+/*
+ * Returns the cost of draining a VM. A run of long-running work, which must be
+ * restarted elsewhere, costs more than another run.
+ */
+static double upk_drain_cost(const struct upk *u, const struct vms_vm *vm,
+			     int64_t now)
 {
 	const struct jtb_worker *w = jtb_worker(u->jtb, vm->worker);
 	double cost = 0;
@@ -562,70 +611,75 @@
 
 		cost += s->flags & JTB_LASTS ? 4 : 1;
 	}
-	/* kept free for work that lasts, which would wait anew elsewhere */
-	if (w->kept_ms && now - w->kept_ms < UPK_KEPT_MS)
+	/*
+	 * Reserved for long-running work, which would have to wait again
+	 * elsewhere.
+	 */
+	if (w->kept_ms && now - w->kept_ms < UPK_RESERVED_MS)
 		cost += 100;
 	return cost + (double)w->used_cpu / MAX(1, w->info.cpu);
 }
 
-/* Empties a VM; orders its upkeep when nothing is left on it. */
-static void upk_empty(struct upk *u, struct jtb_wave *w, struct upk_job *j,
-		      struct jtb_wave_vm *v, int64_t now)
+/* Drains a VM; orders its upkeep when no run is left on it. */
+static void upk_advance_drain(struct upk *u, struct jtb_wave *w,
+			      struct upk_drain *d, struct jtb_wave_vm *v,
+			      int64_t now)
 {
-	const struct vms_vm *vm = vms_find(u->vms, j->vm);
+	const struct vms_vm *vm = vms_find(u->vms, d->vm);
 	struct jtb_worker *worker;
 
-	if (j->fenced || j->over || upk_another_came(u, j, now))
+	if (d->fenced || d->done_recorded || upk_note_new_worker(u, d, now))
 		return;
-	worker = jtb_worker(u->jtb, j->later ? j->later : j->worker);
-	/* also a start that was on its way when the worker was closed */
-	if (worker && worker->runs->len && !j->agreed_ms) {
-		upk_clear(u, worker, now - j->from_ms);
-		/* given back with the next look at what is kept */
-		j->back = !j->noted && upk_bound(u, worker) &&
-			  upk_stuck(j, worker, now);
+	worker = jtb_worker(u->jtb, d->new_worker ? d->new_worker : d->worker);
+	/* Also runs that were being started when the worker was closed. */
+	if (worker && worker->runs->len && !d->accepted_ms) {
+		upk_stop_runs(u, worker, now - d->from_ms);
+		/* upk_remove_finished() removes it in the next tick. */
+		d->returning = !d->recorded && upk_is_blocked(u, worker) &&
+			       upk_is_stuck(d, worker, now);
 		return;
 	}
-	if (!j->noted) {
+	if (!d->recorded) {
 		if (!vm || vm->state != VMS_UP)
 			return;
-		j->noted = true;
-		u->ops->note(u->arg, w, v, JTB_VM_BEGUN, j->worker);
+		d->recorded = true;
+		u->ops->note(u->arg, w, v, JTB_VM_BEGUN, d->worker);
 		return;
 	}
-	if (v->state == JTB_VM_BEGUN && !j->agreed_ms &&
-	    (!j->ordered_ms || now - j->ordered_ms > UPK_AGAIN_MS)) {
-		j->ordered_ms = now;
+	if (v->state == JTB_VM_BEGUN && !d->accepted_ms &&
+	    (!d->ordered_ms || now - d->ordered_ms > UPK_RETRY_MS)) {
+		d->ordered_ms = now;
 		u->ops->order(u->arg, w, v);
 	}
 }
 
 /*
- * Whether another lifetime came up by itself on a VM that is being emptied: it
- * must be emptied anew. Also after the order was given, as nobody knows when it
- * is carried out until it is agreed to; then it is the order's own doing.
+ * Whether another worker came up by itself on a VM that is being drained; if
+ * so, records it, and the drain starts again. This is possible also after the
+ * order was sent, since the time at which it is carried out is unknown until it
+ * is accepted. A worker that comes up after that is the result of the order.
  */
-static bool upk_another_came(const struct upk *u, struct upk_job *j,
-			     int64_t now)
+static bool upk_note_new_worker(const struct upk *u, struct upk_drain *d,
+				int64_t now)
 {
-	const struct vms_vm *vm = vms_find(u->vms, j->vm);
-	char **is = j->noted ? &j->later : &j->worker;
+	const struct vms_vm *vm = vms_find(u->vms, d->vm);
+	char **worker = d->recorded ? &d->new_worker : &d->worker;
 
-	if (!vm || !*vm->worker || j->agreed_ms ||
-	    strcmp(vm->worker, j->worker) == 0 ||
-	    g_strcmp0(vm->worker, *is) == 0)
+	if (!vm || !*vm->worker || d->accepted_ms ||
+	    strcmp(vm->worker, d->worker) == 0 ||
+	    g_strcmp0(vm->worker, *worker) == 0)
 		return false;
-	g_free(*is);
-	*is = g_strdup(vm->worker);
-	j->from_ms = now;
+	g_free(*worker);
+	*worker = g_strdup(vm->worker);
+	d->from_ms = now;
 	return true;
 }
 
 /*
- * Stops what runs on a worker: what lasts as soon as it may, the rest when
- * it took too long.
+ * Stops the runs on a worker: long-running ones as soon as their budget allows
+ * it, others when they have taken too long.
  */
-static void upk_clear(struct upk *u, struct jtb_worker *w, int64_t waited)
+static void upk_stop_runs(struct upk *u, struct jtb_worker *w, int64_t waited)
 {
 	guint i;
 
@@ -636,28 +690,29 @@
 		if (jtb_leaves(run))
 			continue;
 		if (s->flags & JTB_LASTS ? upk_may_stop(u, run)
-					 : waited > UPK_PATIENCE_MS)
+					 : waited > UPK_STOP_AFTER_MS)
 			u->ops->stop(u->arg, run, "upkeep");
 	}
 }
 
-/* Whether no run has left a worker for a while. */
-static bool upk_stuck(struct upk_job *j, const struct jtb_worker *w,
-		      int64_t now)
+/* Whether no run has left a worker for UPK_STUCK_MS. */
+static bool upk_is_stuck(struct upk_drain *d, const struct jtb_worker *w,
+			 int64_t now)
 {
-	if (!j->moved_ms || w->runs->len < j->runs) {
-		j->moved_ms = now;
-		j->runs = w->runs->len;
+	if (!d->progress_ms || w->runs->len < d->progress_runs) {
+		d->progress_ms = now;
+		d->progress_runs = w->runs->len;
 	}
-	return now - j->moved_ms > UPK_STUCK_MS;
+	return now - d->progress_ms > UPK_STUCK_MS;
 }
 
 /*
- * Whether something that lasts runs on a worker and can't be ended now: others
- * of its step are away. To close its VM would help nobody, and may leave those
- * others no place to go, so that neither they nor the wave ever go on.
+ * Whether a worker has a long-running run that may not be stopped now because
+ * other tasks of its step are unavailable. Closing its VM would be of no use,
+ * and could leave those other tasks without a VM to run on: then neither they
+ * nor the wave would ever advance.
  */
-static bool upk_bound(const struct upk *u, const struct jtb_worker *w)
+static bool upk_is_blocked(const struct upk *u, const struct jtb_worker *w)
 {
 	guint i;
 
--- a/src/upk.h
+++ b/src/upk.h
@@ -1,6 +1,7 @@
 #ifndef UPK_H
 #define UPK_H
 
+/* Plans rolling VM maintenance ("upkeep") in maintenance waves. */
 #include <stdbool.h>
 #include <stdint.h>
 
@@ -8,24 +9,25 @@
 #include "vms.h"
 
 /*
- * Upkeep in waves: which VM goes next and what must leave it before. Decides
- * on the job table and the list of VMs, without input or output.
+ * Maintenance planner: chooses the VMs of each maintenance wave that are
+ * drained next and the runs that must leave them first. It reads the job table
+ * and the VM list and does no input or output itself.
  */
 struct upk;
 
 struct upk_ops {
-	/* a run must end, to begin elsewhere */
+	/* Stops a run, which is started again elsewhere. */
 	void (*stop)(void *arg, struct jtb_run *run, const char *why);
-	/* the VM's upkeep is ordered, or ordered again */
+	/* Orders a VM's upkeep; called again until the order is accepted. */
 	void (*order)(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm);
-	/* what is known of a VM's upkeep goes into the table */
+	/* Records a VM's upkeep state in the job table, through the log. */
 	void (*note)(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm,
 		     enum jtb_vm_state state, const char *worker_before);
-	/* whether a VM is on its way to another pool */
+	/* Whether a VM is being moved to another pool. */
 	bool (*held)(void *arg, const char *vm);
-	/* whether nobody would miss a VM now */
+	/* Whether a VM can be down now without being missed by its pool. */
 	bool (*spared)(void *arg, const char *vm);
-	/* whether a worker answers */
+	/* Whether a worker is reachable. */
 	bool (*reached)(void *arg, const struct jtb_worker *w);
 };
 
--- a/tests/prop/upk_prop.cc
+++ b/tests/prop/upk_prop.cc
@@ -16,49 +16,52 @@
 const int64_t STEP_MS = 100;
 const int64_t START_MS = 100000;
 const int WAVES = 2;
-/* A call waits for its answer for so long. */
+/* Time for which a call waits for its answer. */
 const int64_t CALL_MS = 800;
-/* A list is no older than that; a VM that fails is down for longer. */
+/* Greatest age of the VM list; a VM that fails is down for longer. */
 const int64_t LIST_MS = 700;
 const int DOWN_STEPS = 10;
-/* Ticks a calm world is given to come to an end. */
-const int CALM = 6000;
+/* Ticks within which all waves complete once faults have stopped. */
+const int SETTLE_TICKS = 6000;
 
-/* Over the whole range in every case; by itself inRange begins with the least. */
-int roll(int from, int to)
+/*
+ * A number in [from, to). The nominal size is set because inRange alone starts
+ * with the least values.
+ */
+int randomInt(int from, int to)
 {
 	return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(from, to));
 }
 
-/* A VM as it really is. */
+/* Actual state of a VM. */
 struct Machine {
 	std::string name;
-	std::string worker; /* lifetime on it; "": none */
+	std::string worker; /* id of the worker on it; "": none */
 	enum vms_state state = VMS_UP;
-	int64_t until = 0; /* not up until */
-	uint64_t out = 0; /* wave whose upkeep it has now */
+	int64_t upAt = 0; /* time at which it is up again */
+	uint64_t upkeepWave = 0; /* wave whose upkeep is under way; 0: none */
 	bool held = false;
-	bool cut = false;
-	std::set<uint64_t> had; /* waves whose upkeep it had */
+	bool partitioned = false;
+	std::set<uint64_t> upkeepsHad; /* waves in which it had its upkeep */
 };
 
 /*
- * An order on its way to the service. A VM has one call at a time, which ends
- * with its answer or without one; the order may be carried out after that.
+ * An order sent to the platform. A VM has one call at a time, which ends with
+ * an answer or without one; the order may be carried out after that.
  */
 struct Order {
 	uint64_t wave;
 	std::string vm;
 	int64_t due;
-	int64_t until; /* its call waits for an answer until */
-	bool comes; /* it gets there */
-	bool told; /* its answer comes back */
-	bool heard; /* its call is over */
+	int64_t deadline; /* its call waits until then */
+	bool delivered; /* it is delivered */
+	bool answered; /* its answer is delivered */
+	bool ended; /* its call has ended */
 	bool done;
 };
 
-/* What upkeep noted, on its way to the log. */
-struct Note {
+/* A state change that upk recorded, not yet in the log. */
+struct Record {
 	uint64_t wave;
 	std::string vm;
 	enum jtb_vm_state state;
@@ -66,17 +69,17 @@
 	int64_t due;
 };
 
-/* A run as its worker knows it. */
+/* A run as the worker has it. */
 struct Run {
 	struct jtb_name name;
 	uint32_t attempt;
 	std::string worker;
 	int64_t from;
-	int64_t ends; /* -1: lasts */
+	int64_t ends; /* -1: long-running */
 	bool stopped;
 };
 
-struct Rig {
+struct World {
 	struct event_base *base = event_base_new();
 	struct tmr *tmr = tmr_new_manual(START_MS);
 	struct jtb *jtb = jtb_new(NULL, NULL);
@@ -87,15 +90,17 @@
 	int64_t listed = 0;
 	std::vector<Machine> machines;
 	std::vector<Order> orders;
-	std::vector<Note> notes;
+	std::vector<Record> records;
 	std::vector<Run> runs;
-	uint32_t atOnce[WAVES];
-	int lost = roll(0, 40); /* percent of orders and of answers */
-	int slow = roll(0, 4); /* ticks until a note is in the log, at most */
+	uint32_t limit[WAVES];
+	int lossPercent =
+		randomInt(0, 40); /* percentage of orders and of answers */
+	int maxLogDelay =
+		randomInt(0, 4); /* most ticks until a record is in the log */
 	uint64_t nextId = 1;
 	uint64_t nextEnd = 1;
 
-	Rig()
+	World()
 	{
 		struct vms_config c = {};
 
@@ -104,23 +109,23 @@
 		ops.stop = onStop;
 		ops.order = onOrder;
 		ops.note = onNote;
-		ops.held = onHeld;
+		ops.held = onMoving;
 		ops.spared = onSpared;
 		ops.reached = onReached;
 		vms = vms_new(&c, NULL, NULL);
 		upk = upk_new(jtb, vms, &ops, this);
 		jobs_config(jtb, 1, "p", 3);
-		machines.resize((size_t)roll(2, 10));
+		machines.resize((size_t)randomInt(2, 10));
 		for (size_t i = 0; i < machines.size(); i++) {
 			machines[i].name = "vm" + std::to_string(i);
 			workerUp(machines[i]);
 		}
-		for (int i = roll(0, 3); i > 0; i--)
+		for (int i = randomInt(0, 3); i > 0; i--)
 			submit(true);
 		for (int i = 0; i < WAVES; i++)
-			wave(i);
+			addWave(i);
 	}
-	~Rig()
+	~World()
 	{
 		upk_free(upk);
 		vms_free(vms);
@@ -130,20 +135,21 @@
 	}
 
 	/*
-	 * Two waves name VMs that are partly the same. One VM is in no wave:
-	 * else what lasts may have nowhere to go, and its budget goes first.
+	 * Adds one of two waves with overlapping VMs. One VM is in no wave:
+	 * otherwise long-running work might have no other VM to run on, and its
+	 * budget takes precedence.
 	 */
-	void wave(int i)
+	void addWave(int i)
 	{
 		struct jtb_wave *w = jtb_wave_new((uint64_t)i + 1);
 		struct pk_out o;
 
-		atOnce[i] = (uint32_t)roll(1, 4);
+		limit[i] = (uint32_t)randomInt(1, 4);
 		w->from_ms = JOBS_WALL_MS;
-		w->within_ms = roll(1, 900) * STEP_MS;
-		w->at_once = atOnce[i];
+		w->within_ms = randomInt(1, 900) * STEP_MS;
+		w->at_once = limit[i];
 		for (size_t m = 1; m < machines.size(); m++)
-			if (roll(0, 3))
+			if (randomInt(0, 3))
 				jtb_wave_add(w, machines[m].name.c_str());
 		pk_out_init(&o);
 		jtb_put_wave(&o, w);
@@ -169,41 +175,44 @@
 
 	static void onStop(void *arg, struct jtb_run *run, const char *why)
 	{
-		static_cast<Rig *>(arg)->stop(run);
+		static_cast<World *>(arg)->stop(run);
 	}
 
 	static void onOrder(void *arg, struct jtb_wave *w,
 			    struct jtb_wave_vm *vm)
 	{
-		static_cast<Rig *>(arg)->order(w, vm);
+		static_cast<World *>(arg)->order(w, vm);
 	}
 
 	static void onNote(void *arg, struct jtb_wave *w,
 			   struct jtb_wave_vm *vm, enum jtb_vm_state state,
 			   const char *worker)
 	{
-		static_cast<Rig *>(arg)->note(w->no, vm->vm, state,
-					      worker ? worker : "");
+		static_cast<World *>(arg)->note(w->no, vm->vm, state,
+						worker ? worker : "");
 	}
 
-	static bool onHeld(void *arg, const char *vm)
+	static bool onMoving(void *arg, const char *vm)
 	{
-		return static_cast<Rig *>(arg)->machine(vm).held;
+		return static_cast<World *>(arg)->machine(vm).held;
 	}
 
 	static bool onSpared(void *arg, const char *vm)
 	{
-		return roll(0, 2);
+		return randomInt(0, 2);
 	}
 
 	static bool onReached(void *arg, const struct jtb_worker *w)
 	{
-		Machine *m = static_cast<Rig *>(arg)->machineOf(w->info.id);
+		Machine *m = static_cast<World *>(arg)->machineOf(w->info.id);
 
-		return m && !m->cut;
+		return m && !m->partitioned;
 	}
 
-	/* So many others of a lasting step may be away while one is ended. */
+	/*
+	 * While a long-running run is stopped, fewer than MAX(1, may_miss)
+	 * other tasks of its step may be unavailable.
+	 */
 	void stop(struct jtb_run *run)
 	{
 		const struct jtb_step *s = &run->job->spec.steps[run->step];
@@ -212,7 +221,7 @@
 
 		if (s->flags & JTB_LASTS) {
 			for (uint32_t i = 0; i < s->count; i++)
-				away += i != run->index && !atWork(run, i);
+				away += i != run->index && !isAvailable(run, i);
 			RC_ASSERT(away < MAX(1, s->may_miss));
 		}
 		run->stop = true;
@@ -221,12 +230,12 @@
 			if (r.attempt == run->attempt &&
 			    jtb_name_same(&r.name, &n) && !r.stopped) {
 				r.stopped = true;
-				r.ends = now + roll(1, 5) * STEP_MS;
+				r.ends = now + randomInt(1, 5) * STEP_MS;
 			}
 	}
 
-	/* Whether another task of a run's step does its work. */
-	bool atWork(const struct jtb_run *run, uint32_t i)
+	/* Whether another task of a run's step is available. */
+	bool isAvailable(const struct jtb_run *run, uint32_t i)
 	{
 		const struct jtb_run *o = run->job->turns[run->turn]
 						  .parts[run->step]
@@ -234,64 +243,64 @@
 						  .run;
 		Machine *m = o ? machineOf(o->worker->info.id) : nullptr;
 
-		return o && !o->stop && o->percent >= 100 && m && !m->cut;
+		return o && !o->stop && o->percent >= 100 && m &&
+		       !m->partitioned;
 	}
 
-	/* Nothing is ordered that isn't in the log as begun. */
+	/* An order is sent only for a VM that the log has as begun. */
 	void order(const struct jtb_wave *w, const struct jtb_wave_vm *vm)
 	{
 		RC_ASSERT(vm->state == JTB_VM_BEGUN);
 		for (auto &o : orders)
-			if (o.vm == vm->vm && !o.heard)
+			if (o.vm == vm->vm && !o.ended)
 				return;
-		orders.push_back({w->no, vm->vm, now + roll(0, 12) * STEP_MS,
-				  now + CALL_MS, roll(0, 100) >= lost,
-				  roll(0, 100) >= lost, false, false});
+		orders.push_back(
+			{w->no, vm->vm, now + randomInt(0, 12) * STEP_MS,
+			 now + CALL_MS, randomInt(0, 100) >= lossPercent,
+			 randomInt(0, 100) >= lossPercent, false, false});
 	}
 
-	/*
-	 * A VM is told to be done only if it had its upkeep in that wave, and
-	 * to be begun only if there was something to begin.
-	 */
+	/* A VM is recorded as done only if it had its upkeep in that wave. */
 	void note(uint64_t no, const char *vm, enum jtb_vm_state state,
 		  const char *worker)
 	{
 		if (state == JTB_VM_DONE)
-			RC_ASSERT(machine(vm).had.count(no) == 1u);
-		notes.push_back({no, vm, state, worker,
-				 now + roll(0, slow + 1) * STEP_MS});
+			RC_ASSERT(machine(vm).upkeepsHad.count(no) == 1u);
+		records.push_back(
+			{no, vm, state, worker,
+			 now + randomInt(0, maxLogDelay + 1) * STEP_MS});
 	}
 
-	/* What an operator's service does with an order. */
+	/* Carries out an order as the operator's platform does. */
 	enum vms_answer carryOut(const Order &o)
 	{
 		Machine &m = machine(o.vm.c_str());
-		uint32_t out = 0;
+		uint32_t ongoing = 0;
 
-		if (m.had.count(o.wave))
+		if (m.upkeepsHad.count(o.wave))
 			return VMS_YES;
 		if (m.state != VMS_UP)
 			return VMS_BUSY;
 		for (auto &r : runs)
 			RC_ASSERT(r.worker != m.worker);
-		m.had.insert(o.wave);
-		m.out = o.wave;
-		down(m, VMS_UPKEEP, roll(5, 40));
+		m.upkeepsHad.insert(o.wave);
+		m.upkeepWave = o.wave;
+		down(m, VMS_UPKEEP, randomInt(5, 40));
 		for (auto &other : machines)
-			out += other.out == o.wave;
-		RC_ASSERT(out <= atOnce[o.wave - 1]);
+			ongoing += other.upkeepWave == o.wave;
+		RC_ASSERT(ongoing <= limit[o.wave - 1]);
 		return VMS_YES;
 	}
 
 	void workerUp(Machine &m)
 	{
 		m.state = VMS_UP;
-		m.out = 0;
+		m.upkeepWave = 0;
 		m.worker = "w" + std::to_string(nextId++);
 		jobs_worker(jtb, m.worker.c_str(), 16000, false);
 	}
 
-	/* The lifetime on a VM is over, with all that it runs. */
+	/* Ends the worker on a VM with all its runs. */
 	void down(Machine &m, enum vms_state state, int steps)
 	{
 		for (size_t i = runs.size(); i > 0; i--)
@@ -300,7 +309,7 @@
 		jobs_gone(jtb, m.worker.c_str(), true);
 		m.worker = "";
 		m.state = state;
-		m.until = now + steps * STEP_MS;
+		m.upAt = now + steps * STEP_MS;
 	}
 
 	void submit(bool lasts)
@@ -308,15 +317,15 @@
 		struct jtb_step s = {};
 		std::string id = "j" + std::to_string(nextId++);
 
-		s.count = (uint32_t)roll(1, 5);
+		s.count = (uint32_t)randomInt(1, 5);
 		s.cpu = 100;
 		s.guess_ms = 500;
-		s.may_miss = lasts ? (uint32_t)roll(0, 3) : 0;
+		s.may_miss = lasts ? (uint32_t)randomInt(0, 3) : 0;
 		s.flags = lasts ? JTB_LASTS : 0;
 		jobs_job(jtb, id.c_str(), &s, 1, JOBS_WALL_MS);
 	}
 
-	/* Places what waits on workers that aren't closed. */
+	/* Starts waiting tasks on workers that are not closed. */
 	void schedule()
 	{
 		GHashTable *closed = g_hash_table_new(g_str_hash, g_str_equal);
@@ -325,7 +334,7 @@
 
 		upk_closed(upk, closed);
 		for (auto &m : machines)
-			if (m.state == VMS_UP && !m.cut &&
+			if (m.state == VMS_UP && !m.partitioned &&
 			    !g_hash_table_contains(closed, m.worker.c_str()))
 				open.push_back(&m);
 		g_hash_table_destroy(closed);
@@ -335,7 +344,8 @@
 
 			for (uint32_t t = 0; t < job->spec.steps[0].count; t++)
 				start(job, t,
-				      *open[(size_t)roll(0, (int)open.size())]);
+				      *open[(size_t)randomInt(
+					      0, (int)open.size())]);
 		}
 	}
 
@@ -354,15 +364,15 @@
 		r.from = now;
 		r.ends = job->spec.steps[0].flags & JTB_LASTS
 				 ? -1
-				 : now + roll(1, 60) * STEP_MS;
+				 : now + randomInt(1, 60) * STEP_MS;
 		jobs_start(jtb, r.name.id, 0, index, r.attempt,
 			   r.worker.c_str());
 		if (jtb_find_run(jtb, &r.name, r.attempt, r.worker.c_str()))
 			runs.push_back(r);
 	}
 
-	/* Work goes on and ends. */
-	void work()
+	/* Updates the progress of runs and ends those that are due. */
+	void progressRuns()
 	{
 		for (size_t i = runs.size(); i > 0; i--) {
 			Run r = runs[i - 1];
@@ -385,49 +395,51 @@
 		}
 	}
 
-	/* Orders arrive, the log takes what was noted, VMs come back. */
-	void settle()
+	/*
+	 * Delivers orders, commits records to the log and brings VMs up again.
+	 */
+	void deliverAll()
 	{
-		for (size_t i = 0; i < notes.size();) {
-			Note n = notes[i];
+		for (size_t i = 0; i < records.size();) {
+			Record n = records[i];
 
 			if (now < n.due) {
 				i++;
 				continue;
 			}
-			notes.erase(notes.begin() + (long)i);
-			logged(n);
+			records.erase(records.begin() + (long)i);
+			commitRecord(n);
 		}
 		for (size_t i = 0; i < orders.size();) {
 			call(orders[i]);
-			if (orders[i].heard && orders[i].done)
+			if (orders[i].ended && orders[i].done)
 				orders.erase(orders.begin() + (long)i);
 			else
 				i++;
 		}
 		for (auto &m : machines)
-			if (m.state != VMS_UP && now >= m.until)
+			if (m.state != VMS_UP && now >= m.upAt)
 				workerUp(m);
 	}
 
-	/* An order is carried out, its call ends; in any order. */
+	/* Carries out an order and ends its call, in either sequence. */
 	void call(Order &o)
 	{
 		enum vms_answer a = VMS_UNANSWERED;
 
 		if (!o.done && now >= o.due) {
 			o.done = true;
-			if (o.comes)
+			if (o.delivered)
 				a = carryOut(o);
 		}
-		if (o.heard || (now < o.until && !(o.done && o.told)))
+		if (o.ended || (now < o.deadline && !(o.done && o.answered)))
 			return;
-		o.heard = true;
-		upk_answered(upk, o.vm.c_str(), o.told ? a : VMS_UNANSWERED,
+		o.ended = true;
+		upk_answered(upk, o.vm.c_str(), o.answered ? a : VMS_UNANSWERED,
 			     now);
 	}
 
-	void logged(const Note &n)
+	void commitRecord(const Record &n)
 	{
 		struct pk_out o;
 
@@ -456,17 +468,17 @@
 		listed = now;
 	}
 
-	/* Another leader: it has what is in the log, no more. */
+	/* Replaces the leader: the new one has only what is in the log. */
 	void newLeader()
 	{
 		struct pk_out o;
 
-		for (auto &n : notes)
-			if (roll(0, 2))
-				logged(n);
-		notes.clear();
+		for (auto &n : records)
+			if (randomInt(0, 2))
+				commitRecord(n);
+		records.clear();
 		for (auto &o : orders)
-			o.heard = true;
+			o.ended = true;
 		pk_out_init(&o);
 		jtb_snapshot(jtb, &o);
 		RC_ASSERT(jtb_restore(jtb, pk_out_view(&o)));
@@ -477,31 +489,33 @@
 	void tick()
 	{
 		now += STEP_MS;
-		work();
-		settle();
-		if (now - listed >= LIST_MS || roll(0, 2))
+		progressRuns();
+		deliverAll();
+		if (now - listed >= LIST_MS || randomInt(0, 2))
 			list();
 		upk_tick(upk, now, JOBS_WALL_MS + now - START_MS);
 		schedule();
 	}
 
-	void worldActs()
+	void injectFault()
 	{
-		Machine &m = machines[(size_t)roll(0, (int)machines.size())];
+		Machine &m =
+			machines[(size_t)randomInt(0, (int)machines.size())];
 
-		switch (roll(0, 20)) {
+		switch (randomInt(0, 20)) {
 		case 0:
 			newLeader();
 			break;
 		case 1:
 			if (m.state == VMS_UP)
-				down(m, VMS_DOWN, roll(DOWN_STEPS, 40));
+				down(m, VMS_DOWN, randomInt(DOWN_STEPS, 40));
 			break;
 		case 2:
-			m.cut = roll(0, 2);
+			m.partitioned = randomInt(0, 2);
 			break;
 		case 3:
-			m.held = roll(0, 2) && !upk_holds(upk, m.name.c_str());
+			m.held = randomInt(0, 2) &&
+				 !upk_holds(upk, m.name.c_str());
 			break;
 		case 4:
 		case 5:
@@ -512,17 +526,17 @@
 		}
 	}
 
-	void calm()
+	void stopFaults()
 	{
-		lost = 0;
+		lossPercent = 0;
 		for (auto &m : machines) {
-			m.cut = false;
+			m.partitioned = false;
 			m.held = false;
 		}
 	}
 
-	/* All VMs of a wave that is completed had their upkeep. */
-	void completed(uint64_t no)
+	/* In a completed wave every VM had its upkeep. */
+	void checkCompleted(uint64_t no)
 	{
 		const struct jtb_wave *w = jtb_wave(jtb, no);
 
@@ -530,7 +544,7 @@
 			auto *v = static_cast<struct jtb_wave_vm *>(
 				g_ptr_array_index(w->vms, i));
 
-			RC_ASSERT(machine(v->vm).had.count(no) == 1u);
+			RC_ASSERT(machine(v->vm).upkeepsHad.count(no) == 1u);
 		}
 	}
 };
@@ -539,30 +553,31 @@
 
 int main()
 {
-	bool ok = rc::check("upkeep breaks no budget, repeats none", [] {
-		Rig r;
-
-		for (int t = roll(20, 300); t > 0; t--) {
-			r.worldActs();
-			r.tick();
-			for (uint64_t w = 1; w <= WAVES; w++)
-				r.completed(w);
-		}
-	});
+	bool ok = rc::check(
+		"upkeep keeps budgets and limits, repeats no upkeep", [] {
+			World r;
+
+			for (int t = randomInt(20, 300); t > 0; t--) {
+				r.injectFault();
+				r.tick();
+				for (uint64_t w = 1; w <= WAVES; w++)
+					r.checkCompleted(w);
+			}
+		});
 
-	ok &= rc::check("upkeep forgets none", [] {
-		Rig r;
+	ok &= rc::check("all waves complete after faults stop", [] {
+		World r;
 
-		for (int t = roll(0, 150); t > 0; t--) {
-			r.worldActs();
+		for (int t = randomInt(0, 150); t > 0; t--) {
+			r.injectFault();
 			r.tick();
 		}
-		r.calm();
-		for (int t = 0; t < CALM && upk_busy(r.upk); t++)
+		r.stopFaults();
+		for (int t = 0; t < SETTLE_TICKS && upk_busy(r.upk); t++)
 			r.tick();
 		for (uint64_t w = 1; w <= WAVES; w++) {
 			RC_ASSERT(jtb_wave(r.jtb, w)->completed);
-			r.completed(w);
+			r.checkCompleted(w);
 		}
 		for (auto &m : r.machines)
 			RC_ASSERT(!upk_holds(r.upk, m.name.c_str()));
--- a/tests/unit/upk_test.c
+++ b/tests/unit/upk_test.c
@@ -8,92 +8,92 @@
 #include "upk.h"
 
 #define NOW_MS 100000
-/* One tick of the owner, ms; each list is asked for just before it. */
+/* Interval of upk_tick(), ms; each VM list is requested just before it. */
 #define STEP_MS 100
 #define WAVE 3
-/* Time of the wave: long enough that one VM at a time is in time. */
+/* Duration of the wave, ms: enough time to do one VM at a time. */
 #define WITHIN_MS 1000000
 
-/* A fleet of VMs with a worker each, and what upkeep asked for. */
-struct bed {
+/* A fleet of VMs with a worker each, and what upk asked for. */
+struct fixture {
 	struct event_base *base;
 	struct tmr *tmr;
 	struct jtb *jtb;
 	struct vms *vms;
 	struct upk *upk;
 	int64_t now;
-	GPtrArray *list; /* struct vms_vm, what the next list shows */
+	GPtrArray *list; /* contents of the next list */
 	int orders;
 	int stops;
 	int done;
-	char ordered[32]; /* the last */
-	bool unreached; /* no worker answers */
+	char ordered[32]; /* VM of the last order */
+	bool unreached; /* no worker is reachable */
 	const char *held;
-	bool spared; /* nobody would miss any VM */
-	bool slow_log; /* what is noted as done isn't final yet */
+	bool spared; /* every VM can be spared */
+	bool log_delayed; /* recording a VM as done is not committed yet */
 };
 
-static void bed_stop(void *arg, struct jtb_run *run, const char *why)
+static void fixture_stop(void *arg, struct jtb_run *run, const char *why)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->stops++;
+	f->stops++;
 	run->stop = true;
 }
 
-static void bed_order(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm)
+static void fixture_order(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->orders++;
-	g_strlcpy(b->ordered, vm->vm, sizeof(b->ordered));
+	f->orders++;
+	g_strlcpy(f->ordered, vm->vm, sizeof(f->ordered));
 }
 
-static void bed_note(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm,
-		     enum jtb_vm_state state, const char *worker_before)
+static void fixture_note(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm,
+			 enum jtb_vm_state state, const char *worker_before)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 	struct pk_out o;
 
-	b->done += state == JTB_VM_DONE;
-	if (b->slow_log && state == JTB_VM_DONE)
+	f->done += state == JTB_VM_DONE;
+	if (f->log_delayed && state == JTB_VM_DONE)
 		return;
 	pk_out_init(&o);
 	jtb_put_vm(&o, w->no, vm->vm, state, worker_before);
-	jobs_apply(b->jtb, &o);
+	jobs_apply(f->jtb, &o);
 }
 
-static bool bed_held(void *arg, const char *vm)
+static bool fixture_held(void *arg, const char *vm)
 {
-	const struct bed *b = arg;
+	const struct fixture *f = arg;
 
-	return b->held && strcmp(b->held, vm) == 0;
+	return f->held && strcmp(f->held, vm) == 0;
 }
 
-static bool bed_spared(void *arg, const char *vm)
+static bool fixture_spared(void *arg, const char *vm)
 {
-	const struct bed *b = arg;
+	const struct fixture *f = arg;
 
-	return b->spared;
+	return f->spared;
 }
 
-static bool bed_reached(void *arg, const struct jtb_worker *w)
+static bool fixture_reached(void *arg, const struct jtb_worker *w)
 {
-	const struct bed *b = arg;
+	const struct fixture *f = arg;
 
-	return !b->unreached;
+	return !f->unreached;
 }
 
-static const struct upk_ops bed_ops = {
-	.stop = bed_stop,
-	.order = bed_order,
-	.note = bed_note,
-	.held = bed_held,
-	.spared = bed_spared,
-	.reached = bed_reached,
+static const struct upk_ops fixture_ops = {
+	.stop = fixture_stop,
+	.order = fixture_order,
+	.note = fixture_note,
+	.held = fixture_held,
+	.spared = fixture_spared,
+	.reached = fixture_reached,
 };
 
-static void vm_add(struct bed *b, const char *name, const char *worker)
+static void vm_add(struct fixture *f, const char *name, const char *worker)
 {
 	struct vms_vm *vm = g_new0(struct vms_vm, 1);
 
@@ -103,16 +103,16 @@
 	vm->state = VMS_UP;
 	vm->cpu = 16000;
 	vm->mem_mb = 64000;
-	g_ptr_array_add(b->list, vm);
-	jobs_worker(b->jtb, worker, 16000, false);
+	g_ptr_array_add(f->list, vm);
+	jobs_worker(f->jtb, worker, 16000, false);
 }
 
-static struct vms_vm *vm_of(struct bed *b, const char *name)
+static struct vms_vm *find_vm(struct fixture *f, const char *name)
 {
 	guint i;
 
-	for (i = 0; i < b->list->len; i++) {
-		struct vms_vm *vm = g_ptr_array_index(b->list, i);
+	for (i = 0; i < f->list->len; i++) {
+		struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
 		if (strcmp(vm->name, name) == 0)
 			return vm;
@@ -121,34 +121,34 @@
 	return NULL;
 }
 
-/* A list is asked for and comes in, then upkeep goes on. */
-static void tick(struct bed *b)
+/* Delivers a new VM list, then runs a tick. */
+static void tick(struct fixture *f)
 {
 	GPtrArray *list = g_ptr_array_new_with_free_func(vms_vm_free);
 	guint i;
 
-	for (i = 0; i < b->list->len; i++) {
+	for (i = 0; i < f->list->len; i++) {
 		struct vms_vm *vm =
-			g_memdup2(g_ptr_array_index(b->list, i), sizeof(*vm));
+			g_memdup2(g_ptr_array_index(f->list, i), sizeof(*vm));
 
 		vm->name = g_strdup(vm->name);
 		vm->pool = g_strdup(vm->pool);
 		vm->worker = g_strdup(vm->worker);
 		g_ptr_array_add(list, vm);
 	}
-	b->now += STEP_MS;
-	vms_put_list(b->vms, list, b->now - 1);
-	upk_tick(b->upk, b->now, JOBS_WALL_MS + b->now - NOW_MS);
+	f->now += STEP_MS;
+	vms_put_list(f->vms, list, f->now - 1);
+	upk_tick(f->upk, f->now, JOBS_WALL_MS + f->now - NOW_MS);
 }
 
-static void ticks(struct bed *b, int n)
+static void ticks(struct fixture *f, int n)
 {
 	while (n-- > 0)
-		tick(b);
+		tick(f);
 }
 
-static void wave_no(struct bed *b, uint64_t no, uint32_t at_once,
-		    int64_t within_ms)
+static void add_wave_no(struct fixture *f, uint64_t no, uint32_t at_once,
+			int64_t within_ms)
 {
 	struct jtb_wave *w = jtb_wave_new(no);
 	struct pk_out o;
@@ -157,202 +157,202 @@
 	w->from_ms = JOBS_WALL_MS;
 	w->within_ms = within_ms;
 	w->at_once = at_once;
-	for (i = 0; i < b->list->len; i++) {
-		const struct vms_vm *vm = g_ptr_array_index(b->list, i);
+	for (i = 0; i < f->list->len; i++) {
+		const struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
 		jtb_wave_add(w, vm->name);
 	}
 	pk_out_init(&o);
 	jtb_put_wave(&o, w);
-	jobs_apply(b->jtb, &o);
+	jobs_apply(f->jtb, &o);
 	jtb_wave_free(w);
 }
 
-static void wave(struct bed *b, uint32_t at_once, int64_t within_ms)
+static void add_wave(struct fixture *f, uint32_t at_once, int64_t within_ms)
 {
-	wave_no(b, WAVE, at_once, within_ms);
+	add_wave_no(f, WAVE, at_once, within_ms);
 }
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
+	struct fixture *f = g_new0(struct fixture, 1);
 
-	b->now = NOW_MS;
-	b->base = event_base_new();
-	b->tmr = tmr_new_manual(NOW_MS);
-	b->jtb = jtb_new(NULL, NULL);
-	b->vms = vms_new(&(struct vms_config){.base = b->base, .tmr = b->tmr},
+	f->now = NOW_MS;
+	f->base = event_base_new();
+	f->tmr = tmr_new_manual(NOW_MS);
+	f->jtb = jtb_new(NULL, NULL);
+	f->vms = vms_new(&(struct vms_config){.base = f->base, .tmr = f->tmr},
 			 NULL, NULL);
-	b->upk = upk_new(b->jtb, b->vms, &bed_ops, b);
-	b->list = g_ptr_array_new_with_free_func(vms_vm_free);
-	jobs_config(b->jtb, 1, "p", 3);
-	vm_add(b, "vm1", "w1");
-	*state = b;
+	f->upk = upk_new(f->jtb, f->vms, &fixture_ops, f);
+	f->list = g_ptr_array_new_with_free_func(vms_vm_free);
+	jobs_config(f->jtb, 1, "p", 3);
+	vm_add(f, "vm1", "w1");
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	upk_free(b->upk);
-	vms_free(b->vms);
-	jtb_free(b->jtb);
-	tmr_free(b->tmr);
-	event_base_free(b->base);
-	g_ptr_array_free(b->list, TRUE);
-	g_free(b);
+	upk_free(f->upk);
+	vms_free(f->vms);
+	jtb_free(f->jtb);
+	tmr_free(f->tmr);
+	event_base_free(f->base);
+	g_ptr_array_free(f->list, TRUE);
+	g_free(f);
 	return 0;
 }
 
-static void short_job(struct bed *b, const char *id)
+static void add_short_job(struct fixture *f, const char *id)
 {
 	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 500};
 
-	jobs_job(b->jtb, id, &s, 1, JOBS_WALL_MS);
-	jobs_start(b->jtb, id, 0, 0, 1, "w1");
+	jobs_job(f->jtb, id, &s, 1, JOBS_WALL_MS);
+	jobs_start(f->jtb, id, 0, 0, 1, "w1");
 }
 
-/* Whether a worker gets nothing new. */
-static bool closed(const struct bed *b, const char *worker)
+/* Whether a worker gets no new work. */
+static bool is_closed(const struct fixture *f, const char *worker)
 {
 	GHashTable *ids = g_hash_table_new(g_str_hash, g_str_equal);
-	bool in;
+	bool found;
 
-	upk_closed(b->upk, ids);
-	in = g_hash_table_contains(ids, worker);
+	upk_closed(f->upk, ids);
+	found = g_hash_table_contains(ids, worker);
 	g_hash_table_destroy(ids);
-	return in;
+	return found;
 }
 
 /*
- * Work is thrown away with its VM. The order goes out only once nothing runs
- * there any more, and what doesn't end by itself is stopped after a while.
+ * Guards against work lost with its VM: the order is sent only when no run is
+ * left on it. Runs that do not end by themselves are stopped after a while.
  */
-static void a_vm_is_emptied_before_its_upkeep(void **state)
+static void vm_is_drained_before_upkeep(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	short_job(b, "a");
-	wave(b, 1, WITHIN_MS);
-	ticks(b, 10);
-	assert_true(closed(b, "w1"));
-	assert_int_equal(b->orders, 0);
-	assert_int_equal(b->stops, 0);
-	ticks(b, 30);
-	assert_int_equal(b->stops, 1);
-	assert_int_equal(b->orders, 0);
-	jobs_end(b->jtb, "a", 0, 0, 1, "w1", JTB_STOPPED);
-	ticks(b, 3);
-	assert_int_equal(b->orders, 1);
-	assert_string_equal(b->ordered, "vm1");
+	add_short_job(f, "a");
+	add_wave(f, 1, WITHIN_MS);
+	ticks(f, 10);
+	assert_true(is_closed(f, "w1"));
+	assert_int_equal(f->orders, 0);
+	assert_int_equal(f->stops, 0);
+	ticks(f, 30);
+	assert_int_equal(f->stops, 1);
+	assert_int_equal(f->orders, 0);
+	jobs_end(f->jtb, "a", 0, 0, 1, "w1", JTB_STOPPED);
+	ticks(f, 3);
+	assert_int_equal(f->orders, 1);
+	assert_string_equal(f->ordered, "vm1");
 }
 
 /*
- * A wave is told as completed with a VM that had no upkeep. The VM is listed
- * as up until its order is carried out, and in a list that was asked for
- * before.
+ * Guards against a wave that completes although a VM had no upkeep: the VM is
+ * listed as up until its order is carried out, also in a list that was
+ * requested before the order was accepted.
  */
-static void upkeep_is_over_once_a_later_list_shows_it(void **state)
-{
-	struct bed *b = *state;
-
-	wave(b, 1, WITHIN_MS);
-	ticks(b, 3);
-	assert_int_equal(b->orders, 1);
-	ticks(b, 3);
-	assert_int_equal(b->done, 0);
-	upk_answered(b->upk, "vm1", VMS_UNANSWERED, b->now);
-	ticks(b, 3);
-	assert_int_equal(b->done, 0);
-	/* agreed to after the newest list was asked for */
-	upk_answered(b->upk, "vm1", VMS_YES, b->now + STEP_MS);
-	tick(b);
-	assert_int_equal(b->done, 0);
-	vm_of(b, "vm1")->state = VMS_UPKEEP;
-	ticks(b, 3);
-	assert_int_equal(b->done, 0);
-	vm_of(b, "vm1")->state = VMS_UP;
-	tick(b);
-	assert_int_equal(b->done, 1);
-	assert_true(jtb_wave(b->jtb, WAVE)->completed);
-}
-
-/* A VM's order is agreed to, it is down for a tick, and up again. */
-static void have_upkeep(struct bed *b, const char *vm)
-{
-	upk_answered(b->upk, vm, VMS_YES, b->now);
-	vm_of(b, vm)->state = VMS_UPKEEP;
-	tick(b);
-	vm_of(b, vm)->state = VMS_UP;
+static void upkeep_is_done_when_a_later_list_has_it(void **state)
+{
+	struct fixture *f = *state;
+
+	add_wave(f, 1, WITHIN_MS);
+	ticks(f, 3);
+	assert_int_equal(f->orders, 1);
+	ticks(f, 3);
+	assert_int_equal(f->done, 0);
+	upk_answered(f->upk, "vm1", VMS_UNANSWERED, f->now);
+	ticks(f, 3);
+	assert_int_equal(f->done, 0);
+	/* accepted after the newest list was requested */
+	upk_answered(f->upk, "vm1", VMS_YES, f->now + STEP_MS);
+	tick(f);
+	assert_int_equal(f->done, 0);
+	find_vm(f, "vm1")->state = VMS_UPKEEP;
+	ticks(f, 3);
+	assert_int_equal(f->done, 0);
+	find_vm(f, "vm1")->state = VMS_UP;
+	tick(f);
+	assert_int_equal(f->done, 1);
+	assert_true(jtb_wave(f->jtb, WAVE)->completed);
+}
+
+/* Has a VM's order accepted; the VM is down for a tick and up again. */
+static void do_upkeep(struct fixture *f, const char *vm)
+{
+	upk_answered(f->upk, vm, VMS_YES, f->now);
+	find_vm(f, vm)->state = VMS_UPKEEP;
+	tick(f);
+	find_vm(f, vm)->state = VMS_UP;
 }
 
 /*
- * A wave stands still for good with VMs left: the next look came before the
- * table had it that a VM is done, took it for one that an earlier leader had
- * begun, and counted it as on its way from then on.
+ * Guards against a wave that stalls permanently: the tick before the table had
+ * a VM as done took it for one that an earlier leader had begun, and counted it
+ * as in progress from then on.
  */
-static void a_vm_that_is_done_frees_its_place(void **state)
+static void done_vm_lets_the_wave_advance(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct pk_out o;
 
-	vm_add(b, "vm2", "w2");
-	wave(b, 1, WITHIN_MS);
-	ticks(b, 3);
-	have_upkeep(b, "vm1");
-	b->slow_log = true;
-	ticks(b, 10);
-	/* noted once, and not ordered again meanwhile */
-	assert_int_equal(b->done, 1);
-	assert_int_equal(b->orders, 1);
-	b->slow_log = false;
+	vm_add(f, "vm2", "w2");
+	add_wave(f, 1, WITHIN_MS);
+	ticks(f, 3);
+	do_upkeep(f, "vm1");
+	f->log_delayed = true;
+	ticks(f, 10);
+	/* recorded once, and not ordered again meanwhile */
+	assert_int_equal(f->done, 1);
+	assert_int_equal(f->orders, 1);
+	f->log_delayed = false;
 	pk_out_init(&o);
 	jtb_put_vm(&o, WAVE, "vm1", JTB_VM_DONE, NULL);
-	jobs_apply(b->jtb, &o);
-	ticks(b, 5);
-	assert_string_equal(b->ordered, "vm2");
+	jobs_apply(f->jtb, &o);
+	ticks(f, 5);
+	assert_string_equal(f->ordered, "vm2");
 }
 
-/* The platform's calls are used up on a VM that is gone. */
-static void a_vm_that_is_gone_isnt_ordered_again(void **state)
+/* Guards against platform calls wasted on a VM that was removed. */
+static void removed_vm_is_not_ordered_again(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int orders;
 
-	vm_add(b, "vm2", "w2");
-	wave(b, 1, WITHIN_MS);
-	ticks(b, 3);
-	assert_string_equal(b->ordered, "vm1");
-	b->slow_log = true;
-	g_ptr_array_remove_index(b->list, 0);
-	while (b->done == 0)
-		tick(b);
-	orders = b->orders;
-	ticks(b, 20);
-	assert_int_equal(b->orders, orders);
-	assert_int_equal(b->done, 1);
+	vm_add(f, "vm2", "w2");
+	add_wave(f, 1, WITHIN_MS);
+	ticks(f, 3);
+	assert_string_equal(f->ordered, "vm1");
+	f->log_delayed = true;
+	g_ptr_array_remove_index(f->list, 0);
+	while (f->done == 0)
+		tick(f);
+	orders = f->orders;
+	ticks(f, 20);
+	assert_int_equal(f->orders, orders);
+	assert_int_equal(f->done, 1);
 }
 
 /*
- * A VM is missing to its pool for good: it was the last of its wave, and with
- * the wave nobody looked at what was kept of it any more.
+ * Guards against a VM that stays closed permanently: it was the last of its
+ * wave, and the state of a completed wave was not updated any more.
  */
-static void the_last_vm_of_a_wave_is_let_go(void **state)
+static void last_vm_of_a_wave_is_released(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	wave(b, 1, WITHIN_MS);
-	ticks(b, 3);
-	have_upkeep(b, "vm1");
-	ticks(b, 2);
-	assert_true(jtb_wave(b->jtb, WAVE)->completed);
-	assert_false(upk_holds(b->upk, "vm1"));
-	assert_false(closed(b, "w1"));
+	add_wave(f, 1, WITHIN_MS);
+	ticks(f, 3);
+	do_upkeep(f, "vm1");
+	ticks(f, 2);
+	assert_true(jtb_wave(f->jtb, WAVE)->completed);
+	assert_false(upk_holds(f->upk, "vm1"));
+	assert_false(is_closed(f, "w1"));
 }
 
-/* Has a wave of six VMs go on for a while; how many are on their way. */
-static int open_of_six(struct bed *b, int64_t within_ms)
+/* Runs a wave of six VMs for a few ticks; returns how many are in progress. */
+static int in_progress_of_six(struct fixture *f, int64_t within_ms)
 {
 	int open = 0;
 	int i;
@@ -363,179 +363,182 @@
 
 		g_snprintf(vm, sizeof(vm), "vm%d", i);
 		g_snprintf(w, sizeof(w), "w%d", i);
-		vm_add(b, vm, w);
+		vm_add(f, vm, w);
 	}
-	wave(b, 2, within_ms);
-	ticks(b, 5);
-	for (i = 0; i < (int)b->list->len; i++) {
-		const struct vms_vm *vm = g_ptr_array_index(b->list, i);
+	add_wave(f, 2, within_ms);
+	ticks(f, 5);
+	for (i = 0; i < (int)f->list->len; i++) {
+		const struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
-		open += upk_holds(b->upk, vm->name);
+		open += upk_holds(f->upk, vm->name);
 	}
 	return open;
 }
 
 /*
- * More VMs are down at once than the operator allows: the wave is late, and
- * all the rest of it is wanted at once.
+ * Guards against more VMs down at once than the operator allows: the wave is
+ * past its time, and all remaining VMs are due at once.
  */
-static void a_late_wave_keeps_its_bound(void **state)
+static void late_wave_keeps_its_limit(void **state)
 {
-	assert_int_equal(open_of_six(*state, 1), 2);
+	assert_int_equal(in_progress_of_six(*state, 1), 2);
 }
 
-/* The same where all must go within one round to be in time. */
-static void a_wave_in_time_keeps_its_bound(void **state)
+/* The same for a wave that must do all VMs in one cycle to be in time. */
+static void wave_in_time_keeps_its_limit(void **state)
 {
-	assert_int_equal(open_of_six(*state, 12000), 2);
+	assert_int_equal(in_progress_of_six(*state, 12000), 2);
 }
 
 /*
- * Time is left, so that VMs go one by one, and the last of them in the middle
- * of the next burst. Those that nobody would miss go at once, within the bound.
+ * Guards against VMs that are taken in the middle of the next burst: with time
+ * left, VMs are done one by one. VMs that can be spared are done at once,
+ * within the limit of the wave.
  */
-static void what_nobody_misses_goes_at_once(void **state)
+static void spare_vms_are_done_at_once(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	assert_int_equal(open_of_six(b, WITHIN_MS), 1);
-	b->spared = true;
-	ticks(b, 5);
-	assert_true(upk_holds(b->upk, "vm2"));
-	assert_false(upk_holds(b->upk, "vm3"));
+	assert_int_equal(in_progress_of_six(f, WITHIN_MS), 1);
+	f->spared = true;
+	ticks(f, 5);
+	assert_true(upk_holds(f->upk, "vm2"));
+	assert_false(upk_holds(f->upk, "vm3"));
 }
 
 /*
- * A wave is told as completed with a VM that had no upkeep: it had just been
- * switched on, and no list showed it yet. One that never comes back mustn't
- * hold up the wave for ever.
+ * Guards against a wave that completes although a VM had no upkeep: it had just
+ * been switched on and was in no list yet. A VM that never comes back must not
+ * block the wave.
  */
-static void a_vm_not_listed_for_a_moment_isnt_gone(void **state)
+static void briefly_unlisted_vm_is_not_removed(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct vms_vm *vm;
 
-	wave(b, 1, WITHIN_MS);
-	vm = g_ptr_array_steal_index(b->list, 0);
-	ticks(b, 20);
-	assert_int_equal(b->done, 0);
-	ticks(b, 60);
-	assert_int_equal(b->done, 1);
+	add_wave(f, 1, WITHIN_MS);
+	vm = g_ptr_array_steal_index(f->list, 0);
+	ticks(f, 20);
+	assert_int_equal(f->done, 0);
+	ticks(f, 60);
+	assert_int_equal(f->done, 1);
 	vms_vm_free(vm);
 }
 
 /*
- * Work is thrown away with its VM. A leader that is gone has ordered upkeep,
- * which may be carried out seconds later; the next must give the VM no work.
+ * Guards against work lost with its VM: the order of a former leader may be
+ * carried out seconds later, and the next leader must give the VM no work.
  */
-static void a_vm_that_an_earlier_leader_ordered_gets_no_work(void **state)
+static void vm_ordered_by_former_leader_gets_no_work(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	wave(b, 1, WITHIN_MS);
-	ticks(b, 3);
-	assert_int_equal(b->orders, 1);
-	upk_lead(b->upk);
-	assert_true(closed(b, "w1"));
-	/* and the order is given again, since nobody knows its answer */
-	ticks(b, 2);
-	assert_int_equal(b->orders, 2);
+	add_wave(f, 1, WITHIN_MS);
+	ticks(f, 3);
+	assert_int_equal(f->orders, 1);
+	upk_lead(f->upk);
+	assert_true(is_closed(f, "w1"));
+	/* The order is sent again, since its answer is unknown. */
+	ticks(f, 2);
+	assert_int_equal(f->orders, 2);
 }
 
 /*
- * Work is thrown away with its VM. The worker that was emptied ended, and
- * another has come up on the VM and got work before the order.
+ * Guards against work lost with its VM: the worker being drained ended, and
+ * another came up on the VM and got work before the order.
  */
-static void another_lifetime_is_emptied_anew(void **state)
+static void new_worker_before_the_order_is_drained(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	short_job(b, "a");
-	wave(b, 1, WITHIN_MS);
-	ticks(b, 3);
-	assert_true(closed(b, "w1"));
-	jobs_gone(b->jtb, "w1", true);
-	jobs_worker(b->jtb, "w1b", 16000, false);
-	g_free(vm_of(b, "vm1")->worker);
-	vm_of(b, "vm1")->worker = g_strdup("w1b");
-	jobs_start(b->jtb, "a", 0, 0, 2, "w1b");
-	ticks(b, 5);
-	assert_int_equal(b->orders, 0);
-	assert_true(closed(b, "w1b"));
+	add_short_job(f, "a");
+	add_wave(f, 1, WITHIN_MS);
+	ticks(f, 3);
+	assert_true(is_closed(f, "w1"));
+	jobs_gone(f->jtb, "w1", true);
+	jobs_worker(f->jtb, "w1b", 16000, false);
+	g_free(find_vm(f, "vm1")->worker);
+	find_vm(f, "vm1")->worker = g_strdup("w1b");
+	jobs_start(f->jtb, "a", 0, 0, 2, "w1b");
+	ticks(f, 5);
+	assert_int_equal(f->orders, 0);
+	assert_true(is_closed(f, "w1b"));
 }
 
 /*
- * Work is thrown away with its VM, after the order: the VM failed by itself
- * before that was carried out, and came back with another worker.
+ * Guards against work lost with its VM after the order: the VM failed by itself
+ * before the order was carried out and came back with another worker.
  */
-static void another_lifetime_after_the_order_is_emptied(void **state)
-{
-	struct bed *b = *state;
-
-	wave(b, 1, WITHIN_MS);
-	ticks(b, 3);
-	assert_int_equal(b->orders, 1);
-	upk_answered(b->upk, "vm1", VMS_UNANSWERED, b->now);
-	jobs_gone(b->jtb, "w1", true);
-	vm_of(b, "vm1")->state = VMS_DOWN;
-	*vm_of(b, "vm1")->worker = '\0';
-	ticks(b, 3);
-	/* up again, and known before a list shows on which VM it is */
-	jobs_worker(b->jtb, "w1b", 16000, false);
-	assert_true(closed(b, "w1b"));
-	g_free(vm_of(b, "vm1")->worker);
-	vm_of(b, "vm1")->worker = g_strdup("w1b");
-	vm_of(b, "vm1")->state = VMS_UP;
-	short_job(b, "a");
-	jobs_start(b->jtb, "a", 0, 0, 2, "w1b");
-	tick(b);
-	b->orders = 0;
-	ticks(b, 10);
-	assert_true(closed(b, "w1b"));
-	assert_int_equal(b->orders, 0);
-	jobs_end(b->jtb, "a", 0, 0, 2, "w1b", JTB_DONE);
-	ticks(b, 10);
-	assert_true(b->orders > 0);
-	/* what the order ends is still the lifetime it was given for */
-	assert_string_equal(upk_worker(b->upk, "vm1"), "w1");
-	upk_answered(b->upk, "vm1", VMS_YES, b->now);
-	ticks(b, 2);
-	assert_int_equal(b->done, 1);
+static void new_worker_after_the_order_is_drained(void **state)
+{
+	struct fixture *f = *state;
+
+	add_wave(f, 1, WITHIN_MS);
+	ticks(f, 3);
+	assert_int_equal(f->orders, 1);
+	upk_answered(f->upk, "vm1", VMS_UNANSWERED, f->now);
+	jobs_gone(f->jtb, "w1", true);
+	find_vm(f, "vm1")->state = VMS_DOWN;
+	*find_vm(f, "vm1")->worker = '\0';
+	ticks(f, 3);
+	/* up again, and connected before a list shows the worker's VM */
+	jobs_worker(f->jtb, "w1b", 16000, false);
+	assert_true(is_closed(f, "w1b"));
+	g_free(find_vm(f, "vm1")->worker);
+	find_vm(f, "vm1")->worker = g_strdup("w1b");
+	find_vm(f, "vm1")->state = VMS_UP;
+	add_short_job(f, "a");
+	jobs_start(f->jtb, "a", 0, 0, 2, "w1b");
+	tick(f);
+	f->orders = 0;
+	ticks(f, 10);
+	assert_true(is_closed(f, "w1b"));
+	assert_int_equal(f->orders, 0);
+	jobs_end(f->jtb, "a", 0, 0, 2, "w1b", JTB_DONE);
+	ticks(f, 10);
+	assert_true(f->orders > 0);
+	/* The order still ends the worker that it was given for. */
+	assert_string_equal(upk_worker(f->upk, "vm1"), "w1");
+	upk_answered(f->upk, "vm1", VMS_YES, f->now);
+	ticks(f, 2);
+	assert_int_equal(f->done, 1);
 }
 
 /*
- * Two waves name the same VMs. One is noted in the wave that didn't begin it:
- * more of that wave are down than it allows, and the other never ends.
+ * Guards against a VM that is recorded in the wave that did not begin it: then
+ * more VMs of that wave are down than it allows, and the other wave never
+ * completes.
  */
-static void two_waves_share_no_vm(void **state)
-{
-	struct bed *b = *state;
-
-	vm_add(b, "vm2", "w2");
-	wave_no(b, WAVE, 1, WITHIN_MS);
-	wave_no(b, WAVE + 1, 1, WITHIN_MS);
-	ticks(b, 3);
-	assert_int_equal(b->orders, 2);
-	have_upkeep(b, "vm1");
-	have_upkeep(b, "vm2");
-	ticks(b, 10);
-	have_upkeep(b, "vm1");
-	have_upkeep(b, "vm2");
-	ticks(b, 10);
-	assert_int_equal(b->done, 4);
-	assert_true(jtb_wave(b->jtb, WAVE)->completed);
-	assert_true(jtb_wave(b->jtb, WAVE + 1)->completed);
-	assert_false(upk_holds(b->upk, "vm1"));
-	assert_false(upk_holds(b->upk, "vm2"));
+static void two_waves_with_the_same_vms(void **state)
+{
+	struct fixture *f = *state;
+
+	vm_add(f, "vm2", "w2");
+	add_wave_no(f, WAVE, 1, WITHIN_MS);
+	add_wave_no(f, WAVE + 1, 1, WITHIN_MS);
+	ticks(f, 3);
+	assert_int_equal(f->orders, 2);
+	do_upkeep(f, "vm1");
+	do_upkeep(f, "vm2");
+	ticks(f, 10);
+	do_upkeep(f, "vm1");
+	do_upkeep(f, "vm2");
+	ticks(f, 10);
+	assert_int_equal(f->done, 4);
+	assert_true(jtb_wave(f->jtb, WAVE)->completed);
+	assert_true(jtb_wave(f->jtb, WAVE + 1)->completed);
+	assert_false(upk_holds(f->upk, "vm1"));
+	assert_false(upk_holds(f->upk, "vm2"));
 }
 
 /*
- * An image that never comes up: the wave must lose no VM more than may be down
- * at once, however late it is, and whoever leads.
+ * Guards against a bad image from which no VM comes up: the wave must lose no
+ * more VMs than may be down at once, however late it is and whichever replica
+ * leads.
  */
-static void a_bad_image_takes_no_more_than_at_once(void **state)
+static void bad_image_costs_no_more_than_at_once(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int i;
 
 	for (i = 2; i <= 6; i++) {
@@ -544,220 +547,220 @@
 
 		g_snprintf(vm, sizeof(vm), "vm%d", i);
 		g_snprintf(w, sizeof(w), "w%d", i);
-		vm_add(b, vm, w);
+		vm_add(f, vm, w);
 	}
-	wave(b, 2, 5000);
-	ticks(b, 3);
-	assert_int_equal(b->orders, 2);
-	for (i = 0; i < (int)b->list->len; i++) {
-		struct vms_vm *vm = g_ptr_array_index(b->list, i);
+	add_wave(f, 2, 5000);
+	ticks(f, 3);
+	assert_int_equal(f->orders, 2);
+	for (i = 0; i < (int)f->list->len; i++) {
+		struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
-		if (!upk_holds(b->upk, vm->name))
+		if (!upk_holds(f->upk, vm->name))
 			continue;
-		upk_answered(b->upk, vm->name, VMS_YES, b->now);
-		jobs_gone(b->jtb, vm->worker, true);
+		upk_answered(f->upk, vm->name, VMS_YES, f->now);
+		jobs_gone(f->jtb, vm->worker, true);
 		*vm->worker = '\0';
 		vm->state = i ? VMS_DOWN : VMS_UPKEEP;
 	}
-	b->orders = 0;
-	ticks(b, 100);
-	upk_lead(b->upk);
-	ticks(b, 100);
-	for (i = 0; i < (int)b->list->len; i++) {
-		const struct vms_vm *vm = g_ptr_array_index(b->list, i);
+	f->orders = 0;
+	ticks(f, 100);
+	upk_lead(f->upk);
+	ticks(f, 100);
+	for (i = 0; i < (int)f->list->len; i++) {
+		const struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
 		assert_true((vm->state == VMS_UP) !=
-			    upk_holds(b->upk, vm->name));
+			    upk_holds(f->upk, vm->name));
 	}
-	assert_int_equal(b->done, 0);
+	assert_int_equal(f->done, 0);
 }
 
 /*
- * A zone is cut off while a VM of it has its upkeep and another is being
- * emptied. Silence is held against nobody: nothing that lasts is stopped beside
- * it, nothing more is begun, and after the cut the wave goes on where it was.
+ * A zone is partitioned while one of its VMs has its upkeep and another is
+ * being drained. An unreachable worker is not taken as failed: no long-running
+ * run is stopped meanwhile and no VM is begun, and after the partition the wave
+ * continues.
  */
-static void a_cut_is_waited_for(void **state)
+static void partition_pauses_the_wave(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 2, .cpu = 1000, .may_miss = 1, .flags = JTB_LASTS};
 	const struct jtb_part *part;
 
-	vm_add(b, "vm2", "w2");
-	jobs_job(b->jtb, "l", &s, 1, JOBS_WALL_MS);
-	jobs_start(b->jtb, "l", 0, 0, 1, "w1");
-	jobs_start(b->jtb, "l", 0, 1, 1, "w2");
-	part = &jtb_job(b->jtb, "l")->turns[0].parts[0];
+	vm_add(f, "vm2", "w2");
+	jobs_job(f->jtb, "l", &s, 1, JOBS_WALL_MS);
+	jobs_start(f->jtb, "l", 0, 0, 1, "w1");
+	jobs_start(f->jtb, "l", 0, 1, 1, "w2");
+	part = &jtb_job(f->jtb, "l")->turns[0].parts[0];
 	part->tasks[0].run->percent = 100;
 	part->tasks[1].run->percent = 100;
-	b->unreached = true;
-	wave(b, 2, 1);
-	ticks(b, 600);
-	assert_int_equal(b->stops, 0);
-	assert_int_equal(b->orders, 0);
-	assert_int_equal(b->done, 0);
-	b->unreached = false;
-	ticks(b, 3);
-	assert_int_equal(b->stops, 1);
+	f->unreached = true;
+	add_wave(f, 2, 1);
+	ticks(f, 600);
+	assert_int_equal(f->stops, 0);
+	assert_int_equal(f->orders, 0);
+	assert_int_equal(f->done, 0);
+	f->unreached = false;
+	ticks(f, 3);
+	assert_int_equal(f->stops, 1);
 }
 
-/* Two VMs of a late wave, each with a task of what lasts; both are at work. */
-static const struct jtb_part *lasting_on_two(struct bed *b)
+/* Two VMs of a late wave, each with a ready task of one long-running step. */
+static const struct jtb_part *long_running_on_two_vms(struct fixture *f)
 {
 	struct jtb_step s = {
 		.count = 2, .cpu = 1000, .may_miss = 1, .flags = JTB_LASTS};
 	const struct jtb_part *part;
 
-	vm_add(b, "vm2", "w2");
-	jobs_job(b->jtb, "l", &s, 1, JOBS_WALL_MS);
-	jobs_start(b->jtb, "l", 0, 0, 1, "w1");
-	jobs_start(b->jtb, "l", 0, 1, 1, "w2");
-	part = &jtb_job(b->jtb, "l")->turns[0].parts[0];
+	vm_add(f, "vm2", "w2");
+	jobs_job(f->jtb, "l", &s, 1, JOBS_WALL_MS);
+	jobs_start(f->jtb, "l", 0, 0, 1, "w1");
+	jobs_start(f->jtb, "l", 0, 1, 1, "w2");
+	part = &jtb_job(f->jtb, "l")->turns[0].parts[0];
 	part->tasks[0].run->percent = 100;
 	part->tasks[1].run->percent = 100;
-	wave(b, 2, 1);
+	add_wave(f, 2, 1);
 	return part;
 }
 
 /*
- * VMs are being emptied when another task of what lasts is lost. What isn't
- * stopped yet goes on: were it stopped, too, our own act would break the
- * budget. Its VM is given back until the other is at work again.
+ * Guards against a budget broken by a stop: another task of a long-running step
+ * is lost while VMs are being drained. The remaining run goes on, and its VM
+ * returns to service until the lost task is ready again.
  */
-static void a_failure_while_emptying_gives_back(void **state)
+static void failure_while_draining_returns_the_vm(void **state)
 {
-	struct bed *b = *state;
-	const struct jtb_part *part = lasting_on_two(b);
+	struct fixture *f = *state;
+	const struct jtb_part *part = long_running_on_two_vms(f);
 
-	tick(b);
-	assert_true(closed(b, "w1"));
-	assert_true(closed(b, "w2"));
-	jobs_end(b->jtb, "l", 0, 1, 1, "w2", JTB_LOST);
-	ticks(b, 50);
+	tick(f);
+	assert_true(is_closed(f, "w1"));
+	assert_true(is_closed(f, "w2"));
+	jobs_end(f->jtb, "l", 0, 1, 1, "w2", JTB_LOST);
+	ticks(f, 50);
 	assert_false(part->tasks[0].run->stop);
-	assert_false(closed(b, "w1"));
-	assert_string_equal(b->ordered, "vm2");
-	have_upkeep(b, "vm2");
-	ticks(b, 3);
+	assert_false(is_closed(f, "w1"));
+	assert_string_equal(f->ordered, "vm2");
+	do_upkeep(f, "vm2");
+	ticks(f, 3);
 	assert_false(part->tasks[0].run->stop);
-	jobs_start(b->jtb, "l", 0, 1, 2, "w2");
+	jobs_start(f->jtb, "l", 0, 1, 2, "w2");
 	part->tasks[1].run->percent = 100;
-	ticks(b, 3);
+	ticks(f, 3);
 	assert_true(part->tasks[0].run->stop);
 }
 
 /*
- * A service is a task short for good, and its wave never ends: every VM that
- * could take the task is closed, and none of them can be emptied while it is
- * away.
+ * Guards against a service that stays one task short and a wave that never
+ * completes: every VM that could run the task is closed, and none of them can
+ * be drained while the task is unavailable.
  */
-static void what_cant_be_emptied_isnt_closed(void **state)
+static void vm_that_cannot_be_drained_stays_open(void **state)
 {
-	struct bed *b = *state;
-	const struct jtb_part *part = lasting_on_two(b);
+	struct fixture *f = *state;
+	const struct jtb_part *part = long_running_on_two_vms(f);
 
 	part->tasks[1].run->percent = 10;
-	ticks(b, 5);
+	ticks(f, 5);
 	assert_true(part->tasks[1].run->stop);
-	assert_true(closed(b, "w2"));
-	assert_false(closed(b, "w1"));
-	jobs_end(b->jtb, "l", 0, 1, 1, "w2", JTB_STOPPED);
-	jobs_start(b->jtb, "l", 0, 1, 2, "w1");
-	ticks(b, 2);
-	assert_false(closed(b, "w1"));
+	assert_true(is_closed(f, "w2"));
+	assert_false(is_closed(f, "w1"));
+	jobs_end(f->jtb, "l", 0, 1, 1, "w2", JTB_STOPPED);
+	jobs_start(f->jtb, "l", 0, 1, 2, "w1");
+	ticks(f, 2);
+	assert_false(is_closed(f, "w1"));
 	part->tasks[1].run->percent = 100;
-	ticks(b, 2);
-	assert_true(closed(b, "w1"));
+	ticks(f, 2);
+	assert_true(is_closed(f, "w1"));
 }
 
-/* Two leaders give one VM orders by turns. */
-static void a_later_leader_has_taken_it_over(void **state)
+/* Guards against two leaders that give orders for one VM in turn. */
+static void fenced_order_is_not_repeated(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	wave(b, 1, WITHIN_MS);
-	ticks(b, 3);
-	assert_int_equal(b->orders, 1);
-	upk_answered(b->upk, "vm1", VMS_FENCED, b->now);
-	ticks(b, 30);
-	assert_int_equal(b->orders, 1);
+	add_wave(f, 1, WITHIN_MS);
+	ticks(f, 3);
+	assert_int_equal(f->orders, 1);
+	upk_answered(f->upk, "vm1", VMS_FENCED, f->now);
+	ticks(f, 30);
+	assert_int_equal(f->orders, 1);
 }
 
-/* What is on its way to another pool is left alone. */
-static void a_vm_on_its_way_is_waited_for(void **state)
+/* A VM that is being moved to another pool is not ordered. */
+static void moving_vm_is_not_ordered(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->held = "vm1";
-	wave(b, 1, WITHIN_MS);
-	ticks(b, 5);
-	assert_int_equal(b->orders, 0);
-	b->held = NULL;
-	ticks(b, 5);
-	assert_int_equal(b->orders, 1);
+	f->held = "vm1";
+	add_wave(f, 1, WITHIN_MS);
+	ticks(f, 5);
+	assert_int_equal(f->orders, 0);
+	f->held = NULL;
+	ticks(f, 5);
+	assert_int_equal(f->orders, 1);
 }
 
 /*
- * A service falls under its availability budget: one of its tasks is ended for
- * upkeep while another is away, for whatever cause.
+ * Guards against a service below its availability budget: one of its tasks is
+ * stopped for upkeep while another is unavailable for any reason.
  */
-static void work_that_lasts_keeps_its_budget(void **state)
+static void long_running_work_keeps_its_budget(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 3, .cpu = 1000, .may_miss = 1, .flags = JTB_LASTS};
 	const struct jtb_part *part;
 	struct jtb_run *run;
 	uint32_t i;
 
-	jobs_job(b->jtb, "l", &s, 1, JOBS_WALL_MS);
+	jobs_job(f->jtb, "l", &s, 1, JOBS_WALL_MS);
 	for (i = 0; i < 3; i++)
-		jobs_start(b->jtb, "l", 0, i, 1, "w1");
-	part = &jtb_job(b->jtb, "l")->turns[0].parts[0];
+		jobs_start(f->jtb, "l", 0, i, 1, "w1");
+	part = &jtb_job(f->jtb, "l")->turns[0].parts[0];
 	run = part->tasks[0].run;
-	/* the others have begun and aren't at work yet */
-	assert_false(upk_may_stop(b->upk, run));
+	/* the other tasks have begun and are not ready yet */
+	assert_false(upk_may_stop(f->upk, run));
 	for (i = 0; i < 3; i++)
 		part->tasks[i].run->percent = 100;
-	assert_true(upk_may_stop(b->upk, run));
+	assert_true(upk_may_stop(f->upk, run));
 	part->tasks[1].run->stop = true;
-	assert_false(upk_may_stop(b->upk, run));
+	assert_false(upk_may_stop(f->upk, run));
 	part->tasks[1].run->stop = false;
-	b->unreached = true;
-	assert_false(upk_may_stop(b->upk, run));
-	b->unreached = false;
-	jobs_end(b->jtb, "l", 0, 2, 1, "w1", JTB_LOST);
-	assert_false(upk_may_stop(b->upk, run));
+	f->unreached = true;
+	assert_false(upk_may_stop(f->upk, run));
+	f->unreached = false;
+	jobs_end(f->jtb, "l", 0, 2, 1, "w1", JTB_LOST);
+	assert_false(upk_may_stop(f->upk, run));
 }
 
 /*
- * Work that lasts is without a run for good, and the wave stands still. A wave
- * that is late closes all workers of a pool. A run on each of two has failed
- * meanwhile and can't begin anywhere; so the other run of each step may not be
- * stopped, and neither worker is ever empty.
+ * Guards against a wave that closes all workers of a pool and stalls: a run on
+ * each of two workers has failed and cannot start anywhere, so the other run of
+ * each step may not be stopped and neither worker is ever drained.
  */
-static void a_pool_is_not_closed_for_good(void **state)
+static void pool_is_not_closed_permanently(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 2, .cpu = 1000, .may_miss = 1, .flags = JTB_LASTS};
 	bool open = false;
 	int i;
 
-	vm_add(b, "vm2", "w2");
-	jobs_job(b->jtb, "a", &s, 1, JOBS_WALL_MS);
-	jobs_job(b->jtb, "b", &s, 1, JOBS_WALL_MS);
-	jobs_start(b->jtb, "a", 0, 0, 1, "w1");
-	jobs_start(b->jtb, "b", 0, 1, 1, "w2");
-	wave(b, 2, 1000);
+	vm_add(f, "vm2", "w2");
+	jobs_job(f->jtb, "a", &s, 1, JOBS_WALL_MS);
+	jobs_job(f->jtb, "b", &s, 1, JOBS_WALL_MS);
+	jobs_start(f->jtb, "a", 0, 0, 1, "w1");
+	jobs_start(f->jtb, "b", 0, 1, 1, "w2");
+	add_wave(f, 2, 1000);
 	for (i = 0; i < 100 && !open; i++) {
-		tick(b);
-		open = !closed(b, "w1") || !closed(b, "w2");
+		tick(f);
+		open = !is_closed(f, "w1") || !is_closed(f, "w2");
 	}
 	assert_true(open);
-	assert_int_equal(b->stops, 0);
-	assert_int_equal(b->orders, 0);
+	assert_int_equal(f->stops, 0);
+	assert_int_equal(f->orders, 0);
 }
 
 #define T(fn) cmocka_unit_test_setup_teardown(fn, setup, teardown)
@@ -765,27 +768,27 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		T(a_vm_is_emptied_before_its_upkeep),
-		T(upkeep_is_over_once_a_later_list_shows_it),
-		T(a_late_wave_keeps_its_bound),
-		T(a_vm_that_is_done_frees_its_place),
-		T(a_vm_that_is_gone_isnt_ordered_again),
-		T(the_last_vm_of_a_wave_is_let_go),
-		T(a_wave_in_time_keeps_its_bound),
-		T(what_nobody_misses_goes_at_once),
-		T(a_later_leader_has_taken_it_over),
-		T(a_vm_not_listed_for_a_moment_isnt_gone),
-		T(a_vm_that_an_earlier_leader_ordered_gets_no_work),
-		T(another_lifetime_is_emptied_anew),
-		T(another_lifetime_after_the_order_is_emptied),
-		T(two_waves_share_no_vm),
-		T(a_bad_image_takes_no_more_than_at_once),
-		T(a_cut_is_waited_for),
-		T(a_failure_while_emptying_gives_back),
-		T(what_cant_be_emptied_isnt_closed),
-		T(a_vm_on_its_way_is_waited_for),
-		T(work_that_lasts_keeps_its_budget),
-		T(a_pool_is_not_closed_for_good),
+		T(vm_is_drained_before_upkeep),
+		T(upkeep_is_done_when_a_later_list_has_it),
+		T(late_wave_keeps_its_limit),
+		T(done_vm_lets_the_wave_advance),
+		T(removed_vm_is_not_ordered_again),
+		T(last_vm_of_a_wave_is_released),
+		T(wave_in_time_keeps_its_limit),
+		T(spare_vms_are_done_at_once),
+		T(fenced_order_is_not_repeated),
+		T(briefly_unlisted_vm_is_not_removed),
+		T(vm_ordered_by_former_leader_gets_no_work),
+		T(new_worker_before_the_order_is_drained),
+		T(new_worker_after_the_order_is_drained),
+		T(two_waves_with_the_same_vms),
+		T(bad_image_costs_no_more_than_at_once),
+		T(partition_pauses_the_wave),
+		T(failure_while_draining_returns_the_vm),
+		T(vm_that_cannot_be_drained_stays_open),
+		T(moving_vm_is_not_ordered),
+		T(long_running_work_keeps_its_budget),
+		T(pool_is_not_closed_permanently),
 	};
 
 	return cmocka_run_group_tests_name("upk", tests, NULL, NULL);
