--- a/src/flo.c
+++ b/src/flo.c
@@ -2,25 +2,28 @@
 
 static void flo_move_free(gpointer p);
 static void flo_pool_free(gpointer p);
-static void flo_spread(struct flo *f, int64_t now);
-static void flo_go_on(struct flo *f, int64_t now);
-static void flo_go_on_move(struct flo *f, struct flo_move *m, int64_t now);
-static void flo_another_came(struct flo_move *m, const struct vms_vm *vm,
-			     int64_t now);
-static bool flo_empty(struct flo *f, struct flo_move *m, int64_t now);
-static void flo_fill(struct flo *f, int64_t now);
-static bool flo_needs(const struct flo *f, const struct flo_pool *p);
-static struct flo_pool *flo_neediest(const struct flo *f);
-static bool flo_give(struct flo *f, struct flo_pool *to, int64_t now);
-static struct flo_move *flo_begin(struct flo *f, const struct vms_vm *vm,
-				  struct flo_pool *from, struct flo_pool *to,
-				  int64_t now);
-static bool flo_makes_way(const struct flo *f, const struct flo_move *m,
-			  const struct jtb_run *run, int64_t now);
-static struct flo_pool *flo_giver(const struct flo *f,
-				  const struct flo_pool *to);
-
-/* Pools of jtb's configuration over the VMs of vms; both must outlive it. */
+static void flo_switch_off_idle(struct flo *f, int64_t now);
+static void flo_advance_moves(struct flo *f, int64_t now);
+static void flo_advance_move(struct flo *f, struct flo_move *m, int64_t now);
+static void flo_handle_worker_change(struct flo_move *m,
+				     const struct vms_vm *vm, int64_t now);
+static bool flo_drain(struct flo *f, struct flo_move *m, int64_t now);
+static void flo_supply_pools(struct flo *f, int64_t now);
+static bool flo_is_short(const struct flo *f, const struct flo_pool *p);
+static struct flo_pool *flo_find_neediest(const struct flo *f);
+static bool flo_supply_pool(struct flo *f, struct flo_pool *to, int64_t now);
+static struct flo_move *flo_start_move(struct flo *f, const struct vms_vm *vm,
+				       struct flo_pool *from,
+				       struct flo_pool *to, int64_t now);
+static bool flo_is_preemptible(const struct flo *f, const struct flo_move *m,
+			       const struct jtb_run *run, int64_t now);
+static struct flo_pool *flo_find_donor(const struct flo *f,
+				       const struct flo_pool *to);
+
+/*
+ * Creates the autoscaler for the pools of jtb's configuration and the VMs in
+ * vms; both must outlive it. The ops are called with arg.
+ */
 struct flo *flo_new(struct jtb *jtb, const struct vms *vms,
 		    const struct flo_ops *ops, void *arg)
 {
@@ -36,7 +39,7 @@
 	return f;
 }
 
-/* Frees it. */
+/* Frees the autoscaler; NULL is allowed. */
 void flo_free(struct flo *f)
 {
 	if (!f)
@@ -48,8 +51,9 @@
 }
 
 /*
- * A new leader knows of no moves; the list shows those that were agreed. What
- * it saw of rates when it last led is long over.
+ * Resets the autoscaler when this replica becomes leader. Moves are dropped,
+ * since the VM list shows those that were accepted; rates from an earlier
+ * leadership are outdated.
  */
 void flo_lead(struct flo *f)
 {
@@ -67,58 +71,64 @@
 	}
 }
 
-/* Looks at all pools and goes on with all moves. */
+/*
+ * Measures all pools, starts moves and advances those in progress. Does nothing
+ * before the first VM list.
+ */
 void flo_tick(struct flo *f, int64_t now_ms, int64_t wall_ms)
 {
 	if (!vms_listed_ms(f->vms))
 		return;
-	flo_go_on(f, now_ms);
-	flo_measure(f, now_ms, wall_ms);
-	flo_rank(f);
-	flo_fill(f, now_ms);
-	flo_spread(f, now_ms);
-	/* what is empty already is ordered in this tick */
-	flo_go_on(f, now_ms);
+	flo_advance_moves(f, now_ms);
+	flo_measure_pools(f, now_ms, wall_ms);
+	flo_rank_candidates(f);
+	flo_supply_pools(f, now_ms);
+	flo_switch_off_idle(f, now_ms);
+	/* VMs that are already empty are ordered in this tick. */
+	flo_advance_moves(f, now_ms);
 	f->ticked_ms = now_ms;
 }
 
-/* Work that lasts found no room in a pool. */
+/* Records that long-running work found too little free capacity in a pool. */
 void flo_starved(struct flo *f, const char *pool, int64_t now_ms)
 {
-	flo_pool_at(f, pool)->starved_ms = now_ms;
+	flo_get_pool(f, pool)->unschedulable_ms = now_ms;
 }
 
-/* The service answered an order. */
+/* Processes the platform's answer to the move order for a VM. */
 void flo_answered(struct flo *f, const char *vm, enum vms_answer answer,
 		  int64_t now_ms)
 {
-	struct flo_move *m = flo_move_of(f, vm);
+	struct flo_move *m = flo_find_move(f, vm);
 
-	if (!m || m->agreed_ms)
+	if (!m || m->accepted_ms)
 		return;
 	if (answer == VMS_YES)
-		m->agreed_ms = now_ms;
+		m->accepted_ms = now_ms;
 	else if (answer != VMS_UNANSWERED && answer != VMS_SLOW_DOWN)
-		m->over = true;
+		m->finished = true;
 }
 
-/* The lifetime on a VM that was ordered away; NULL: it wasn't. */
+/*
+ * Returns the id of the worker that the move order of a VM ends, or NULL if no
+ * move of that VM was ordered.
+ */
 const char *flo_worker(const struct flo *f, const char *vm)
 {
-	const struct flo_move *m = flo_move_of(f, vm);
+	const struct flo_move *m = flo_find_move(f, vm);
 
 	return m && m->ordered_ms ? m->worker : NULL;
 }
 
-/* Whether a VM is on its way to another pool. */
+/* Whether a VM is being drained for a move or moved. */
 bool flo_holds(const struct flo *f, const char *vm)
 {
-	return flo_move_of(f, vm) != NULL;
+	return flo_find_move(f, vm) != NULL;
 }
 
 /*
- * Whether a VM could be away for a while without harm: it is switched off, or
- * nothing runs on it and its pool has room to spare; and no pool is in need.
+ * Whether a VM can be down for a while without harm: no pool is short of VMs,
+ * and the VM is switched off or is idle in a pool with spare capacity.
  */
 bool flo_spared(const struct flo *f, const char *name)
 {
@@ -126,18 +136,18 @@
 	const struct flo_pool *p = vm ? flo_pool(f, vm->pool) : NULL;
 	const struct jtb_worker *w;
 
-	if (!p || flo_neediest(f))
+	if (!p || flo_find_neediest(f))
 		return false;
 	if (p->standby)
 		return true;
 	w = jtb_worker(f->jtb, vm->worker);
-	return w && !w->runs->len && p->vms > flo_least_vms(p) &&
-	       p->cores - vm->cpu / 1000.0 >= p->load * FLO_SPARE;
+	return w && !w->runs->len && p->vms > flo_min_vms(p) &&
+	       p->cores - vm->cpu / 1000.0 >= p->load * FLO_SPARE_FACTOR;
 }
 
 /*
- * Adds the ids of workers that get nothing new since they are being emptied to
- * a set, which borrows them until flo is told or looks at anything again.
+ * Adds the ids of workers that get no new work because their VMs are to be
+ * moved. The set borrows the strings until the autoscaler is called again.
  */
 void flo_closed(const struct flo *f, GHashTable *ids)
 {
@@ -146,24 +156,24 @@
 	for (i = 0; i < f->moves->len; i++) {
 		const struct flo_move *m = g_ptr_array_index(f->moves, i);
 
-		if (!m->over)
+		if (!m->finished)
 			g_hash_table_add(ids, m->worker);
 	}
 }
 
-/* VMs on their way. */
+/* Returns the number of moves in progress. */
 guint flo_moving(const struct flo *f)
 {
 	return f->moves->len;
 }
 
-/* All pools, struct flo_pool, as last seen. */
+/* Returns all pools, struct flo_pool, as last measured. */
 GPtrArray *flo_pools(const struct flo *f)
 {
 	return f->pools;
 }
 
-/* What was seen of a pool, or NULL. */
+/* Returns the last measurements of a pool, or NULL. */
 const struct flo_pool *flo_pool(const struct flo *f, const char *name)
 {
 	guint i;
@@ -189,24 +199,24 @@
 	g_free(m);
 }
 
-/* Frees what is known of a pool. */
+/* Frees a pool's measurements. */
 static void flo_pool_free(gpointer p)
 {
 	struct flo_pool *pool = p;
 
 	g_free(pool->name);
-	g_array_free(pool->picks, TRUE);
+	g_array_free(pool->candidates, TRUE);
 	g_free(pool);
 }
 
-/* The move that a VM is on, or NULL. */
-struct flo_move *flo_move_of(const struct flo *f, const char *vm)
+/* Returns the move of a VM, or NULL. */
+struct flo_move *flo_find_move(const struct flo *f, const char *vm)
 {
 	return g_hash_table_lookup(f->by_vm, vm);
 }
 
-/* What is known of a pool, begun here if it is new. */
-struct flo_pool *flo_pool_at(struct flo *f, const char *name)
+/* Returns a pool, added if it is new. */
+struct flo_pool *flo_get_pool(struct flo *f, const char *name)
 {
 	struct flo_pool *p = (struct flo_pool *)flo_pool(f, name);
 
@@ -214,163 +224,182 @@
 		return p;
 	p = g_new0(struct flo_pool, 1);
 	p->name = g_strdup(name);
-	p->picks = g_array_new(FALSE, FALSE, sizeof(struct flo_pick));
+	p->candidates = g_array_new(FALSE, FALSE, sizeof(struct flo_candidate));
 	g_ptr_array_add(f->pools, p);
 	return p;
 }
 
-/* VMs that nobody has needed for a while are switched off. */
-static void flo_spread(struct flo *f, int64_t now)
+/*
+ * Starts to switch off VMs of pools that have had excess capacity for
+ * FLO_IDLE_MS.
+ */
+static void flo_switch_off_idle(struct flo *f, int64_t now)
 {
-	struct flo_pool *off = NULL;
+	struct flo_pool *standby = NULL;
 	guint i;
 
 	for (i = 0; i < f->pools->len; i++) {
 		struct flo_pool *p = g_ptr_array_index(f->pools, i);
 
 		if (p->standby)
-			off = p;
+			standby = p;
 	}
-	for (i = 0; off && i < f->pools->len; i++) {
+	for (i = 0; standby && i < f->pools->len; i++) {
 		struct flo_pool *p = g_ptr_array_index(f->pools, i);
 		const struct vms_vm *vm;
 
 		if (p->standby || !p->spare_ms ||
 		    now - p->spare_ms < FLO_IDLE_MS)
 			continue;
-		while (p->vms > flo_least_vms(p) &&
+		while (p->vms > flo_min_vms(p) &&
 		       p->cores * (p->vms - 1) / p->vms >
-			       MAX(p->load * FLO_SPARE, flo_least(p)) &&
-		       (vm = flo_choose(p)))
-			flo_begin(f, vm, p, off, now);
+			       MAX(p->load * FLO_SPARE_FACTOR,
+				   flo_min_cores(p)) &&
+		       (vm = flo_best_candidate(p)))
+			flo_start_move(f, vm, p, standby, now);
 	}
 }
 
-/* Takes each move one step further. */
-static void flo_go_on(struct flo *f, int64_t now)
+/* Advances all moves and removes those that are finished. */
+static void flo_advance_moves(struct flo *f, int64_t now)
 {
 	guint i;
 
 	for (i = f->moves->len; i > 0; i--) {
 		struct flo_move *m = g_ptr_array_index(f->moves, i - 1);
 
-		flo_go_on_move(f, m, now);
-		if (!m->over)
+		flo_advance_move(f, m, now);
+		if (!m->finished)
 			continue;
 		g_hash_table_remove(f->by_vm, m->vm);
 		g_ptr_array_remove_index_fast(f->moves, i - 1);
 	}
 }
 
-/* Orders a move once its VM is empty; gives up what lasts too long. */
-static void flo_go_on_move(struct flo *f, struct flo_move *m, int64_t now)
+/*
+ * Advances a move: orders it once its VM is empty, and finishes it when it is
+ * done or has taken too long.
+ */
+static void flo_advance_move(struct flo *f, struct flo_move *m, int64_t now)
 {
 	const struct vms_vm *vm = vms_find(f->vms, m->vm);
 
 	if (!vm) {
-		m->over = true;
+		m->finished = true;
 		return;
 	}
-	if (!m->agreed_ms && strcmp(vm->worker, m->worker) != 0)
-		flo_another_came(m, vm, now);
-	if (m->over)
+	if (!m->accepted_ms && strcmp(vm->worker, m->worker) != 0)
+		flo_handle_worker_change(m, vm, now);
+	if (m->finished)
 		return;
-	if (m->agreed_ms) {
+	if (m->accepted_ms) {
 		if (vm->state == VMS_UP && strcmp(vm->pool, m->to) == 0)
-			m->over = true;
-		if (now - m->agreed_ms > FLO_LISTED_MS)
-			m->over = true;
+			m->finished = true;
+		if (now - m->accepted_ms > FLO_LIST_TIMEOUT_MS)
+			m->finished = true;
 		return;
 	}
-	if (!m->ordered_ms && !flo_empty(f, m, now))
+	if (!m->ordered_ms && !flo_drain(f, m, now))
 		return;
 	if (m->ordered_ms && now - m->from_ms > FLO_GIVE_UP_MS) {
-		m->over = true;
+		m->finished = true;
 		return;
 	}
-	if (!m->ordered_ms || now - m->ordered_ms > FLO_AGAIN_MS) {
+	if (!m->ordered_ms || now - m->ordered_ms > FLO_RETRY_MS) {
 		m->ordered_ms = now;
 		f->ops->order(f->arg, m->vm, m->to);
 	}
 }
 
 /*
- * The lifetime that was emptied is over before we heard that the move is done.
- * It is, if the list says so: until it is through the old worker gets nothing,
- * as before. Else the VM failed by itself, and another worker may have got work.
+ * Handles a change of the worker on a VM before its order was accepted. If the
+ * list has the VM as moving or in its new pool, the move was carried out and
+ * its answer was lost: it counts as accepted, and the old worker stays closed
+ * until the move is done. Otherwise the VM failed by itself and its new worker
+ * may have got work: the move is abandoned.
  */
-static void flo_another_came(struct flo_move *m, const struct vms_vm *vm,
-			     int64_t now)
+static void flo_handle_worker_change(struct flo_move *m,
+				     const struct vms_vm *vm, int64_t now)
 {
 	if (m->ordered_ms &&
 	    (vm->state == VMS_MOVING || strcmp(vm->pool, m->to) == 0))
-		m->agreed_ms = now;
+		m->accepted_ms = now;
 	else
-		m->over = true;
+		m->finished = true;
 }
 
-/* Whether nothing runs on a VM any more; it is given up if that lasts. */
-static bool flo_empty(struct flo *f, struct flo_move *m, int64_t now)
+/*
+ * Whether a VM is empty. Stops runs that may be stopped; abandons the move
+ * after FLO_DRAIN_TIMEOUT_MS.
+ */
+static bool flo_drain(struct flo *f, struct flo_move *m, int64_t now)
 {
 	struct jtb_worker *w = jtb_worker(f->jtb, m->worker);
 	guint i;
 
 	if (!w || !w->runs->len)
 		return !w || (w->plan_cpu == 0 && w->plan_mem == 0);
-	if (now - m->from_ms > FLO_PATIENCE_MS) {
-		m->over = true;
+	if (now - m->from_ms > FLO_DRAIN_TIMEOUT_MS) {
+		m->finished = true;
 		return false;
 	}
 	for (i = 0; i < w->runs->len; i++) {
 		struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-		if (!jtb_leaves(run) && flo_makes_way(f, m, run, now))
+		if (!jtb_leaves(run) && flo_is_preemptible(f, m, run, now))
 			f->ops->stop(f->arg, run, "its VM is needed elsewhere");
 	}
 	return false;
 }
 
 /*
- * Whether a run is stopped so that its VM can go. What saves its progress
- * loses none by it and goes on elsewhere; a gang would lose all its members.
+ * Whether a run may be stopped so that its VM can be moved. A run that saves
+ * its progress loses none and continues elsewhere; a gang would lose all its
+ * members.
  */
-static bool flo_makes_way(const struct flo *f, const struct flo_move *m,
-			  const struct jtb_run *run, int64_t now)
+static bool flo_is_preemptible(const struct flo *f, const struct flo_move *m,
+			       const struct jtb_run *run, int64_t now)
 {
 	uint32_t flags = run->job->spec.steps[run->step].flags;
 
 	if (flags & JTB_LASTS)
 		return f->ops->may_stop(f->arg, run);
 	return m->urgent && flags & JTB_SAVES && !(flags & JTB_GANG) &&
-	       flo_left_ms(run, now) > FLO_STOP_MS;
+	       flo_estimate_remaining_ms(run, now) > FLO_STOP_COST_MS;
 }
 
-/* Gives VMs to the pools that need them most, as far as there are some. */
-static void flo_fill(struct flo *f, int64_t now)
+/*
+ * Moves VMs to the pools that are short of them, the neediest first, until no
+ * VM is available.
+ */
+static void flo_supply_pools(struct flo *f, int64_t now)
 {
 	struct flo_pool *p;
 
-	while ((p = flo_neediest(f)))
-		if (!flo_give(f, p, now))
+	while ((p = flo_find_neediest(f)))
+		if (!flo_supply_pool(f, p, now))
 			break;
 }
 
-/* Whether a pool has less room than it should have. */
-static bool flo_needs(const struct flo *f, const struct flo_pool *p)
+/* Whether a pool has too few VMs. */
+static bool flo_is_short(const struct flo *f, const struct flo_pool *p)
 {
-	if (p->load * FLO_ROOM > p->cores)
+	if (p->load * FLO_TARGET_FACTOR > p->cores)
 		return true;
-	if (p->apart && p->vms <= p->apart)
+	if (p->vms_at_once && p->vms <= p->vms_at_once)
 		return true;
-	/* also work that counts nothing is owed, and runs on one VM at last */
+	/* Work of weight 0 must run as well, and needs one VM for that. */
 	if (p->due && !p->vms)
 		return true;
-	return !p->coming && p->starved_ms &&
-	       f->ticked_ms - p->starved_ms < FLO_STARVED_MS;
+	return !p->coming && p->unschedulable_ms &&
+	       f->ticked_ms - p->unschedulable_ms < FLO_UNSCHEDULABLE_MS;
 }
 
-/* The pool with the least room for its load, if it has too little. */
-static struct flo_pool *flo_neediest(const struct flo *f)
+/*
+ * Returns the pool with the highest ratio of load to cores among those that are
+ * short, or NULL.
+ */
+static struct flo_pool *flo_find_neediest(const struct flo *f)
 {
 	struct flo_pool *best = NULL;
 	guint i;
@@ -378,7 +407,7 @@
 	for (i = 0; i < f->pools->len; i++) {
 		struct flo_pool *p = g_ptr_array_index(f->pools, i);
 
-		if (p->standby || !flo_needs(f, p))
+		if (p->standby || !flo_is_short(f, p))
 			continue;
 		if (!best || p->load * best->cores > best->load * p->cores)
 			best = p;
@@ -386,22 +415,22 @@
 	return best;
 }
 
-/* Begins to move one VM to a pool; false: none can be spared. */
-static bool flo_give(struct flo *f, struct flo_pool *to, int64_t now)
+/* Starts to move one VM to a pool; returns false if no pool can give one up. */
+static bool flo_supply_pool(struct flo *f, struct flo_pool *to, int64_t now)
 {
-	struct flo_pool *from = flo_giver(f, to);
-	const struct vms_vm *vm = from ? flo_choose(from) : NULL;
+	struct flo_pool *from = flo_find_donor(f, to);
+	const struct vms_vm *vm = from ? flo_best_candidate(from) : NULL;
 
 	if (!vm)
 		return false;
-	flo_begin(f, vm, from, to, now)->urgent = true;
+	flo_start_move(f, vm, from, to, now)->urgent = true;
 	return true;
 }
 
-/* Begins to empty a VM, to be moved from one pool to another. */
-static struct flo_move *flo_begin(struct flo *f, const struct vms_vm *vm,
-				  struct flo_pool *from, struct flo_pool *to,
-				  int64_t now)
+/* Starts to drain a VM for a move from one pool to another. */
+static struct flo_move *flo_start_move(struct flo *f, const struct vms_vm *vm,
+				       struct flo_pool *from,
+				       struct flo_pool *to, int64_t now)
 {
 	struct flo_move *m = g_new0(struct flo_move, 1);
 
@@ -412,7 +441,7 @@
 	m->from_ms = now;
 	g_ptr_array_add(f->moves, m);
 	g_hash_table_insert(f->by_vm, m->vm, m);
-	g_array_set_size(from->picks, from->picks->len - 1);
+	g_array_set_size(from->candidates, from->candidates->len - 1);
 	from->cores -= vm->cpu / 1000.0;
 	from->vms--;
 	from->going++;
@@ -423,26 +452,26 @@
 }
 
 /*
- * VMs that are switched off go first. Then those of pools with room to spare,
- * the last to have been busy before the others: where load goes round, it is
- * the last to be busy again.
+ * Returns the pool that gives up a VM, or NULL. Standby pools come first, then
+ * pools with excess capacity, the most recently busy first: where load rotates
+ * among the pools, that one is the last to be busy again.
  */
-static struct flo_pool *flo_giver(const struct flo *f,
-				  const struct flo_pool *to)
+static struct flo_pool *flo_find_donor(const struct flo *f,
+				       const struct flo_pool *to)
 {
 	struct flo_pool *best = NULL;
 	guint i;
 
 	for (i = 0; i < f->pools->len; i++) {
 		struct flo_pool *p = g_ptr_array_index(f->pools, i);
-		double one = p->vms ? p->cores / p->vms : 0;
+		double per_vm = p->vms ? p->cores / p->vms : 0;
 
-		if (p == to || !p->vms || !flo_choose(p))
+		if (p == to || !p->vms || !flo_best_candidate(p))
 			continue;
 		if (p->standby)
 			return p;
-		if (p->vms <= flo_least_vms(p) ||
-		    p->cores - one < p->load * FLO_SPARE)
+		if (p->vms <= flo_min_vms(p) ||
+		    p->cores - per_vm < p->load * FLO_SPARE_FACTOR)
 			continue;
 		if (!best || p->busy_ms > best->busy_ms)
 			best = p;
--- a/src/flo.h
+++ b/src/flo.h
@@ -1,6 +1,7 @@
 #ifndef FLO_H
 #define FLO_H
 
+/* Autoscaler for worker pools: moves VMs between pools to follow the load. */
 #include <stdbool.h>
 #include <stdint.h>
 
@@ -8,44 +9,52 @@
 #include "vms.h"
 
 /*
- * How many VMs each pool has: VMs follow the load from pool to pool, and those
- * that nobody needs are switched off. Decides on the job table and the list of
- * VMs, without input or output.
+ * Autoscaler: decides how many VMs each pool has. It moves VMs to the pools
+ * whose load needs them and switches off VMs that no pool needs. It reads the
+ * job table and the VM list and does no input or output itself.
  */
 struct flo;
 
 struct flo_ops {
-	/* the VM is to go to another pool; told again until answered */
+	/*
+	 * Orders the move of a VM to another pool; called again until the order
+	 * is answered.
+	 */
 	void (*order)(void *arg, const char *vm, const char *pool);
-	/* a run must end, to begin elsewhere */
+	/* Stops a run, which is started again elsewhere. */
 	void (*stop)(void *arg, struct jtb_run *run, const char *why);
-	/* whether ending a run leaves enough of its step */
+	/* Whether a run may be stopped within the budget of its step. */
 	bool (*may_stop)(void *arg, const struct jtb_run *run);
-	/* whether a VM must stay where it is */
+	/* Whether a VM must not be moved. */
 	bool (*held)(void *arg, const char *vm);
 };
 
-/* What became clear of a pool in the last tick, for logs and tests. */
+/* Measurements of a pool from the last tick, for decisions, logs and tests. */
 struct flo_pool {
 	char *name;
 	bool standby;
-	double cores; /* of its workers, and of VMs on their way to it */
-	double mem_mb; /* of the same */
-	double used; /* of cores, by runs and starts on their way */
-	double load; /* cores it could use, and will until VMs come */
-	double lasting; /* of these, by work that lasts */
-	double rate; /* cores that jobs ask for as they come, moving mean */
-	double rate_slow; /* as rate, over a longer time */
-	double rate_jobs; /* how many of them it is the mean of */
-	double chain_ms; /* longest chain of jobs that came, moving mean */
-	bool grows; /* more comes than did a moment ago */
-	int64_t starved_ms; /* when work that lasts last found no room */
-	int64_t spare_ms; /* it has had too much room since; 0: it hasn't */
-	int64_t busy_ms; /* when its load was last near its room; 0: never */
-	guint jobs; /* live */
-	guint due; /* of these, with tasks that could run */
-	guint apart; /* VMs that one of its steps needs at once */
-	GArray *picks; /* struct flo_pick of this tick; the last goes first */
+	double cores; /* cores of its VMs and of VMs being moved to it */
+	double mem_mb; /* memory of the same VMs, MB */
+	double used; /* cores in use by runs and pending starts */
+	double load; /* cores it can use now and until a fetched VM arrives */
+	double long_running; /* part of load due to long-running work */
+	double rate; /* cores requested by new jobs, moving mean */
+	double rate_slow; /* the same over a longer time */
+	double rate_jobs; /* number of jobs in that mean */
+	/* moving mean of the new jobs' longest chain of steps, ms */
+	double chain_ms;
+	bool growing; /* the rate of new jobs is growing */
+	/* when long-running work last found too little free capacity */
+	int64_t unschedulable_ms;
+	/* since when it has excess capacity; 0: it has none */
+	int64_t spare_ms;
+	/* when its load was last near its capacity; 0: never */
+	int64_t busy_ms;
+	guint jobs; /* live jobs */
+	guint due; /* live jobs with tasks that could run now */
+	guint vms_at_once; /* most VMs that one of its steps needs at once */
+	/* struct flo_candidate of this tick, the cheapest last */
+	GArray *candidates;
 	guint vms;
 	guint coming;
 	guint going;
--- a/src/flo_int.h
+++ b/src/flo_int.h
@@ -6,83 +6,96 @@
 #include "sch.h"
 
 /*
- * Files, each using only those before it: flo_rate (what comes), flo_load (what
- * pools have and need), flo_pick (which VM is missed least), flo (moves).
+ * Internals of the autoscaler, shared by its files. Each file uses only those
+ * before it: flo_rate (rate of new jobs), flo_load (capacity and load of
+ * pools), flo_pick (ranking of VMs by the cost of moving them), flo (moves).
  */
 
-/* From the decision to fetch a VM until work runs on it: mostly the move, ms. */
+/*
+ * Time from the decision to fetch a VM until work runs on it, mostly the move
+ * itself, ms.
+ */
 #define FLO_FETCH_MS 1800.0
-/* A pool whose load is over this share of its room is busy. */
-#define FLO_BUSY 0.75
-/* A giver keeps this much more room than it has load. */
-#define FLO_SPARE 1.5
+/* A pool is busy if its load exceeds this share of its cores. */
+#define FLO_BUSY_SHARE 0.75
+/* A pool that gives up VMs keeps at least its load times this in cores. */
+#define FLO_SPARE_FACTOR 1.5
 /*
- * A pool is given this much more room than it has load: a VM that idles costs
- * far less than work that is late for want of it.
+ * A pool is given VMs until it has its load times this in cores: an idle VM
+ * costs far less than work that is late for want of one.
  */
-#define FLO_ROOM 1.25
-/* Time over which the jobs that come are averaged, ms. */
+#define FLO_TARGET_FACTOR 1.25
+/* Time constant of the mean rate of new jobs, ms. */
 #define FLO_RATE_MS 500
-/* And over which they are, to see whether they grow. */
+/* Time constant of the slow mean, which shows whether the rate grows, ms. */
 #define FLO_RATE_SLOW_MS 1500
 /*
- * How far ahead of a growing rate VMs are asked for, times the difference of
- * the two means: they lag by half a second and by two, and the rate is wanted
- * as it will be when a VM has come.
+ * Factor of the difference of the two means by which a growing rate is
+ * extrapolated: the means lag by half a second and by two, and the rate is
+ * needed for the time when a fetched VM has arrived.
  */
-#define FLO_AHEAD ((FLO_FETCH_MS + FLO_RATE_MS) / FLO_RATE_SLOW_MS)
-/* Share of one more job in the mean of their chains. */
+#define FLO_TREND_FACTOR ((FLO_FETCH_MS + FLO_RATE_MS) / FLO_RATE_SLOW_MS)
+/* Weight of one more job in the mean of the longest chains. */
 #define FLO_CHAIN_SHARE 0.1
 /*
- * Jobs in that time by which half of the rate is believed: one large job alone
- * must not fetch VMs for a stream of its like. Up to so many, no rate grows: a
- * job now and then in between two bursts kept all VMs of the last one.
+ * Number of jobs within FLO_RATE_MS at which half of the rate counts: a single
+ * large job must not fetch VMs for a stream of such jobs. Up to this number no
+ * rate counts as growing: otherwise an occasional job between two bursts kept
+ * all VMs of the last one.
  */
-#define FLO_RATE_JOBS 2
+#define FLO_RATE_MIN_JOBS 2
 /*
- * Share of its room that work counts for which will be late whatever is done:
- * its callers have little use of it any more, and it would hold the VMs that the
- * next burst's first jobs need to be in time.
+ * Weight of work that will be late whatever is done: it is of little use to its
+ * callers any more, and at full weight it would occupy the VMs that the first
+ * jobs of the next burst need to be in time.
  */
-#define FLO_LATE 0.4
+#define FLO_LATE_WEIGHT 0.4
 /*
- * More comes if the rate is so many times that of a moment ago: then no VM is
- * taken for idle, as bursts begin slowly and a VM taken is away for 3 s.
+ * The rate grows if it exceeds its slow mean times this. No VM of a growing
+ * pool counts as idle, as bursts begin slowly and a VM that is moved is
+ * unavailable for 3 s.
  */
-#define FLO_GROWS 1.3
+#define FLO_GROWTH_FACTOR 1.3
 /*
- * A VM that its pool hasn't needed for so long is taken away, ms. A move costs
- * as much as 1.2 s of a VM, and bursts of one pool are far apart.
+ * A pool gives up VMs that it has not needed for this long, ms. A move costs as
+ * much as 1.2 s of a VM, and the bursts of one pool are far apart.
  */
 #define FLO_IDLE_MS 800
-/* VMs a pool keeps: enough to begin on a burst while others come. */
-#define FLO_LEAST 3
-/* A VM whose work isn't done by then stays where it is, ms. */
-#define FLO_PATIENCE_MS 1800
 /*
- * Work that saves its progress makes way for a burst if it would go on for
- * longer than it takes to stop it and to learn so, ms.
+ * VMs that a pool keeps at least: enough to begin on a burst while others are
+ * fetched.
+ */
+#define FLO_MIN_VMS 3
+/* A VM that is not drained by then stays in its pool, ms. */
+#define FLO_DRAIN_TIMEOUT_MS 1800
+/*
+ * A run that saves its progress is stopped for a burst if it would otherwise go
+ * on for longer than it takes to stop it and to receive the report of that, ms.
+ */
+#define FLO_STOP_COST_MS 400
+/*
+ * Progress from which the remaining time of a run is estimated by its own pace
+ * instead of its caller's estimate, percent.
  */
-#define FLO_STOP_MS 400
-/* Progress from which a run's own pace is believed before its guess, percent. */
-#define FLO_TOLD_PERCENT 10
-/* An order without a good answer is given again after so long, ms. */
-#define FLO_AGAIN_MS 700
-/* And given up after so long, unless it was agreed to. */
+#define FLO_MIN_PROGRESS_PERCENT 10
+/* An order that was not accepted is sent again after this time, ms. */
+#define FLO_RETRY_MS 700
+/* A move is abandoned after this time unless its order was accepted, ms. */
 #define FLO_GIVE_UP_MS 5000
-/* Memory for each core where a pool has no VM to tell, MB. */
-#define FLO_CORE_MB 4096.0
+/* Memory for each core in a pool that has no VM to measure it by, MB. */
+#define FLO_DEFAULT_CORE_MB 4096.0
 /*
- * A pool in which work that lasts found no room within this is given one more
- * VM at a time, ms: tasks of odd sizes may leave no gap that is large enough.
+ * A pool in which long-running work found too little free capacity within this
+ * time is given one more VM at a time, ms: tasks of differing sizes may leave
+ * no gap that is large enough.
  */
-#define FLO_STARVED_MS 500
-/* A worker kept free for work that lasts is left alone for so long, ms. */
-#define FLO_KEPT_MS 1000
-/* An agreed move that isn't listed as done by then is forgotten. */
-#define FLO_LISTED_MS 8000
+#define FLO_UNSCHEDULABLE_MS 500
+/* A worker reserved for long-running work is not moved for this long, ms. */
+#define FLO_RESERVED_MS 1000
+/* An accepted move that no list shows as done by then is dropped, ms. */
+#define FLO_LIST_TIMEOUT_MS 8000
 
-/* A VM on its way. */
+/* A move of a VM from one pool to another. */
 struct flo_move {
 	char *vm;
 	char *worker;
@@ -90,16 +103,16 @@
 	char *to;
 	int64_t from_ms;
 	int64_t ordered_ms; /* 0: not yet */
-	int64_t agreed_ms; /* 0: not yet */
-	bool urgent; /* its pool waits for it */
-	bool over;
+	int64_t accepted_ms; /* 0: not yet */
+	bool urgent; /* the target pool is short of VMs */
+	bool finished;
 };
 
-/* A VM that may be taken from its pool. */
-struct flo_pick {
+/* A VM that may be moved from its pool. */
+struct flo_candidate {
 	const struct vms_vm *vm;
-	double cost; /* of taking it */
-	guint place; /* in the list of VMs */
+	double cost; /* cost of moving it */
+	guint index; /* index in the VM list */
 };
 
 struct flo {
@@ -108,20 +121,21 @@
 	const struct flo_ops *ops;
 	void *arg;
 	GPtrArray *moves; /* struct flo_move */
-	GHashTable *by_vm; /* the same, by VM */
+	GHashTable *by_vm; /* the same moves, by VM name */
 	GPtrArray *pools; /* struct flo_pool */
 	int64_t ticked_ms;
-	uint64_t seen; /* jobs before this one are in the rates */
+	/* all jobs with lower sequence numbers are in the rates */
+	uint64_t next_seq;
 };
 
-struct flo_move *flo_move_of(const struct flo *f, const char *vm);
-struct flo_pool *flo_pool_at(struct flo *f, const char *name);
-void flo_rate(struct flo *f, int64_t now, int64_t wall);
-void flo_measure(struct flo *f, int64_t now, int64_t wall);
-guint flo_least_vms(const struct flo_pool *p);
-double flo_least(const struct flo_pool *p);
-void flo_rank(struct flo *f);
-const struct vms_vm *flo_choose(const struct flo_pool *from);
-int64_t flo_left_ms(const struct jtb_run *run, int64_t now);
+struct flo_move *flo_find_move(const struct flo *f, const char *vm);
+struct flo_pool *flo_get_pool(struct flo *f, const char *name);
+void flo_update_rates(struct flo *f, int64_t now, int64_t wall);
+void flo_measure_pools(struct flo *f, int64_t now, int64_t wall);
+guint flo_min_vms(const struct flo_pool *p);
+double flo_min_cores(const struct flo_pool *p);
+void flo_rank_candidates(struct flo *f);
+const struct vms_vm *flo_best_candidate(const struct flo_pool *from);
+int64_t flo_estimate_remaining_ms(const struct jtb_run *run, int64_t now);
 
 #endif
--- a/src/flo_load.c
+++ b/src/flo_load.c
@@ -2,22 +2,26 @@
 
 #include <math.h>
 
-/* What each pool has and needs, by its VMs, its jobs and how these come. */
+/*
+ * Measures the capacity and the load of each pool from its VMs, its jobs and
+ * the rate of new jobs.
+ */
 
 static void flo_measure_vms(struct flo *f);
 static void flo_measure_jobs(struct flo *f, int64_t wall);
-static guint flo_gang_vms(const struct flo *f, const struct flo_pool *p,
-			  const struct jtb_job *job, int64_t wall);
-static double flo_on_one(const struct flo_pool *p, const struct jtb_step *step);
-static double flo_cores(const struct flo_pool *p, const struct jtb_queue *q,
-			const struct jtb_job *job, int64_t wall);
-static double flo_at_work(const struct jtb_job *job);
-static bool flo_due(const struct jtb_job *job, int64_t wall);
-static double flo_weight(const struct jtb_queue *q, const struct jtb_job *job,
-			 int64_t wall);
-
-/* Takes stock of all pools, before anything is decided. */
-void flo_measure(struct flo *f, int64_t now, int64_t wall)
+static guint flo_count_gang_vms(const struct flo *f, const struct flo_pool *p,
+				const struct jtb_job *job, int64_t wall);
+static double flo_tasks_per_vm(const struct flo_pool *p,
+			       const struct jtb_step *step);
+static double flo_job_cores(const struct flo_pool *p, const struct jtb_queue *q,
+			    const struct jtb_job *job, int64_t wall);
+static double flo_running_cores(const struct jtb_job *job);
+static bool flo_has_due_task(const struct jtb_job *job, int64_t wall);
+static double flo_job_weight(const struct jtb_queue *q,
+			     const struct jtb_job *job, int64_t wall);
+
+/* Measures all pools. */
+void flo_measure_pools(struct flo *f, int64_t now, int64_t wall)
 {
 	const struct jtb_config *c = jtb_config(f->jtb);
 	guint i;
@@ -29,10 +33,10 @@
 		p->mem_mb = 0;
 		p->used = 0;
 		p->load = 0;
-		p->lasting = 0;
+		p->long_running = 0;
 		p->jobs = 0;
 		p->due = 0;
-		p->apart = 0;
+		p->vms_at_once = 0;
 		p->vms = 0;
 		p->coming = 0;
 		p->going = 0;
@@ -40,25 +44,26 @@
 	for (i = 0; i < c->pools->len; i++) {
 		const struct jtb_pool *p = g_ptr_array_index(c->pools, i);
 
-		flo_pool_at(f, p->name)->standby = p->standby;
+		flo_get_pool(f, p->name)->standby = p->standby;
 	}
 	flo_measure_vms(f);
 	flo_measure_jobs(f, wall);
-	flo_rate(f, now, wall);
+	flo_update_rates(f, now, wall);
 	for (i = 0; i < f->pools->len; i++) {
 		struct flo_pool *p = g_ptr_array_index(f->pools, i);
 
-		if (!p->standby && p->load > FLO_BUSY * p->cores)
+		if (!p->standby && p->load > FLO_BUSY_SHARE * p->cores)
 			p->busy_ms = now;
-		if (p->cores <= MAX(p->load * FLO_SPARE, flo_least(p)) ||
-		    !p->busy_ms || p->grows)
+		if (p->cores <=
+			    MAX(p->load * FLO_SPARE_FACTOR, flo_min_cores(p)) ||
+		    !p->busy_ms || p->growing)
 			p->spare_ms = 0;
 		else if (!p->spare_ms)
 			p->spare_ms = now;
 	}
 }
 
-/* Adds up the room of each pool's VMs. */
+/* Adds up the capacity of each pool's VMs. */
 static void flo_measure_vms(struct flo *f)
 {
 	GPtrArray *all = vms_all(f->vms);
@@ -66,27 +71,29 @@
 
 	for (i = 0; i < all->len; i++) {
 		const struct vms_vm *vm = g_ptr_array_index(all, i);
-		const struct flo_move *m = flo_move_of(f, vm->name);
+		const struct flo_move *m = flo_find_move(f, vm->name);
 		const struct jtb_worker *w = jtb_worker(f->jtb, vm->worker);
 		struct flo_pool *p =
-			flo_pool_at(f, m && !m->over ? m->to : vm->pool);
+			flo_get_pool(f, m && !m->finished ? m->to : vm->pool);
 
 		if (w)
-			flo_pool_at(f, vm->pool)->used +=
+			flo_get_pool(f, vm->pool)->used +=
 				(w->used_cpu + w->plan_cpu) / 1000.0;
-		if (m && !m->over)
-			flo_pool_at(f, m->from)->going++;
-		/* one that is being emptied for its upkeep gives no room */
+		if (m && !m->finished)
+			flo_get_pool(f, m->from)->going++;
+		/*
+		 * a VM in upkeep or being drained for it provides no capacity
+		 */
 		if (vm->state == VMS_DOWN || f->ops->held(f->arg, vm->name))
 			continue;
 		p->vms++;
 		p->cores += vm->cpu / 1000.0;
 		p->mem_mb += vm->mem_mb;
-		p->coming += vm->state == VMS_MOVING || (m && !m->over);
+		p->coming += vm->state == VMS_MOVING || (m && !m->finished);
 	}
 }
 
-/* Adds up what the jobs of each pool need. */
+/* Adds up the load of each pool's jobs. */
 static void flo_measure_jobs(struct flo *f, int64_t wall)
 {
 	const struct jtb_config *c = jtb_config(f->jtb);
@@ -101,44 +108,48 @@
 
 		if (!q || jtb_ended(job))
 			continue;
-		p = flo_pool_at(f, q->pool);
+		p = flo_get_pool(f, q->pool);
 		p->jobs++;
-		p->due += flo_due(job, wall);
-		p->apart = MAX(p->apart, sch_apart(job, wall));
-		p->apart = MAX(p->apart, flo_gang_vms(f, p, job, wall));
-		cores = flo_cores(p, q, job, wall);
+		p->due += flo_has_due_task(job, wall);
+		p->vms_at_once = MAX(p->vms_at_once, sch_apart(job, wall));
+		p->vms_at_once = MAX(p->vms_at_once,
+				     flo_count_gang_vms(f, p, job, wall));
+		cores = flo_job_cores(p, q, job, wall);
 		if (sch_lasts(job))
-			p->lasting += cores;
+			p->long_running += cores;
 		p->load += cores;
 	}
 }
 
 /*
- * Cores that a job will need once a VM that is fetched now has come: what waits
- * is still there then, as far as it has a chance to be worth something. Of what
- * runs most will have ended that hasn't much left. Counted as if it went on, a
+ * Returns the cores that a job will need when a VM fetched now has arrived.
+ * What waits will still wait then, and counts by its weight. Of what runs,
+ * tasks with little time left will have ended. With these counted in full, a
  * pool kept VMs beyond the end of its burst while the next burst waited for
- * them; left out, VMs left in the middle of a burst and were fetched again.
+ * them; with these left out, VMs were moved away in the middle of a burst and
+ * fetched again.
  */
-static double flo_cores(const struct flo_pool *p, const struct jtb_queue *q,
-			const struct jtb_job *job, int64_t wall)
+static double flo_job_cores(const struct flo_pool *p, const struct jtb_queue *q,
+			    const struct jtb_job *job, int64_t wall)
 {
-	double core_mb =
-		p->cores && p->mem_mb ? p->mem_mb / p->cores : FLO_CORE_MB;
+	double core_mb = p->cores && p->mem_mb ? p->mem_mb / p->cores
+					       : FLO_DEFAULT_CORE_MB;
 	double usable = sch_usable_cores(job, wall, core_mb);
 	double runs;
 	double left_ms;
 
 	if (sch_lasts(job) || usable <= 0)
 		return usable;
-	runs = MIN(usable, flo_at_work(job));
+	runs = MIN(usable, flo_running_cores(job));
 	left_ms = sch_undone(job, wall) / usable * 1000;
-	return (usable - runs) * flo_weight(q, job, wall) +
+	return (usable - runs) * flo_job_weight(q, job, wall) +
 	       runs * MIN(1, left_ms / FLO_FETCH_MS);
 }
 
-/* Cores of a job's runs, and of its starts that aren't final. */
-static double flo_at_work(const struct jtb_job *job)
+/*
+ * Returns the cores of a job's runs and of its starts that are not committed.
+ */
+static double flo_running_cores(const struct jtb_job *job)
 {
 	double cores = 0;
 	uint32_t t;
@@ -157,12 +168,12 @@
 }
 
 /*
- * VMs of a pool's kind that the largest gang of a job needs which is due: it
- * starts whole or not at all, whatever it is worth. 0 for one that is larger
- * than all VMs, and for which they would wait for good.
+ * Returns how many mean VMs of a pool the largest due gang of a job needs: a
+ * gang starts as a whole or not at all, whatever its weight. Returns 0 for a
+ * gang that is larger than all VMs, for which VMs would wait for ever.
  */
-static guint flo_gang_vms(const struct flo *f, const struct flo_pool *p,
-			  const struct jtb_job *job, int64_t wall)
+static guint flo_count_gang_vms(const struct flo *f, const struct flo_pool *p,
+				const struct jtb_job *job, int64_t wall)
 {
 	guint most = 0;
 	uint32_t t;
@@ -178,7 +189,7 @@
 			    job->turns[t].done & 1ULL << s ||
 			    !jtb_step_due(job, t, s, wall))
 				continue;
-			each = flo_on_one(p, step);
+			each = flo_tasks_per_vm(p, step);
 			if (each >= 1)
 				most = MAX(most, (guint)ceil(step->count /
 							     floor(each)));
@@ -186,8 +197,9 @@
 	return most > vms_all(f->vms)->len ? 0 : most;
 }
 
-/* How many tasks of a step the mean VM of a pool holds. */
-static double flo_on_one(const struct flo_pool *p, const struct jtb_step *step)
+/* Returns how many tasks of a step fit on the mean VM of a pool. */
+static double flo_tasks_per_vm(const struct flo_pool *p,
+			       const struct jtb_step *step)
 {
 	double each = step->count;
 
@@ -198,8 +210,8 @@
 	return each;
 }
 
-/* Whether a job has tasks that could run now, whatever they are worth. */
-static bool flo_due(const struct jtb_job *job, int64_t wall)
+/* Whether a job has tasks that could run now, whatever its weight. */
+static bool flo_has_due_task(const struct jtb_job *job, int64_t wall)
 {
 	uint32_t t;
 	uint32_t s;
@@ -213,16 +225,16 @@
 }
 
 /*
- * How much a job's wish for room counts beside one that can be in time. What
- * is repeated by the clock is never late by when it was accepted, and goes by
- * the same rule as in plans.
+ * Returns the weight of a job's load; a job that can be in time has weight 1. A
+ * repeated job is never late by the time since it was accepted and has weight
+ * 1, as in plans.
  */
-static double flo_weight(const struct jtb_queue *q, const struct jtb_job *job,
-			 int64_t wall)
+static double flo_job_weight(const struct jtb_queue *q,
+			     const struct jtb_job *job, int64_t wall)
 {
 	static const double weights[] = {
 		[SCH_IN_TIME] = 1,
-		[SCH_LATE] = FLO_LATE,
+		[SCH_LATE] = FLO_LATE_WEIGHT,
 		[SCH_HOPELESS] = 0,
 	};
 
@@ -232,32 +244,33 @@
 }
 
 /*
- * VMs that a pool keeps without load: as many as keep its tasks apart that
- * must be, and one more, so that one of them can have its upkeep.
+ * Returns the number of VMs that a pool keeps without load: as many as one of
+ * its steps needs at once, for tasks on separate workers or for a gang, and one
+ * more so that one of them can have its upkeep.
  */
-guint flo_least_vms(const struct flo_pool *p)
+guint flo_min_vms(const struct flo_pool *p)
 {
-	return MAX(FLO_LEAST, p->apart ? p->apart + 1 : 0);
+	return MAX(FLO_MIN_VMS, p->vms_at_once ? p->vms_at_once + 1 : 0);
 }
 
-/* Cores that a pool keeps without load. */
-double flo_least(const struct flo_pool *p)
+/* Returns the cores that a pool keeps without load. */
+double flo_min_cores(const struct flo_pool *p)
 {
-	return p->vms ? flo_least_vms(p) * p->cores / p->vms : 0;
+	return p->vms ? flo_min_vms(p) * p->cores / p->vms : 0;
 }
 
 /*
- * How much longer a run is likely to go on, ms: by its progress once there is
- * some, by its caller's guess before. Below 0: it is overdue.
+ * Returns the estimated remaining time of a run, ms: by its progress once there
+ * is enough, by its caller's estimate before. Negative if it is overdue.
  */
-int64_t flo_left_ms(const struct jtb_run *run, int64_t now)
+int64_t flo_estimate_remaining_ms(const struct jtb_run *run, int64_t now)
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 	int64_t left;
 
 	if (!run->began_ms)
 		return s->guess_ms;
-	if (run->percent < FLO_TOLD_PERCENT)
+	if (run->percent < FLO_MIN_PROGRESS_PERCENT)
 		return s->guess_ms - (now - run->began_ms);
 	left = (run->moved_ms - run->began_ms) * (100 - run->percent) /
 	       run->percent;
--- a/src/flo_pick.c
+++ b/src/flo_pick.c
@@ -1,25 +1,25 @@
 #include "flo_int.h"
 
-/* Which VM a pool misses least. */
+/* Ranks the VMs of each pool by the cost of moving them away. */
 
-static int flo_pick_order(gconstpointer a, gconstpointer b);
-static double flo_cost(const struct flo *f, const struct vms_vm *vm);
+static int flo_compare_candidates(gconstpointer a, gconstpointer b);
+static double flo_move_cost(const struct flo *f, const struct vms_vm *vm);
 
-/* The VM of a pool that is missed least, or NULL. */
-const struct vms_vm *flo_choose(const struct flo_pool *from)
+/* Returns the cheapest candidate of a pool, or NULL. */
+const struct vms_vm *flo_best_candidate(const struct flo_pool *from)
 {
-	return from->picks->len ? g_array_index(from->picks, struct flo_pick,
-						from->picks->len - 1)
-					  .vm
-				: NULL;
+	return from->candidates->len
+		       ? g_array_index(from->candidates, struct flo_candidate,
+				       from->candidates->len - 1)
+				 .vm
+		       : NULL;
 }
 
 /*
- * Puts the VMs of each pool in the order in which they may be taken, once a
- * tick. To look through all of them for each that is taken held the loop up
- * just as a burst began.
+ * Sorts the candidates of each pool by cost, once a tick. Scanning all VMs for
+ * each move blocked the event loop at the beginning of a burst.
  */
-void flo_rank(struct flo *f)
+void flo_rank_candidates(struct flo *f)
 {
 	GPtrArray *all = vms_all(f->vms);
 	guint i;
@@ -27,43 +27,46 @@
 	for (i = 0; i < f->pools->len; i++) {
 		struct flo_pool *p = g_ptr_array_index(f->pools, i);
 
-		g_array_set_size(p->picks, 0);
+		g_array_set_size(p->candidates, 0);
 	}
 	for (i = 0; i < all->len; i++) {
 		const struct vms_vm *vm = g_ptr_array_index(all, i);
-		struct flo_pick s = {.vm = vm, .place = i};
+		struct flo_candidate candidate = {.vm = vm, .index = i};
 
-		if (vm->state != VMS_UP || flo_move_of(f, vm->name) ||
+		if (vm->state != VMS_UP || flo_find_move(f, vm->name) ||
 		    f->ops->held(f->arg, vm->name))
 			continue;
-		s.cost = flo_cost(f, vm);
-		if (s.cost >= 0)
-			g_array_append_val(flo_pool_at(f, vm->pool)->picks, s);
+		candidate.cost = flo_move_cost(f, vm);
+		if (candidate.cost >= 0)
+			g_array_append_val(
+				flo_get_pool(f, vm->pool)->candidates,
+				candidate);
 	}
 	for (i = 0; i < f->pools->len; i++) {
 		struct flo_pool *p = g_ptr_array_index(f->pools, i);
 
-		g_array_sort(p->picks, flo_pick_order);
+		g_array_sort(p->candidates, flo_compare_candidates);
 	}
 }
 
-/* Those missed least come last, where they are taken from. */
-static int flo_pick_order(gconstpointer a, gconstpointer b)
+/* Orders by descending cost: the cheapest is taken from the end. */
+static int flo_compare_candidates(gconstpointer a, gconstpointer b)
 {
-	const struct flo_pick *x = a;
-	const struct flo_pick *y = b;
+	const struct flo_candidate *x = a;
+	const struct flo_candidate *y = b;
 
 	if (x->cost != y->cost)
 		return x->cost > y->cost ? -1 : 1;
-	return (x->place < y->place) - (x->place > y->place);
+	return (x->index < y->index) - (x->index > y->index);
 }
 
 /*
- * What taking a VM away costs; below 0: it must stay. One that is kept free
- * for work that lasts looks idle and isn't. The VM that is empty soonest costs
- * least: until then it has room that nobody uses.
+ * Returns the cost of moving a VM away, negative if it must stay. A worker that
+ * is reserved for long-running work looks idle but is not. The VM that is empty
+ * soonest costs least, since the free capacity of a VM that is being drained
+ * stays unused.
  */
-static double flo_cost(const struct flo *f, const struct vms_vm *vm)
+static double flo_move_cost(const struct flo *f, const struct vms_vm *vm)
 {
 	const struct jtb_worker *w = jtb_worker(f->jtb, vm->worker);
 	double cost = 0;
@@ -72,18 +75,18 @@
 
 	if (!w)
 		return *vm->worker ? -1 : 0;
-	if (w->kept_ms && f->ticked_ms - w->kept_ms < FLO_KEPT_MS)
+	if (w->kept_ms && f->ticked_ms - w->kept_ms < FLO_RESERVED_MS)
 		return -1;
 	for (i = 0; i < w->runs->len; i++) {
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *s = &run->job->spec.steps[run->step];
 
-		/* Work that lasts stays where it is. */
+		/* Long-running work stays where it is. */
 		if (s->flags & JTB_LASTS)
 			return -1;
 		if (!(s->flags & JTB_SAVES))
-			empty_ms =
-				MAX(empty_ms, flo_left_ms(run, f->ticked_ms));
+			empty_ms = MAX(empty_ms, flo_estimate_remaining_ms(
+							 run, f->ticked_ms));
 		cost += 1;
 	}
 	return cost + empty_ms;
--- a/src/flo_rate.c
+++ b/src/flo_rate.c
@@ -1,21 +1,24 @@
 #include "flo_int.h"
 
-/* What comes to each pool while a VM that is fetched now is on its way. */
+/*
+ * Estimates the load that new jobs will add to each pool while a VM that is
+ * fetched now is being moved.
+ */
 
-static void flo_rate_job(struct flo *f, const struct jtb_job *job,
-			 int64_t wall);
-static double flo_coming(const struct flo_pool *p);
+static void flo_add_job_rate(struct flo *f, const struct jtb_job *job,
+			     int64_t wall);
+static double flo_expected_cores(const struct flo_pool *p);
 
 /*
- * Adds to each pool's load what jobs that are still to come will need: a VM
- * that is fetched is there after the time of a move, when what waits now mostly
- * still waits and more has come.
+ * Updates the rates of new jobs and adds the expected load to each pool's load.
+ * A fetched VM arrives after the time of a move; most of what waits now still
+ * waits then, and more jobs have arrived.
  */
-void flo_rate(struct flo *f, int64_t now, int64_t wall)
+void flo_update_rates(struct flo *f, int64_t now, int64_t wall)
 {
 	GPtrArray *live = jtb_live(f->jtb);
 	int64_t passed = MIN(now - f->ticked_ms, FLO_RATE_MS);
-	uint64_t newest = f->seen;
+	uint64_t newest = f->next_seq;
 	guint i;
 
 	for (i = 0; i < f->pools->len; i++) {
@@ -30,46 +33,47 @@
 	for (i = live->len; i > 0; i--) {
 		const struct jtb_job *job = g_ptr_array_index(live, i - 1);
 
-		if (job->seq < f->seen)
+		if (job->seq < f->next_seq)
 			break;
 		newest = MAX(newest, job->seq + 1);
-		flo_rate_job(f, job, wall);
+		flo_add_job_rate(f, job, wall);
 	}
-	f->seen = newest;
+	f->next_seq = newest;
 	for (i = 0; i < f->pools->len; i++) {
 		struct flo_pool *p = g_ptr_array_index(f->pools, i);
 
-		p->grows = p->rate > p->rate_slow * FLO_GROWS &&
-			   p->rate_jobs > FLO_RATE_JOBS;
-		p->load += flo_coming(p);
+		p->growing = p->rate > p->rate_slow * FLO_GROWTH_FACTOR &&
+			     p->rate_jobs > FLO_RATE_MIN_JOBS;
+		p->load += flo_expected_cores(p);
 	}
 }
 
-/* Takes a new job into the rate of its pool. */
-static void flo_rate_job(struct flo *f, const struct jtb_job *job, int64_t wall)
+/* Adds a new job to the rate of its pool. */
+static void flo_add_job_rate(struct flo *f, const struct jtb_job *job,
+			     int64_t wall)
 {
 	const struct jtb_queue *q =
 		jtb_queue(jtb_config(f->jtb), job->spec.queue);
 	struct flo_pool *p;
 
-	/* for a new leader all jobs are new, also those of long ago */
+	/* For a new leader all jobs are new, also those accepted long ago. */
 	if (!q || sch_lasts(job) || wall - job->accepted_ms > FLO_RATE_MS)
 		return;
-	p = flo_pool_at(f, q->pool);
+	p = flo_get_pool(f, q->pool);
 	p->rate += job->work * 1000 / FLO_RATE_MS;
 	p->rate_jobs += 1;
 	p->chain_ms += (job->chain_ms - p->chain_ms) * FLO_CHAIN_SHARE;
 }
 
 /*
- * Cores that jobs will have at once which come until a VM that is fetched now
- * is there. Of long ones that is a part of what they need in all: they come
- * over less time than they stay.
+ * Returns the cores that jobs arriving until a VM fetched now is there will
+ * occupy at that time. For jobs with chains longer than that time, it is only
+ * part of what they need in all: they arrive over less time than they run.
  */
-static double flo_coming(const struct flo_pool *p)
+static double flo_expected_cores(const struct flo_pool *p)
 {
-	double ahead = MAX(0, p->rate - p->rate_slow) * FLO_AHEAD;
-	double sure = p->rate_jobs / (p->rate_jobs + FLO_RATE_JOBS);
+	double ahead = MAX(0, p->rate - p->rate_slow) * FLO_TREND_FACTOR;
+	double sure = p->rate_jobs / (p->rate_jobs + FLO_RATE_MIN_JOBS);
 	double share =
 		p->chain_ms > FLO_FETCH_MS ? FLO_FETCH_MS / p->chain_ms : 1;
 
--- a/tests/prop/flo_prop.cc
+++ b/tests/prop/flo_prop.cc
@@ -16,37 +16,43 @@
 const int64_t START_MS = 100000;
 const uint32_t CPU = 16000;
 const char *const OFF = "off";
-/* Steps a calm world is given to come to rest, and to stay so. */
-const int CALM = 400;
-const int REST = 100;
-/* And at most, for all that was handed in. */
-const int WORK = 20000;
-
-/* Over the whole range in every case; by itself inRange begins with the least. */
-int roll(int from, int to)
+/*
+ * Steps within which pools settle once faults have stopped, and steps for which
+ * nothing may move after that.
+ */
+const int SETTLE_STEPS = 400;
+const int QUIET_STEPS = 100;
+/* Most steps until all submitted work has ended. */
+const int MAX_WORK_STEPS = 20000;
+
+/*
+ * A number in [from, to). The nominal size is set because inRange alone starts
+ * with the least values.
+ */
+int randomInt(int from, int to)
 {
 	return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(from, to));
 }
 
-/* A VM as it really is. */
+/* Actual state of a VM. */
 struct Machine {
 	std::string name;
 	std::string pool;
-	std::string worker; /* lifetime on it; "": none */
+	std::string worker; /* id of the worker on it; "": none */
 	enum vms_state state = VMS_UP;
-	int64_t until = 0; /* not up until */
-	bool held = false; /* for its upkeep */
+	int64_t upAt = 0; /* time at which it is up again */
+	bool held = false; /* in upkeep */
 };
 
 struct Run {
 	struct jtb_name name;
 	uint32_t attempt;
 	std::string worker;
-	int64_t ends; /* -1: lasts */
+	int64_t ends; /* -1: long-running */
 	bool stopped;
 };
 
-struct Rig {
+struct World {
 	struct event_base *base = event_base_new();
 	struct tmr *tmr = tmr_new_manual(START_MS);
 	struct jtb *jtb = jtb_new(NULL, NULL);
@@ -57,12 +63,13 @@
 	std::vector<std::string> pools;
 	std::vector<Machine> machines;
 	std::vector<Run> runs;
-	int lost = roll(0, 40); /* percent of orders and of answers */
+	int lossPercent =
+		randomInt(0, 40); /* percentage of orders and of answers */
 	int moves = 0;
 	uint64_t nextId = 1;
 	uint64_t nextEnd = 1;
 
-	Rig()
+	World()
 	{
 		struct vms_config c = {};
 
@@ -74,15 +81,15 @@
 		ops.held = onHeld;
 		vms = vms_new(&c, NULL, NULL);
 		flo = flo_new(jtb, vms, &ops, this);
-		for (int i = roll(1, 5); i > 0; i--)
+		for (int i = randomInt(1, 5); i > 0; i--)
 			pools.push_back("p" + std::to_string(i));
 		pools.push_back(OFF);
 		config();
 		for (auto &p : pools)
-			for (int i = roll(p == OFF ? 0 : 1, 8); i > 0; i--)
+			for (int i = randomInt(p == OFF ? 0 : 1, 8); i > 0; i--)
 				add(p);
 	}
-	~Rig()
+	~World()
 	{
 		flo_free(flo);
 		vms_free(vms);
@@ -91,7 +98,7 @@
 		event_base_free(base);
 	}
 
-	/* Each pool has a queue of its name. */
+	/* Configures the pools, each with a queue of its name. */
 	void config()
 	{
 		struct jtb_config *c = jtb_config_new();
@@ -154,7 +161,7 @@
 		jobs_apply(jtb, &o);
 	}
 
-	/* The lifetime on a VM is over, with all that it runs. */
+	/* Ends the worker on a VM with all its runs. */
 	void down(Machine &m, enum vms_state state, int steps)
 	{
 		for (size_t i = runs.size(); i > 0; i--)
@@ -164,7 +171,7 @@
 			jobs_gone(jtb, m.worker.c_str(), true);
 		m.worker = "";
 		m.state = state;
-		m.until = now + steps * STEP_MS;
+		m.upAt = now + steps * STEP_MS;
 	}
 
 	Machine &machine(const char *name)
@@ -177,12 +184,12 @@
 
 	static void onOrder(void *arg, const char *vm, const char *pool)
 	{
-		static_cast<Rig *>(arg)->order(vm, pool);
+		static_cast<World *>(arg)->order(vm, pool);
 	}
 
 	static void onStop(void *arg, struct jtb_run *run, const char *why)
 	{
-		static_cast<Rig *>(arg)->stop(run);
+		static_cast<World *>(arg)->stop(run);
 	}
 
 	static bool onMayStop(void *arg, const struct jtb_run *run)
@@ -192,10 +199,13 @@
 
 	static bool onHeld(void *arg, const char *vm)
 	{
-		return static_cast<Rig *>(arg)->machine(vm).held;
+		return static_cast<World *>(arg)->machine(vm).held;
 	}
 
-	/* A VM goes to another pool, and nothing that runs goes with it. */
+	/*
+	 * Moves a VM to another pool. No run may be on it, as runs do not move
+	 * with it.
+	 */
 	void order(const char *vm, const char *pool)
 	{
 		Machine &m = machine(vm);
@@ -204,24 +214,27 @@
 		RC_ASSERT(flo_holds(flo, vm));
 		for (auto &r : runs)
 			RC_ASSERT(m.worker.empty() || r.worker != m.worker);
-		if (roll(0, 100) < lost) {
+		if (randomInt(0, 100) < lossPercent) {
 			flo_answered(flo, vm, VMS_UNANSWERED, now);
 			return;
 		}
 		if (up && m.pool != pool) {
 			moves++;
 			down(m, VMS_MOVING, 8);
-			/* listed there from then on */
+			/* listed in the new pool from now on */
 			m.pool = pool;
 		}
 		flo_answered(flo, vm,
-			     roll(0, 100) < lost ? VMS_UNANSWERED
-			     : up		 ? VMS_YES
-						 : VMS_BUSY,
+			     randomInt(0, 100) < lossPercent ? VMS_UNANSWERED
+			     : up			     ? VMS_YES
+							     : VMS_BUSY,
 			     now);
 	}
 
-	/* Only what saves its progress is stopped, never what lasts. */
+	/*
+	 * Only a run that saves its progress is stopped, never a long-running
+	 * one.
+	 */
 	void stop(struct jtb_run *run)
 	{
 		const struct jtb_step *s = &run->job->spec.steps[run->step];
@@ -244,17 +257,17 @@
 		struct jtb_spec spec = {};
 		std::string id = "j" + std::to_string(nextId++);
 		std::string queue =
-			pools[(size_t)roll(0, (int)pools.size() - 1)];
+			pools[(size_t)randomInt(0, (int)pools.size() - 1)];
 		struct pk_out o;
 
-		s.count = (uint32_t)roll(1, 40);
-		s.cpu = (uint32_t)roll(1, 4) * 1000;
+		s.count = (uint32_t)randomInt(1, 40);
+		s.cpu = (uint32_t)randomInt(1, 4) * 1000;
 		s.mem_mb = 100;
-		s.guess_ms = (uint32_t)roll(1, 30) * 100;
-		s.flags = lasts ? JTB_LASTS : roll(0, 2) ? JTB_SAVES : 0;
-		s.per_worker = lasts ? (uint32_t)roll(0, 3) : 0;
+		s.guess_ms = (uint32_t)randomInt(1, 30) * 100;
+		s.flags = lasts ? JTB_LASTS : randomInt(0, 2) ? JTB_SAVES : 0;
+		s.per_worker = lasts ? (uint32_t)randomInt(0, 3) : 0;
 		if (lasts)
-			s.count = (uint32_t)roll(1, 4);
+			s.count = (uint32_t)randomInt(1, 4);
 		spec.queue = (char *)queue.c_str();
 		spec.text = (char *)"t";
 		spec.steps = &s;
@@ -280,9 +293,9 @@
 		return false;
 	}
 
-	static void onStarved(void *arg, const char *pool)
+	static void onUnschedulable(void *arg, const char *pool)
 	{
-		Rig *r = static_cast<Rig *>(arg);
+		World *r = static_cast<World *>(arg);
 
 		flo_starved(r->flo, pool, r->now);
 	}
@@ -291,7 +304,7 @@
 			    const struct jtb_name *n, uint32_t attempt,
 			    struct jtb_worker *w)
 	{
-		Rig *r = static_cast<Rig *>(arg);
+		World *r = static_cast<World *>(arg);
 		const struct jtb_step *s = &job->spec.steps[n->step];
 		std::string id = w->info.id;
 
@@ -299,11 +312,12 @@
 			   id.c_str());
 		if (!jtb_find_run(r->jtb, n, attempt, id.c_str()))
 			return;
-		r->runs.push_back({*n, attempt, id,
-				   s->flags & JTB_LASTS
-					   ? -1
-					   : r->now + roll(1, 20) * STEP_MS,
-				   false});
+		r->runs.push_back(
+			{*n, attempt, id,
+			 s->flags & JTB_LASTS
+				 ? -1
+				 : r->now + randomInt(1, 20) * STEP_MS,
+			 false});
 	}
 
 	void plan()
@@ -319,14 +333,14 @@
 		v.usable = onUsable;
 		v.leaving = onLeaving;
 		v.start = onStart;
-		v.starved = onStarved;
+		v.starved = onUnschedulable;
 		flo_closed(flo, closed);
 		for (auto &p : pools)
 			sch_plan(&v, p.c_str());
 		g_hash_table_destroy(closed);
 	}
 
-	void work()
+	void endRuns()
 	{
 		for (size_t i = runs.size(); i > 0; i--) {
 			Run r = runs[i - 1];
@@ -362,45 +376,50 @@
 		vms_put_list(vms, all, now + 1);
 	}
 
-	/* VMs that are a pool's, or will be once all moves are done. */
-	uint32_t owns(const std::string &pool) const
+	/*
+	 * Returns the VMs that are a pool's, or will be once all moves are
+	 * done.
+	 */
+	uint32_t countVms(const std::string &pool) const
 	{
 		uint32_t n = 0;
 
 		for (auto &m : machines) {
 			const struct flo_move *v =
-				flo_move_of(flo, m.name.c_str());
-			std::string is = m.pool;
+				flo_find_move(flo, m.name.c_str());
+			std::string pool_after = m.pool;
 
-			if (v && !v->over)
-				is = v->to;
-			n += is == pool && m.state != VMS_DOWN && !m.held;
+			if (v && !v->finished)
+				pool_after = v->to;
+			n += pool_after == pool && m.state != VMS_DOWN &&
+			     !m.held;
 		}
 		return n;
 	}
 
 	/*
-	 * What a look at the pools newly takes: no VM that is held or isn't up,
-	 * none with work that lasts, and of no pool so many that fewer are left
-	 * than it keeps.
+	 * Runs a tick and checks the moves that it starts: the VM must be up,
+	 * not in upkeep and without long-running work, and its pool must not be
+	 * left with fewer VMs than its minimum.
 	 */
-	void look()
+	void tickAndCheck()
 	{
 		std::vector<bool> before;
 
 		for (auto &m : machines)
 			before.push_back(flo_holds(flo, m.name.c_str()));
-		/* as they stand: an order in this look changes them */
-		std::vector<Machine> was = machines;
+		/* a copy, as an order in this tick changes the originals */
+		std::vector<Machine> originals = machines;
 		flo_tick(flo, now, wall());
-		for (size_t i = 0; i < was.size(); i++)
-			if (!before[i] && flo_holds(flo, was[i].name.c_str()))
-				taken(was[i]);
+		for (size_t i = 0; i < originals.size(); i++)
+			if (!before[i] &&
+			    flo_holds(flo, originals[i].name.c_str()))
+				checkMove(originals[i]);
 	}
 
-	void taken(const Machine &m)
+	void checkMove(const Machine &m)
 	{
-		const struct flo_move *v = flo_move_of(flo, m.name.c_str());
+		const struct flo_move *v = flo_find_move(flo, m.name.c_str());
 		const struct flo_pool *p = flo_pool(flo, m.pool.c_str());
 
 		RC_ASSERT(m.state == VMS_UP);
@@ -410,36 +429,38 @@
 		for (auto &r : runs)
 			RC_ASSERT(r.worker != m.worker || r.ends >= 0);
 		if (m.pool != OFF)
-			RC_ASSERT(owns(m.pool) >= flo_least_vms(p));
+			RC_ASSERT(countVms(m.pool) >= flo_min_vms(p));
 	}
 
 	void step()
 	{
 		now += STEP_MS;
-		work();
+		endRuns();
 		for (auto &m : machines)
-			if (m.state != VMS_UP && now >= m.until)
+			if (m.state != VMS_UP && now >= m.upAt)
 				workerUp(m);
 		list();
-		look();
+		tickAndCheck();
 		plan();
 	}
 
-	void worldActs()
+	void injectFault()
 	{
-		Machine &m = machines[(size_t)roll(0, (int)machines.size())];
+		Machine &m =
+			machines[(size_t)randomInt(0, (int)machines.size())];
 
-		switch (roll(0, 16)) {
+		switch (randomInt(0, 16)) {
 		case 0:
 			flo_lead(flo);
 			break;
 		case 1:
 		case 2:
 			if (m.state == VMS_UP)
-				down(m, VMS_DOWN, roll(1, 40));
+				down(m, VMS_DOWN, randomInt(1, 40));
 			break;
 		case 3:
-			m.held = roll(0, 2) && !flo_holds(flo, m.name.c_str());
+			m.held = randomInt(0, 2) &&
+				 !flo_holds(flo, m.name.c_str());
 			break;
 		case 4:
 			submit(true);
@@ -455,8 +476,8 @@
 		}
 	}
 
-	/* Whether a pool still has jobs that end. */
-	bool works() const
+	/* Whether a run that ends is left. */
+	bool hasWork() const
 	{
 		for (auto &r : runs)
 			if (r.ends >= 0)
@@ -469,31 +490,33 @@
 
 int main()
 {
-	bool ok = rc::check("moves break no budget, take no VM twice", [] {
-		Rig r;
+	bool ok = rc::check("moves keep budgets, choose no VM twice", [] {
+		World r;
 
-		for (int t = roll(20, 200); t > 0; t--) {
-			r.worldActs();
+		for (int t = randomInt(20, 200); t > 0; t--) {
+			r.injectFault();
 			r.step();
 		}
 	});
 
-	ok &= rc::check("pools come to rest, and move nothing then", [] {
-		Rig r;
+	ok &= rc::check("pools settle, then nothing moves", [] {
+		World r;
 		int moved;
 
-		for (int t = roll(0, 60); t > 0; t--) {
-			r.worldActs();
+		for (int t = randomInt(0, 60); t > 0; t--) {
+			r.injectFault();
 			r.step();
 		}
-		r.lost = 0;
+		r.lossPercent = 0;
 		for (auto &m : r.machines)
 			m.held = false;
-		for (int t = 0; t < CALM || (r.works() && t < WORK); t++)
+		for (int t = 0;
+		     t < SETTLE_STEPS || (r.hasWork() && t < MAX_WORK_STEPS);
+		     t++)
 			r.step();
-		RC_ASSERT(!r.works());
+		RC_ASSERT(!r.hasWork());
 		moved = r.moves;
-		for (int t = 0; t < REST; t++)
+		for (int t = 0; t < QUIET_STEPS; t++)
 			r.step();
 		RC_ASSERT(flo_moving(r.flo) == 0u);
 		RC_ASSERT(r.moves == moved);
--- a/tests/unit/flo_test.c
+++ b/tests/unit/flo_test.c
@@ -8,54 +8,54 @@
 #include "jobs_make.h"
 
 #define NOW_MS 100000
-/* One tick of the owner, ms; each list is asked for just before it. */
+/* Interval of flo_tick(), ms; each VM list is requested just before it. */
 #define STEP_MS 100
 
-/* Two pools, a busy one "p" and one that is switched off, "off". */
-struct bed {
+/* Pools "p" and "other", and a standby pool "off". */
+struct fixture {
 	struct event_base *base;
 	struct tmr *tmr;
 	struct jtb *jtb;
 	struct vms *vms;
 	struct flo *flo;
 	int64_t now;
-	GPtrArray *list; /* struct vms_vm, what the next list shows */
+	GPtrArray *list; /* contents of the next list */
 	int orders;
 	int stops;
 	const char *held;
 };
 
-static void bed_order(void *arg, const char *vm, const char *pool)
+static void fixture_order(void *arg, const char *vm, const char *pool)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->orders++;
+	f->orders++;
 }
 
-static void bed_stop(void *arg, struct jtb_run *run, const char *why)
+static void fixture_stop(void *arg, struct jtb_run *run, const char *why)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->stops++;
+	f->stops++;
 }
 
-static bool bed_may_stop(void *arg, const struct jtb_run *run)
+static bool fixture_may_stop(void *arg, const struct jtb_run *run)
 {
 	return true;
 }
 
-static bool bed_held(void *arg, const char *vm)
+static bool fixture_held(void *arg, const char *vm)
 {
-	const struct bed *b = arg;
+	const struct fixture *f = arg;
 
-	return b->held && strcmp(b->held, vm) == 0;
+	return f->held && strcmp(f->held, vm) == 0;
 }
 
-static const struct flo_ops bed_ops = {
-	.order = bed_order,
-	.stop = bed_stop,
-	.may_stop = bed_may_stop,
-	.held = bed_held,
+static const struct flo_ops fixture_ops = {
+	.order = fixture_order,
+	.stop = fixture_stop,
+	.may_stop = fixture_may_stop,
+	.held = fixture_held,
 };
 
 static struct vms_vm *vm_new(const char *name, const char *pool,
@@ -72,39 +72,39 @@
 	return vm;
 }
 
-static void vm_add(struct bed *b, const char *name, const char *pool,
+static void vm_add(struct fixture *f, const char *name, const char *pool,
 		   const char *worker)
 {
-	g_ptr_array_add(b->list, vm_new(name, pool, worker));
+	g_ptr_array_add(f->list, vm_new(name, pool, worker));
 	if (*worker)
-		jobs_worker(b->jtb, worker, 16000, false);
+		jobs_worker(f->jtb, worker, 16000, false);
 }
 
-/* A list is asked for and comes in, then the pools are looked at. */
-static void tick(struct bed *b)
+/* Delivers a new VM list, then runs a tick. */
+static void tick(struct fixture *f)
 {
 	GPtrArray *list = g_ptr_array_new_with_free_func(vms_vm_free);
 	guint i;
 
-	for (i = 0; i < b->list->len; i++) {
-		const struct vms_vm *vm = g_ptr_array_index(b->list, i);
+	for (i = 0; i < f->list->len; i++) {
+		const struct vms_vm *vm = g_ptr_array_index(f->list, i);
 		struct vms_vm *copy = vm_new(vm->name, vm->pool, vm->worker);
 
 		copy->state = vm->state;
 		g_ptr_array_add(list, copy);
 	}
-	b->now += STEP_MS;
-	vms_put_list(b->vms, list, b->now - 1);
-	flo_tick(b->flo, b->now, JOBS_WALL_MS + b->now - NOW_MS);
+	f->now += STEP_MS;
+	vms_put_list(f->vms, list, f->now - 1);
+	flo_tick(f->flo, f->now, JOBS_WALL_MS + f->now - NOW_MS);
 }
 
-static void ticks(struct bed *b, int n)
+static void ticks(struct fixture *f, int n)
 {
 	while (n-- > 0)
-		tick(b);
+		tick(f);
 }
 
-static void put_pools(struct bed *b)
+static void put_pools(struct fixture *f)
 {
 	static const char *const names[] = {"p", "other", "off"};
 	struct jtb_config *c = jtb_config_new();
@@ -131,51 +131,53 @@
 	}
 	pk_out_init(&o);
 	jtb_put_config(&o, c);
-	jobs_apply(b->jtb, &o);
+	jobs_apply(f->jtb, &o);
 	jtb_config_free(c);
 }
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
+	struct fixture *f = g_new0(struct fixture, 1);
 
-	b->now = NOW_MS;
-	b->base = event_base_new();
-	b->tmr = tmr_new_manual(NOW_MS);
-	b->jtb = jtb_new(NULL, NULL);
-	b->vms = vms_new(&(struct vms_config){.base = b->base, .tmr = b->tmr},
+	f->now = NOW_MS;
+	f->base = event_base_new();
+	f->tmr = tmr_new_manual(NOW_MS);
+	f->jtb = jtb_new(NULL, NULL);
+	f->vms = vms_new(&(struct vms_config){.base = f->base, .tmr = f->tmr},
 			 NULL, NULL);
-	b->flo = flo_new(b->jtb, b->vms, &bed_ops, b);
-	b->list = g_ptr_array_new_with_free_func(vms_vm_free);
-	put_pools(b);
-	*state = b;
+	f->flo = flo_new(f->jtb, f->vms, &fixture_ops, f);
+	f->list = g_ptr_array_new_with_free_func(vms_vm_free);
+	put_pools(f);
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	flo_free(b->flo);
-	vms_free(b->vms);
-	jtb_free(b->jtb);
-	tmr_free(b->tmr);
-	event_base_free(b->base);
-	g_ptr_array_free(b->list, TRUE);
-	g_free(b);
+	flo_free(f->flo);
+	vms_free(f->vms);
+	jtb_free(f->jtb);
+	tmr_free(f->tmr);
+	event_base_free(f->base);
+	g_ptr_array_free(f->list, TRUE);
+	g_free(f);
 	return 0;
 }
 
-/* More work for "p" than any number of VMs holds. */
-static void burst(struct bed *b)
+/* Submits more work to "p" than any number of VMs can run. */
+static void submit_burst(struct fixture *f)
 {
 	struct jtb_step s = {.count = 400, .cpu = 1000, .guess_ms = 100000};
 
-	jobs_job(b->jtb, "burst", &s, 1, JOBS_WALL_MS);
+	jobs_job(f->jtb, "burst", &s, 1, JOBS_WALL_MS);
 }
 
-/* VMs of "other", each with a task on it if there is one. */
-static void givers(struct bed *b, int n, struct jtb_step *s)
+/*
+ * Adds VMs to "other", each with a running task of the step, if one is given.
+ */
+static void add_other_vms(struct fixture *f, int n, struct jtb_step *s)
 {
 	int i;
 
@@ -185,79 +187,86 @@
 
 		g_snprintf(vm, sizeof(vm), "vm%d", i);
 		g_snprintf(w, sizeof(w), "w%d", i);
-		vm_add(b, vm, "other", w);
+		vm_add(f, vm, "other", w);
 		if (!s)
 			continue;
-		/* by the table they are in "p" yet, whose queue they serve */
-		jobs_job(b->jtb, w, s, 1, JOBS_WALL_MS);
-		jobs_start(b->jtb, w, 0, 0, 1, w);
+		/* The job table has them in "p", whose queue they serve. */
+		jobs_job(f->jtb, w, s, 1, JOBS_WALL_MS);
+		jobs_start(f->jtb, w, 0, 0, 1, w);
 	}
 }
 
-/* Each tick between the need and the order is one that a burst waits. */
-static void a_vm_that_is_off_is_fetched(void **state)
+/*
+ * Guards against a delay between the need of a VM and its order, for which a
+ * burst would wait.
+ */
+static void standby_vm_is_fetched_at_once(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	vm_add(b, "vm1", "off", "");
-	burst(b);
-	tick(b);
-	assert_int_equal(b->orders, 1);
-	assert_true(flo_holds(b->flo, "vm1"));
-	assert_int_equal(flo_moving(b->flo), 1);
+	vm_add(f, "vm1", "off", "");
+	submit_burst(f);
+	tick(f);
+	assert_int_equal(f->orders, 1);
+	assert_true(flo_holds(f->flo, "vm1"));
+	assert_int_equal(flo_moving(f->flo), 1);
 }
 
-/* A job of so many tasks of one core and so long a time, ms. */
-static void job(struct bed *b, const char *id, uint32_t count, uint32_t ms)
+/* Submits a job of `count` tasks of one core that take `ms` each. */
+static void submit_job(struct fixture *f, const char *id, uint32_t count,
+		       uint32_t ms)
 {
 	struct jtb_step s = {.count = count, .cpu = 1000, .guess_ms = ms};
 
-	jobs_job(b->jtb, id, &s, 1, JOBS_WALL_MS + b->now - NOW_MS);
+	jobs_job(f->jtb, id, &s, 1, JOBS_WALL_MS + f->now - NOW_MS);
 }
 
 /*
- * In the first seconds of a burst a pool has VMs for what waits already or for
- * what comes, and each that is fetched is 1.5 s late: both must count, since
- * what waits is still there when more has come.
+ * Guards against too few VMs at the beginning of a burst: with only waiting or
+ * only expected jobs counted, each fetched VM is 1.5 s late. What waits is
+ * still there when more has arrived, so both count.
  */
-static void what_waits_and_what_comes_add_up(void **state)
+static void waiting_and_expected_jobs_add_up(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	double coming;
 	double waiting;
 	char id[8];
 	int i;
 
-	givers(b, 4, NULL);
-	job(b, "first", 30, 8000);
+	add_other_vms(f, 4, NULL);
+	submit_job(f, "first", 30, 8000);
 	for (i = 0; i < 10; i++) {
 		g_snprintf(id, sizeof(id), "s%d", i);
-		job(b, id, 2, 1000);
-		tick(b);
+		submit_job(f, id, 2, 1000);
+		tick(f);
 	}
-	coming = flo_pool(b->flo, "p")->load;
-	ticks(b, 20);
-	waiting = flo_pool(b->flo, "p")->load;
+	coming = flo_pool(f->flo, "p")->load;
+	ticks(f, 20);
+	waiting = flo_pool(f->flo, "p")->load;
 	assert_true(waiting > 30);
 	assert_true(coming > waiting + 8);
 }
 
-/* Load of "p" with one job of 30 cores that came so long ago. */
-static double load_of_job(struct bed *b, int64_t age_ms)
+/*
+ * Returns the load of "p" with one job of 30 cores that was accepted age_ms
+ * ago.
+ */
+static double load_of_job(struct fixture *f, int64_t age_ms)
 {
 	struct jtb_step s = {.count = 30, .cpu = 1000, .guess_ms = 1200};
 
-	jobs_job(b->jtb, "job", &s, 1, JOBS_WALL_MS - age_ms);
-	ticks(b, 1);
-	return flo_pool(b->flo, "p")->load;
+	jobs_job(f->jtb, "job", &s, 1, JOBS_WALL_MS - age_ms);
+	ticks(f, 1);
+	return flo_pool(f->flo, "p")->load;
 }
 
 /*
- * A burst begins and finds few VMs: those that are there work off what the
- * last burst left in another pool, which is late whatever is done. Its callers
- * have a tenth of its use; those of the new burst could still have all.
+ * Guards against a burst that finds few VMs because they work off the last
+ * burst of another pool, which is late whatever is done. That work is worth a
+ * tenth to its callers, and the work of the new burst could still be worth all.
  */
-static void late_work_counts_less(void **state)
+static void late_work_has_a_lower_weight(void **state)
 {
 	double late = load_of_job(*state, 2000);
 
@@ -265,136 +274,146 @@
 	assert_true(late < 15);
 }
 
-static void work_without_use_counts_nothing(void **state)
+static void hopeless_work_has_no_weight(void **state)
 {
 	assert_true(load_of_job(*state, 20000) < 1);
 }
 
-/* Jobs of one core and a second come, ten a second, for a second. */
-static double load_of_stream(struct bed *b)
+/*
+ * Submits jobs of one core and one second, ten a second, for a second; returns
+ * the load of "p".
+ */
+static double load_of_stream(struct fixture *f)
 {
 	char id[8];
 	int i;
 
 	for (i = 0; i < 10; i++) {
 		g_snprintf(id, sizeof(id), "s%d", i);
-		job(b, id, 1, 1000);
-		tick(b);
+		submit_job(f, id, 1, 1000);
+		tick(f);
 	}
-	return flo_pool(b->flo, "p")->load;
+	return flo_pool(f->flo, "p")->load;
 }
 
-/* Jobs of one core and a second come, ten a second, and end in their time. */
-static void burst_that_goes_on(struct bed *b, int ticks_on)
+/*
+ * Submits jobs of one core and one second, ten a second, which end in their
+ * time.
+ */
+static void run_steady_burst(struct fixture *f, int n_ticks)
 {
 	char id[12];
 	int i;
 
-	for (i = 0; i < ticks_on; i++) {
+	for (i = 0; i < n_ticks; i++) {
 		if (i >= 10) {
 			g_snprintf(id, sizeof(id), "s%d", i - 10);
-			jobs_end(b->jtb, id, 0, 0, 1, "w1", JTB_DONE);
+			jobs_end(f->jtb, id, 0, 0, 1, "w1", JTB_DONE);
 		}
 		g_snprintf(id, sizeof(id), "s%d", i);
-		job(b, id, 1, 1000);
-		jobs_start(b->jtb, id, 0, 0, 1, "w1");
-		tick(b);
+		submit_job(f, id, 1, 1000);
+		jobs_start(f->jtb, id, 0, 0, 1, "w1");
+		tick(f);
 	}
 }
 
 /*
- * A burst that goes on seemed to need twice what it had in use: what runs now,
- * and what comes in its place. Its pool took all VMs, and the next burst found
- * none. Nor may it seem to need much less: its VMs would leave in its middle.
+ * Guards against counting running work in full besides the jobs that replace
+ * it: a steady burst then seemed to need twice the cores in use, its pool took
+ * all VMs, and the next burst found none. With too little counted, VMs would
+ * leave in its middle.
  */
-static void what_runs_makes_room_for_what_comes(void **state)
+static void ending_runs_make_room_for_new_jobs(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	const struct flo_pool *p;
 
-	vm_add(b, "vm1", "p", "w1");
-	burst_that_goes_on(b, 60);
-	p = flo_pool(b->flo, "p");
+	vm_add(f, "vm1", "p", "w1");
+	run_steady_burst(f, 60);
+	p = flo_pool(f->flo, "p");
 	assert_float_equal(p->used, 10, 0.01);
 	assert_true(p->load < 1.5 * p->used);
 	assert_true(p->load > 0.9 * p->used);
 }
 
 /*
- * Large jobs, one every half second, take 6 s each: twelve are at work in the
- * middle of their burst. Those that end before a VM comes make room for those
- * that come; the pool neither asks for twice its use nor gives VMs up.
+ * Guards against the same fault with large jobs: one every half second that
+ * takes 6 s, so twelve run at once. Those that end before a VM arrives make
+ * room for new ones; the pool neither asks for twice its use nor gives up VMs.
  */
-static void long_work_needs_what_it_uses(void **state)
+static void steady_long_jobs_need_what_they_use(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	const struct flo_pool *p;
 	char id[12];
 	int i;
 
-	vm_add(b, "vm1", "p", "w1");
+	vm_add(f, "vm1", "p", "w1");
 	for (i = 0; i < 150; i++) {
 		if (i % 5 == 0 && i >= 60) {
 			g_snprintf(id, sizeof(id), "s%d", i - 60);
-			jobs_end(b->jtb, id, 0, 0, 1, "w1", JTB_DONE);
+			jobs_end(f->jtb, id, 0, 0, 1, "w1", JTB_DONE);
 		}
 		if (i % 5 == 0) {
 			g_snprintf(id, sizeof(id), "s%d", i);
-			job(b, id, 1, 6000);
-			jobs_start(b->jtb, id, 0, 0, 1, "w1");
+			submit_job(f, id, 1, 6000);
+			jobs_start(f->jtb, id, 0, 0, 1, "w1");
 		}
-		tick(b);
+		tick(f);
 	}
-	p = flo_pool(b->flo, "p");
+	p = flo_pool(f->flo, "p");
 	assert_float_equal(p->used, 12, 0.01);
 	assert_true(p->load < 1.5 * p->used);
 	assert_true(p->load > 0.9 * p->used);
 }
 
-/* Work that lasts stays where it is: it makes no room for what comes. */
-static void work_that_lasts_makes_no_room(void **state)
+/*
+ * Guards against counting long-running work as if it ended and made room for
+ * new jobs.
+ */
+static void long_running_work_makes_no_room(void **state)
 {
 	struct jtb_step s = {
 		.count = 10, .cpu = 1000, .guess_ms = 1000, .flags = JTB_LASTS};
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	double alone;
 	uint32_t i;
 
-	alone = load_of_stream(b);
+	alone = load_of_stream(f);
 	teardown(state);
 	setup(state);
-	b = *state;
-	vm_add(b, "vm1", "p", "w1");
-	jobs_job(b->jtb, "lasts", &s, 1, JOBS_WALL_MS);
+	f = *state;
+	vm_add(f, "vm1", "p", "w1");
+	jobs_job(f->jtb, "lasts", &s, 1, JOBS_WALL_MS);
 	for (i = 0; i < s.count; i++)
-		jobs_start(b->jtb, "lasts", 0, i, 1, "w1");
-	assert_float_equal(load_of_stream(b), alone + 10, 0.5);
+		jobs_start(f->jtb, "lasts", 0, i, 1, "w1");
+	assert_float_equal(load_of_stream(f), alone + 10, 0.5);
 }
 
 /*
- * A burst takes all there is in one tick. One VM taken twice would be counted
- * as two on their way, and the pool would go without the second.
+ * Guards against a VM that is chosen twice in one tick: it would be counted as
+ * two moves, and the pool would lack one VM.
  */
-static void no_vm_is_taken_twice(void **state)
+static void vm_is_not_chosen_twice(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	guint held = 0;
 	char vm[8];
 	int i;
 
-	givers(b, 8, NULL);
-	burst(b);
-	tick(b);
+	add_other_vms(f, 8, NULL);
+	submit_burst(f);
+	tick(f);
 	for (i = 1; i <= 8; i++) {
 		g_snprintf(vm, sizeof(vm), "vm%d", i);
-		held += flo_holds(b->flo, vm);
+		held += flo_holds(f->flo, vm);
 	}
 	assert_true(held > 1);
-	assert_int_equal(flo_moving(b->flo), held);
+	assert_int_equal(flo_moving(f->flo), held);
 }
 
-/* VMs on their way after the pool's rate went by these jobs a tick. */
-static guint moving_after(struct bed *b, const int *jobs, size_t n)
+/* Returns the number of moves after jobs[i] jobs were submitted in tick i. */
+static guint moves_after_jobs(struct fixture *f, const int *jobs, size_t n)
 {
 	char id[12];
 	size_t i;
@@ -406,155 +425,161 @@
 
 		g_snprintf(vm, sizeof(vm), "vm%zu", i);
 		g_snprintf(w, sizeof(w), "w%zu", i);
-		vm_add(b, vm, "p", w);
+		vm_add(f, vm, "p", w);
 	}
-	flo_pool_at(b->flo, "p")->busy_ms = b->now;
+	flo_get_pool(f->flo, "p")->busy_ms = f->now;
 	for (i = 0; i < n; i++) {
 		for (k = 0; k < jobs[i]; k++) {
 			g_snprintf(id, sizeof(id), "s%zu.%d", i, k);
-			job(b, id, 1, 100);
+			submit_job(f, id, 1, 100);
 		}
-		tick(b);
+		tick(f);
 	}
-	return flo_moving(b->flo);
+	return flo_moving(f->flo);
 }
 
 /*
- * A burst begins slowly. Its pool had VMs ready, which its first jobs didn't
- * need yet: they were taken away just before they were needed, for 3 s.
+ * Guards against taking idle VMs from a pool at the slow beginning of its
+ * burst: they were moved away just before they were needed, for 3 s.
  */
-static void a_pool_whose_load_grows_keeps_its_vms(void **state)
+static void pool_with_growing_load_keeps_its_vms(void **state)
 {
-	static const int grows[] = {1, 1, 1, 2, 2, 2, 3, 4, 5, 6, 7, 8};
+	static const int growing[] = {1, 1, 1, 2, 2, 2, 3, 4, 5, 6, 7, 8};
 	static const int stays[] = {1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1,
 				    1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1,
 				    1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1,
 				    1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1};
 
-	assert_int_equal(moving_after(*state, grows, G_N_ELEMENTS(grows)), 0);
+	assert_int_equal(
+		moves_after_jobs(*state, growing, G_N_ELEMENTS(growing)), 0);
 	teardown(state);
 	setup(state);
-	assert_true(moving_after(*state, stays, G_N_ELEMENTS(stays)) > 0);
+	assert_true(moves_after_jobs(*state, stays, G_N_ELEMENTS(stays)) > 0);
 }
 
 /*
- * A pool in between two bursts is asked for a small job now and then. Each looks
- * like the begin of a burst; its VMs must go all the same.
+ * Guards against a pool that keeps its VMs between two bursts since an
+ * occasional small job looks like the beginning of a burst.
  */
-static void a_job_now_and_then_is_no_growth(void **state)
+static void occasional_job_is_no_growth(void **state)
 {
 	static const int jobs[] = {1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0,
 				   0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0,
 				   0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0};
 
-	assert_true(moving_after(*state, jobs, G_N_ELEMENTS(jobs)) > 0);
+	assert_true(moves_after_jobs(*state, jobs, G_N_ELEMENTS(jobs)) > 0);
 }
 
-/* What upkeep holds stays where it is. */
-static void a_held_vm_stays(void **state)
+/* A VM in upkeep is not moved. */
+static void vm_in_upkeep_is_not_moved(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	vm_add(b, "vm1", "off", "");
-	vm_add(b, "vm2", "off", "");
-	b->held = "vm1";
-	burst(b);
-	ticks(b, 5);
-	assert_false(flo_holds(b->flo, "vm1"));
-	assert_true(flo_holds(b->flo, "vm2"));
+	vm_add(f, "vm1", "off", "");
+	vm_add(f, "vm2", "off", "");
+	f->held = "vm1";
+	submit_burst(f);
+	ticks(f, 5);
+	assert_false(flo_holds(f->flo, "vm1"));
+	assert_true(flo_holds(f->flo, "vm2"));
 }
 
 /*
- * Work is thrown away with its VM: the move ends all that runs there. A VM
- * gets nothing new, is moved once it is empty, and stays if that takes long.
+ * Guards against work lost with its VM, since a move ends all that runs there:
+ * the VM gets no new work, is moved once it is empty, and stays if that takes
+ * too long.
  */
-static void a_vm_is_emptied_before_its_move(void **state)
+static void vm_is_drained_before_its_move(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 500};
 
-	givers(b, 6, &s);
-	burst(b);
-	ticks(b, 3);
-	assert_true(flo_moving(b->flo) > 0);
-	assert_int_equal(b->orders, 0);
-	ticks(b, 12);
-	assert_int_equal(b->orders, 0);
-	assert_true(flo_moving(b->flo) > 0);
+	add_other_vms(f, 6, &s);
+	submit_burst(f);
+	ticks(f, 3);
+	assert_true(flo_moving(f->flo) > 0);
+	assert_int_equal(f->orders, 0);
+	ticks(f, 12);
+	assert_int_equal(f->orders, 0);
+	assert_true(flo_moving(f->flo) > 0);
 }
 
-/* Runs stopped for a burst, with one task of such a step on each VM. */
-static int stops_for_a_burst(struct bed *b, uint32_t guess_ms, uint32_t flags)
+/*
+ * Returns how many runs are stopped for a burst if each VM has one run of such
+ * a step.
+ */
+static int stops_for_a_burst(struct fixture *f, uint32_t guess_ms,
+			     uint32_t flags)
 {
 	struct jtb_step s = {
 		.count = 1, .cpu = 1000, .guess_ms = guess_ms, .flags = flags};
 
-	givers(b, 6, &s);
-	burst(b);
-	ticks(b, 3);
-	assert_true(flo_moving(b->flo) > 0);
-	return b->stops;
+	add_other_vms(f, 6, &s);
+	submit_burst(f);
+	ticks(f, 3);
+	assert_true(flo_moving(f->flo) > 0);
+	return f->stops;
 }
 
 /*
- * A burst waits for VMs while work goes on there for seconds that could go on
- * elsewhere from where it is: it is stopped, and other work isn't.
+ * Guards against a burst that waits seconds for work that could go on elsewhere
+ * from its saved progress: such work is stopped, other work is not.
  */
-static void work_that_saves_makes_way(void **state)
+static void saved_work_is_stopped(void **state)
 {
 	assert_true(stops_for_a_burst(*state, 5000, JTB_SAVES) > 0);
 }
 
-static void work_that_doesnt_save_is_waited_for(void **state)
+static void unsaved_work_is_waited_for(void **state)
 {
 	assert_int_equal(stops_for_a_burst(*state, 5000, 0), 0);
 }
 
-static void work_that_is_nearly_done_is_waited_for(void **state)
+static void nearly_done_work_is_waited_for(void **state)
 {
 	assert_int_equal(stops_for_a_burst(*state, 200, JTB_SAVES), 0);
 }
 
-/* One stopped member ends its whole gang, and saves none of the others. */
-static void a_gang_is_waited_for(void **state)
+/* A stopped member ends its whole gang, whose other members save nothing. */
+static void gang_is_waited_for(void **state)
 {
 	assert_int_equal(stops_for_a_burst(*state, 5000, JTB_SAVES | JTB_GANG),
 			 0);
 }
 
 /*
- * The guess says that all is nearly done, and after a second a tenth of it is:
- * the burst would wait on for VMs that don't come free.
+ * Guards against a wrong estimate: by it all runs are nearly done, but after a
+ * second only a tenth is. The burst would wait for VMs that do not become free.
  */
-static void progress_tells_more_than_a_guess(void **state)
+static void progress_overrides_the_estimate(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	guint i;
 
-	assert_int_equal(stops_for_a_burst(b, 200, JTB_SAVES), 0);
+	assert_int_equal(stops_for_a_burst(f, 200, JTB_SAVES), 0);
 	for (i = 1; i <= 6; i++) {
 		struct jtb_worker *w;
 		struct jtb_run *run;
 		char id[8];
 
 		g_snprintf(id, sizeof(id), "w%u", i);
-		w = jtb_worker(b->jtb, id);
+		w = jtb_worker(f->jtb, id);
 		run = g_ptr_array_index(w->runs, 0);
-		run->began_ms = b->now - 1000;
-		run->moved_ms = b->now;
-		run->percent = FLO_TOLD_PERCENT;
+		run->began_ms = f->now - 1000;
+		run->moved_ms = f->now;
+		run->percent = FLO_MIN_PROGRESS_PERCENT;
 	}
-	tick(b);
-	assert_true(b->stops > 0);
+	tick(f);
+	assert_true(f->stops > 0);
 }
 
 /*
- * Work is put off for nothing: nobody waits for its VM, which is only to be
- * switched off.
+ * Guards against stopping work on a VM that is only to be switched off, so that
+ * no pool waits for it.
  */
 static void work_is_not_stopped_to_switch_off(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 1, .cpu = 1000, .guess_ms = 5000, .flags = JTB_SAVES};
 	guint moving = 0;
@@ -565,60 +590,60 @@
 	for (i = 1; i <= 6; i++) {
 		g_snprintf(vm, sizeof(vm), "vm%d", i);
 		g_snprintf(w, sizeof(w), "w%d", i);
-		vm_add(b, vm, "p", w);
-		jobs_job(b->jtb, w, &s, 1, JOBS_WALL_MS);
-		jobs_start(b->jtb, w, 0, 0, 1, w);
+		vm_add(f, vm, "p", w);
+		jobs_job(f->jtb, w, &s, 1, JOBS_WALL_MS);
+		jobs_start(f->jtb, w, 0, 0, 1, w);
 	}
-	burst(b);
-	tick(b);
-	jobs_cancel(b->jtb, "burst");
+	submit_burst(f);
+	tick(f);
+	jobs_cancel(f->jtb, "burst");
 	for (i = 0; i < 60; i++) {
-		tick(b);
-		moving = MAX(moving, flo_moving(b->flo));
+		tick(f);
+		moving = MAX(moving, flo_moving(f->flo));
 	}
 	assert_true(moving > 0);
-	assert_int_equal(b->stops, 0);
+	assert_int_equal(f->stops, 0);
 }
 
 /*
- * A pool in its burst waits for a VM with long work on it, and in the end in
- * vain, while the one beside it would have been free at once.
+ * Guards against waiting for a VM with long work on it, and in the end in vain,
+ * while another VM would have been empty at once.
  */
-static void the_vm_that_is_empty_soonest_is_taken(void **state)
+static void vm_that_is_empty_soonest_is_chosen(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 5000};
 
-	givers(b, 3, &s);
+	add_other_vms(f, 3, &s);
 	s.guess_ms = 300;
-	vm_add(b, "vm4", "other", "w4");
-	jobs_job(b->jtb, "w4", &s, 1, JOBS_WALL_MS);
-	jobs_start(b->jtb, "w4", 0, 0, 1, "w4");
-	burst(b);
-	ticks(b, 2);
-	assert_int_equal(flo_moving(b->flo), 1);
-	assert_true(flo_holds(b->flo, "vm4"));
+	vm_add(f, "vm4", "other", "w4");
+	jobs_job(f->jtb, "w4", &s, 1, JOBS_WALL_MS);
+	jobs_start(f->jtb, "w4", 0, 0, 1, "w4");
+	submit_burst(f);
+	ticks(f, 2);
+	assert_int_equal(flo_moving(f->flo), 1);
+	assert_true(flo_holds(f->flo, "vm4"));
 }
 
-/* The same where that VM's work saves: it makes way at once. */
-static void work_that_saves_doesnt_hold_its_vm(void **state)
+/* The same if that VM's run saves its progress and can be stopped at once. */
+static void vm_with_saved_work_is_chosen(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 1000};
 
-	givers(b, 3, &s);
+	add_other_vms(f, 3, &s);
 	s.guess_ms = 5000;
 	s.flags = JTB_SAVES;
-	vm_add(b, "vm4", "other", "w4");
-	jobs_job(b->jtb, "w4", &s, 1, JOBS_WALL_MS);
-	jobs_start(b->jtb, "w4", 0, 0, 1, "w4");
-	burst(b);
-	ticks(b, 2);
-	assert_true(flo_holds(b->flo, "vm4"));
+	vm_add(f, "vm4", "other", "w4");
+	jobs_job(f->jtb, "w4", &s, 1, JOBS_WALL_MS);
+	jobs_start(f->jtb, "w4", 0, 0, 1, "w4");
+	submit_burst(f);
+	ticks(f, 2);
+	assert_true(flo_holds(f->flo, "vm4"));
 }
 
-/* A job of the queue of "other" that came long ago. */
-static void old_job(struct bed *b, uint32_t count, uint32_t guess_ms)
+/* Submits a job to "other" that was accepted 3 s ago. */
+static void submit_old_job(struct fixture *f, uint32_t count, uint32_t guess_ms)
 {
 	struct jtb_step s = {.count = count, .cpu = 1000, .guess_ms = guess_ms};
 	struct jtb_spec spec = {
@@ -632,179 +657,189 @@
 
 	pk_out_init(&o);
 	jtb_put_job(&o, &spec, JOBS_WALL_MS - 3000);
-	jobs_apply(b->jtb, &o);
+	jobs_apply(f->jtb, &o);
 }
 
 /*
- * The leader is lost in a burst. For its successor every job that there is has
- * come just now: each pool seems to be in its burst, none gives a VM, and the
- * one that is waits for another second.
+ * Guards against a new leader that takes all existing jobs as just arrived:
+ * every pool seems to be in a burst, none gives up a VM, and the pool in need
+ * waits for another second.
  */
-static void a_new_leader_knows_what_came_long_ago(void **state)
+static void new_leader_ignores_old_jobs_in_rates(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	old_job(b, 8, 20000);
-	givers(b, 8, NULL);
-	burst(b);
-	flo_lead(b->flo);
-	ticks(b, 2);
-	assert_true(flo_moving(b->flo) > 0);
+	submit_old_job(f, 8, 20000);
+	add_other_vms(f, 8, NULL);
+	submit_burst(f);
+	flo_lead(f->flo);
+	ticks(f, 2);
+	assert_true(flo_moving(f->flo) > 0);
 }
 
-/* The same of a leader that leads again: the burst it saw is long over. */
-static void rates_go_with_leadership(void **state)
+/*
+ * The same for a replica that becomes leader again: the burst it saw is long
+ * over.
+ */
+static void rates_are_reset_for_a_new_leader(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	givers(b, 4, NULL);
-	job(b, "j", 20, 1000);
-	tick(b);
-	assert_true(flo_pool(b->flo, "p")->rate > 0);
-	flo_lead(b->flo);
-	tick(b);
-	assert_true(flo_pool(b->flo, "p")->rate == 0);
+	add_other_vms(f, 4, NULL);
+	submit_job(f, "j", 20, 1000);
+	tick(f);
+	assert_true(flo_pool(f->flo, "p")->rate > 0);
+	flo_lead(f->flo);
+	tick(f);
+	assert_true(flo_pool(f->flo, "p")->rate == 0);
 }
 
 /*
- * Upkeep in a lull takes VMs that a pool needs, or the next burst in need: only
- * what is idle in a pool with room to spare, or off, can be away.
+ * Guards against upkeep that takes VMs which a pool needs now or in the next
+ * burst: only a standby VM, or an idle one in a pool with spare capacity, may
+ * be down.
  */
-static void what_is_idle_can_be_spared(void **state)
+static void idle_and_standby_vms_are_spare(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 100};
 
-	givers(b, 6, NULL);
-	vm_add(b, "off1", "off", "");
-	jobs_job(b->jtb, "j", &s, 1, JOBS_WALL_MS - 3000);
-	jobs_start(b->jtb, "j", 0, 0, 1, "w1");
-	tick(b);
-	assert_false(flo_spared(b->flo, "vm1"));
-	assert_true(flo_spared(b->flo, "vm2"));
-	assert_true(flo_spared(b->flo, "off1"));
-	burst(b);
-	tick(b);
-	assert_false(flo_spared(b->flo, "off1"));
-	assert_false(flo_spared(b->flo, "vm2"));
+	add_other_vms(f, 6, NULL);
+	vm_add(f, "off1", "off", "");
+	jobs_job(f->jtb, "j", &s, 1, JOBS_WALL_MS - 3000);
+	jobs_start(f->jtb, "j", 0, 0, 1, "w1");
+	tick(f);
+	assert_false(flo_spared(f->flo, "vm1"));
+	assert_true(flo_spared(f->flo, "vm2"));
+	assert_true(flo_spared(f->flo, "off1"));
+	submit_burst(f);
+	tick(f);
+	assert_false(flo_spared(f->flo, "off1"));
+	assert_false(flo_spared(f->flo, "vm2"));
 }
 
-static void the_last_vms_cant_be_spared(void **state)
+static void last_vms_of_a_pool_are_not_spare(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	givers(b, 3, NULL);
-	tick(b);
-	assert_false(flo_spared(b->flo, "vm1"));
+	add_other_vms(f, 3, NULL);
+	tick(f);
+	assert_false(flo_spared(f->flo, "vm1"));
 }
 
-static void what_load_needs_cant_be_spared(void **state)
+static void vms_needed_by_load_are_not_spare(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	givers(b, 6, NULL);
-	old_job(b, 60, 20000);
-	tick(b);
-	assert_false(flo_spared(b->flo, "vm1"));
+	add_other_vms(f, 6, NULL);
+	submit_old_job(f, 60, 20000);
+	tick(f);
+	assert_false(flo_spared(f->flo, "vm1"));
 }
 
 /*
- * A start is on its way through the log when its VM is chosen: it must be
- * waited for like a run.
+ * Guards against moving a VM while a start on it is being committed: the start
+ * must be waited for like a run.
  */
-static void a_start_is_waited_for(struct bed *b, uint32_t mem_mb)
+static void check_start_is_waited_for(struct fixture *f, uint32_t mem_mb)
 {
 	struct jtb_step s = {.count = 6, .cpu = 1000, .mem_mb = mem_mb};
 	struct jtb_name n = {.id = "j"};
 	char w[8];
 
-	givers(b, 6, NULL);
-	jobs_job(b->jtb, "j", &s, 1, JOBS_WALL_MS);
+	add_other_vms(f, 6, NULL);
+	jobs_job(f->jtb, "j", &s, 1, JOBS_WALL_MS);
 	for (n.index = 0; n.index < 6; n.index++) {
 		g_snprintf(w, sizeof(w), "w%u", n.index + 1);
-		jtb_plan(jtb_job(b->jtb, "j"), &n, jtb_worker(b->jtb, w));
+		jtb_plan(jtb_job(f->jtb, "j"), &n, jtb_worker(f->jtb, w));
 	}
-	burst(b);
-	ticks(b, 3);
-	assert_true(flo_moving(b->flo) > 0);
-	assert_int_equal(b->orders, 0);
-	jtb_unplan_all(b->jtb);
-	ticks(b, 2);
-	assert_true(b->orders > 0);
+	submit_burst(f);
+	ticks(f, 3);
+	assert_true(flo_moving(f->flo) > 0);
+	assert_int_equal(f->orders, 0);
+	jtb_unplan_all(f->jtb);
+	ticks(f, 2);
+	assert_true(f->orders > 0);
 }
 
-static void a_start_on_its_way_is_waited_for(void **state)
+static void pending_start_is_waited_for(void **state)
 {
-	a_start_is_waited_for(*state, 10);
+	check_start_is_waited_for(*state, 10);
 }
 
-static void a_start_without_memory_is_waited_for(void **state)
+static void pending_start_without_memory_is_waited_for(void **state)
 {
-	a_start_is_waited_for(*state, 0);
+	check_start_is_waited_for(*state, 0);
 }
 
-/* Work that lasts would be away while it begins elsewhere. */
-static void a_vm_with_work_that_lasts_stays(void **state)
+/*
+ * Guards against moving long-running work, which would be unavailable until it
+ * has started elsewhere.
+ */
+static void vm_with_long_running_work_stays(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {
 		.count = 1, .cpu = 1000, .may_miss = 1, .flags = JTB_LASTS};
 
-	givers(b, 6, &s);
-	burst(b);
-	ticks(b, 10);
-	assert_int_equal(flo_moving(b->flo), 0);
-	assert_int_equal(b->stops, 0);
+	add_other_vms(f, 6, &s);
+	submit_burst(f);
+	ticks(f, 10);
+	assert_int_equal(flo_moving(f->flo), 0);
+	assert_int_equal(f->stops, 0);
 }
 
-/* VMs on their way to "p" or counted as its own, that aren't down. */
-static guint vms_of_p(const struct bed *b)
+/*
+ * Returns the VMs of "p" and those being moved to it, without those that are
+ * down.
+ */
+static guint count_vms_of_p(const struct fixture *f)
 {
-	return flo_pool(b->flo, "p")->vms;
+	return flo_pool(f->flo, "p")->vms;
 }
 
-/* Moves that are ordered are done at once. */
-static void carry_out(struct bed *b)
+/* Completes all ordered moves at once. */
+static void complete_moves(struct fixture *f)
 {
 	guint i;
 
-	for (i = 0; i < b->list->len; i++) {
-		struct vms_vm *vm = g_ptr_array_index(b->list, i);
-		const struct flo_move *m = flo_move_of(b->flo, vm->name);
+	for (i = 0; i < f->list->len; i++) {
+		struct vms_vm *vm = g_ptr_array_index(f->list, i);
+		const struct flo_move *m = flo_find_move(f->flo, vm->name);
 
-		if (!m || !m->ordered_ms || m->agreed_ms)
+		if (!m || !m->ordered_ms || m->accepted_ms)
 			continue;
 		g_free(vm->pool);
 		vm->pool = g_strdup(m->to);
-		flo_answered(b->flo, vm->name, VMS_YES, b->now);
+		flo_answered(f->flo, vm->name, VMS_YES, f->now);
 	}
 }
 
-/* A VM is lost, with what runs on it. */
-static void lose(struct bed *b, const char *name)
+/* Takes a VM down with all its runs. */
+static void fail_vm(struct fixture *f, const char *name)
 {
 	guint i;
 
-	for (i = 0; i < b->list->len; i++) {
-		struct vms_vm *vm = g_ptr_array_index(b->list, i);
+	for (i = 0; i < f->list->len; i++) {
+		struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
 		if (strcmp(vm->name, name) != 0)
 			continue;
 		if (*vm->worker)
-			jobs_gone(b->jtb, vm->worker, true);
+			jobs_gone(f->jtb, vm->worker, true);
 		*vm->worker = '\0';
 		vm->state = VMS_DOWN;
 	}
 }
 
 /*
- * A rack is lost, and right after its VMs were replaced one of those that have
- * just joined as well. Callers of the pool see less room until others join:
- * each VM that it lacks must cost one move, and nothing else may move for it.
+ * Guards against needless moves after the loss of a rack, and of one of the
+ * replacing VMs right after: each missing VM must cost one move, and no other
+ * VM may move.
  */
-static void a_lost_rack_costs_one_move_a_vm(void **state)
+static void lost_rack_costs_one_move_for_each_vm(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 80, .cpu = 1000, .flags = JTB_LASTS};
 	char vm[8];
 	char w[8];
@@ -813,51 +848,51 @@
 	for (i = 0; i < 7; i++) {
 		g_snprintf(vm, sizeof(vm), "p%d", i);
 		g_snprintf(w, sizeof(w), "w%d", i);
-		vm_add(b, vm, "p", w);
+		vm_add(f, vm, "p", w);
 	}
 	for (i = 0; i < 9; i++) {
 		g_snprintf(vm, sizeof(vm), "off%d", i);
-		vm_add(b, vm, "off", "");
+		vm_add(f, vm, "off", "");
 	}
-	/* 80 cores, and a quarter more: 7 VMs of 16 */
-	jobs_job(b->jtb, "l", &s, 1, JOBS_WALL_MS);
-	ticks(b, 20);
-	assert_int_equal(b->orders, 0);
+	/* 80 cores times 1.25 need 7 VMs of 16 cores */
+	jobs_job(f->jtb, "l", &s, 1, JOBS_WALL_MS);
+	ticks(f, 20);
+	assert_int_equal(f->orders, 0);
 	for (i = 0; i < 4; i++) {
 		g_snprintf(vm, sizeof(vm), "p%d", i);
-		lose(b, vm);
+		fail_vm(f, vm);
 	}
-	tick(b);
-	carry_out(b);
-	assert_int_equal(b->orders, 4);
-	assert_int_equal(vms_of_p(b), 7);
-	ticks(b, 3);
+	tick(f);
+	complete_moves(f);
+	assert_int_equal(f->orders, 4);
+	assert_int_equal(count_vms_of_p(f), 7);
+	ticks(f, 3);
 	for (i = 0; i < 9; i++) {
 		const struct vms_vm *m =
-			g_ptr_array_index(b->list, (guint)i + 7);
+			g_ptr_array_index(f->list, (guint)i + 7);
 
 		if (strcmp(m->pool, "p") != 0)
 			continue;
-		lose(b, m->name);
+		fail_vm(f, m->name);
 		break;
 	}
-	tick(b);
-	carry_out(b);
-	assert_int_equal(b->orders, 5);
-	ticks(b, 100);
-	assert_int_equal(b->orders, 5);
-	assert_int_equal(flo_moving(b->flo), 0);
+	tick(f);
+	complete_moves(f);
+	assert_int_equal(f->orders, 5);
+	ticks(f, 100);
+	assert_int_equal(f->orders, 5);
+	assert_int_equal(flo_moving(f->flo), 0);
 }
 
-/* A VM that is on its way. */
-static struct vms_vm *held_vm(struct bed *b)
+/* Returns a VM with a move in progress. */
+static struct vms_vm *find_moving_vm(struct fixture *f)
 {
 	guint i;
 
-	for (i = 0; i < b->list->len; i++) {
-		struct vms_vm *vm = g_ptr_array_index(b->list, i);
+	for (i = 0; i < f->list->len; i++) {
+		struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
-		if (flo_holds(b->flo, vm->name))
+		if (flo_holds(f->flo, vm->name))
 			return vm;
 	}
 	fail();
@@ -865,113 +900,115 @@
 }
 
 /*
- * A task is started on a worker that is over: its VM's move was carried out and
- * the answer got lost. The old worker gets nothing until the VM is through.
+ * Guards against a task started on a worker that has ended: the move of its VM
+ * was carried out and the answer was lost. The old worker stays closed until
+ * the move is done.
  */
-static void a_move_with_a_lost_answer_keeps_its_worker_closed(void **state)
+static void move_with_a_lost_answer_keeps_its_worker_closed(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	GHashTable *ids = g_hash_table_new(g_str_hash, g_str_equal);
 	struct vms_vm *vm;
 	char worker[8];
 
-	givers(b, 4, NULL);
-	burst(b);
-	tick(b);
-	assert_true(b->orders > 0);
-	vm = held_vm(b);
+	add_other_vms(f, 4, NULL);
+	submit_burst(f);
+	tick(f);
+	assert_true(f->orders > 0);
+	vm = find_moving_vm(f);
 	g_strlcpy(worker, vm->worker, sizeof(worker));
-	flo_answered(b->flo, vm->name, VMS_UNANSWERED, b->now);
+	flo_answered(f->flo, vm->name, VMS_UNANSWERED, f->now);
 	*vm->worker = '\0';
 	vm->state = VMS_MOVING;
-	ticks(b, 3);
-	flo_closed(b->flo, ids);
+	ticks(f, 3);
+	flo_closed(f->flo, ids);
 	assert_true(g_hash_table_contains(ids, worker));
-	assert_string_equal(flo_worker(b->flo, vm->name), worker);
+	assert_string_equal(flo_worker(f->flo, vm->name), worker);
 	vm->state = VMS_UP;
 	g_free(vm->pool);
 	vm->pool = g_strdup("p");
 	g_hash_table_remove_all(ids);
-	ticks(b, 2);
-	assert_false(flo_holds(b->flo, vm->name));
+	ticks(f, 2);
+	assert_false(flo_holds(f->flo, vm->name));
 	g_hash_table_destroy(ids);
 }
 
 /*
- * Work is thrown away with its VM: it failed by itself while it was being
- * emptied, and the worker that came up on it got work before the order.
+ * Guards against work lost with its VM: the VM failed by itself while it was
+ * being drained, and the worker that came up on it got work before the order.
  */
-static void a_vm_that_failed_is_left_alone(void **state)
+static void move_of_a_failed_vm_is_abandoned(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 500};
 	struct vms_vm *vm;
 	char id[8];
 
-	givers(b, 4, &s);
-	burst(b);
-	ticks(b, 2);
-	vm = held_vm(b);
+	add_other_vms(f, 4, &s);
+	submit_burst(f);
+	ticks(f, 2);
+	vm = find_moving_vm(f);
 	g_strlcpy(id, vm->worker, sizeof(id));
-	jobs_gone(b->jtb, id, true);
+	jobs_gone(f->jtb, id, true);
 	g_free(vm->worker);
 	vm->worker = g_strdup("new");
-	jobs_worker(b->jtb, "new", 16000, false);
-	jobs_job(b->jtb, "more", &s, 1, JOBS_WALL_MS);
-	jobs_start(b->jtb, "more", 0, 0, 1, "new");
-	ticks(b, 3);
-	assert_int_equal(b->orders, 0);
+	jobs_worker(f->jtb, "new", 16000, false);
+	jobs_job(f->jtb, "more", &s, 1, JOBS_WALL_MS);
+	jobs_start(f->jtb, "more", 0, 0, 1, "new");
+	ticks(f, 3);
+	assert_int_equal(f->orders, 0);
 }
 
 /*
- * A VM is missing to both pools for good. An order that gets no answer is
- * given again, and given up in the end; one that was agreed to is over once the
- * list shows the VM in its pool, which it can't before the move.
+ * Guards against a VM that both pools lack permanently: an order without an
+ * answer is sent again and abandoned in the end. An accepted one is done once
+ * the list has the VM in its new pool, which cannot be before the move.
  */
-static void a_move_ends(void **state)
+static void unanswered_move_is_abandoned(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	vm_add(b, "vm0", "p", "w0");
-	vm_add(b, "vm1", "off", "");
-	burst(b);
-	ticks(b, 2);
-	assert_true(flo_holds(b->flo, "vm1"));
-	jobs_cancel(b->jtb, "burst");
-	ticks(b, 100);
-	assert_true(b->orders > 1);
-	assert_int_equal(flo_moving(b->flo), 0);
+	vm_add(f, "vm0", "p", "w0");
+	vm_add(f, "vm1", "off", "");
+	submit_burst(f);
+	ticks(f, 2);
+	assert_true(flo_holds(f->flo, "vm1"));
+	jobs_cancel(f->jtb, "burst");
+	ticks(f, 100);
+	assert_true(f->orders > 1);
+	assert_int_equal(flo_moving(f->flo), 0);
 }
 
-static void a_move_that_was_agreed_to_ends_with_a_later_list(void **state)
+static void accepted_move_is_done_with_a_later_list(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct vms_vm *vm;
 
-	vm_add(b, "vm1", "off", "");
-	burst(b);
-	ticks(b, 2);
-	flo_answered(b->flo, "vm1", VMS_YES, b->now);
-	vm = g_ptr_array_index(b->list, 0);
+	vm_add(f, "vm1", "off", "");
+	submit_burst(f);
+	ticks(f, 2);
+	flo_answered(f->flo, "vm1", VMS_YES, f->now);
+	vm = g_ptr_array_index(f->list, 0);
 	vm->state = VMS_MOVING;
-	ticks(b, 5);
-	assert_int_equal(b->orders, 1);
-	assert_true(flo_holds(b->flo, "vm1"));
+	ticks(f, 5);
+	assert_int_equal(f->orders, 1);
+	assert_true(flo_holds(f->flo, "vm1"));
 	vm->state = VMS_UP;
 	g_free(vm->pool);
 	vm->pool = g_strdup("p");
-	tick(b);
-	assert_false(flo_holds(b->flo, "vm1"));
+	tick(f);
+	assert_false(flo_holds(f->flo, "vm1"));
 }
 
 /*
- * Accepted work never runs: its pool lost its last VM, and nobody fetches
- * another for work that is so late that it counts nothing, or that fills.
+ * Guards against work that never runs: its pool lost its last VM, and no VM is
+ * fetched for work that is so late that its weight is 0, or for work that fills
+ * spare capacity.
  */
-static void work_that_counts_nothing_gets_a_vm(void **state)
+static void work_of_weight_zero_gets_a_vm(void **state)
 {
 	static const uint32_t flags[] = {0, JTB_FILLS};
-	struct bed *b;
+	struct fixture *f;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(flags); i++) {
@@ -982,25 +1019,25 @@
 
 		teardown(state);
 		setup(state);
-		b = *state;
-		vm_add(b, "vm1", "off", "");
-		ticks(b, 10);
-		assert_int_equal(b->orders, 0);
-		jobs_job(b->jtb, "j", &s, 1, JOBS_WALL_MS - 600000);
-		ticks(b, 3);
-		assert_int_equal(b->orders, 1);
-		assert_true(flo_holds(b->flo, "vm1"));
+		f = *state;
+		vm_add(f, "vm1", "off", "");
+		ticks(f, 10);
+		assert_int_equal(f->orders, 0);
+		jobs_job(f->jtb, "j", &s, 1, JOBS_WALL_MS - 600000);
+		ticks(f, 3);
+		assert_int_equal(f->orders, 1);
+		assert_true(flo_holds(f->flo, "vm1"));
 	}
 }
 
 /*
- * Each time of a repeated job but the first takes as long as the few VMs that
- * its pool keeps allow: only the first time counted in the pool's load, and
- * that by the time since the job was accepted.
+ * Guards against a repeated job of which only the first turn counts in the
+ * load, by the time since the job was accepted: each later turn would be as
+ * slow as the few VMs that the pool keeps.
  */
-static void each_turn_counts_in_the_load(void **state)
+static void each_turn_of_a_repeated_job_counts(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 2, .cpu = 10000, .guess_ms = 3000};
 	struct jtb_spec spec = {
 		.id = "r",
@@ -1015,22 +1052,22 @@
 	struct pk_out o;
 	uint32_t i;
 
-	vm_add(b, "vm1", "p", "w1");
-	vm_add(b, "vm2", "p", "w2");
+	vm_add(f, "vm1", "p", "w1");
+	vm_add(f, "vm2", "p", "w2");
 	pk_out_init(&o);
 	jtb_put_job(&o, &spec, JOBS_WALL_MS - 600000);
-	jobs_apply(b->jtb, &o);
+	jobs_apply(f->jtb, &o);
 	for (i = 0; i < 2; i++) {
-		jobs_start(b->jtb, "r", 0, i, 1, i ? "w2" : "w1");
-		jobs_end(b->jtb, "r", 0, i, 1, i ? "w2" : "w1", JTB_DONE);
+		jobs_start(f->jtb, "r", 0, i, 1, i ? "w2" : "w1");
+		jobs_end(f->jtb, "r", 0, i, 1, i ? "w2" : "w1", JTB_DONE);
 	}
-	assert_int_equal(jtb_job(b->jtb, "r")->turns_done, 1);
-	tick(b);
-	assert_true(flo_pool(b->flo, "p")->load > 19);
+	assert_int_equal(jtb_job(f->jtb, "r")->turns_done, 1);
+	tick(f);
+	assert_true(flo_pool(f->flo, "p")->load > 19);
 }
 
-/* Three VMs in "p", and so many that are off. */
-static void three_and_some(struct bed *b, int off)
+/* Adds three VMs to "p" and `off` VMs to "off". */
+static void add_three_vms_and_standby(struct fixture *f, int off)
 {
 	char vm[8];
 	char w[8];
@@ -1039,47 +1076,50 @@
 	for (i = 0; i < 3; i++) {
 		g_snprintf(vm, sizeof(vm), "vm%d", i);
 		g_snprintf(w, sizeof(w), "w%d", i);
-		vm_add(b, vm, "p", w);
+		vm_add(f, vm, "p", w);
 	}
 	for (i = 0; i < off; i++) {
 		g_snprintf(vm, sizeof(vm), "off%d", i);
-		vm_add(b, vm, "off", "");
+		vm_add(f, vm, "off", "");
 	}
 }
 
 /*
- * A gang that waited for so long that it counts nothing never starts: it needs
- * more VMs at once than a pool keeps without load, and gets no more.
+ * Guards against a gang that never starts: it has waited until its weight is 0
+ * and needs more VMs at once than its pool keeps without load.
  */
-static void a_late_gang_gets_its_vms(void **state)
+static void late_gang_gets_its_vms(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 5,
 			     .cpu = 12000,
 			     .mem_mb = 100,
 			     .guess_ms = 100,
 			     .flags = JTB_GANG};
 
-	three_and_some(b, 8);
-	jobs_job(b->jtb, "g", &s, 1, JOBS_WALL_MS - 600000);
-	ticks(b, 3);
-	assert_in_range(b->orders, 2, 3);
+	add_three_vms_and_standby(f, 8);
+	jobs_job(f->jtb, "g", &s, 1, JOBS_WALL_MS - 600000);
+	ticks(f, 3);
+	assert_in_range(f->orders, 2, 3);
 }
 
-/* One that no fleet of ours could hold gets none: they would wait for good. */
-static void a_gang_without_end_gets_no_vms(void **state)
+/*
+ * A gang that is larger than the whole fleet gets no VMs, as they would wait
+ * for ever.
+ */
+static void gang_larger_than_the_fleet_gets_no_vms(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct jtb_step s = {.count = 50,
 			     .cpu = 12000,
 			     .mem_mb = 100,
 			     .guess_ms = 100,
 			     .flags = JTB_GANG};
 
-	three_and_some(b, 8);
-	jobs_job(b->jtb, "g", &s, 1, JOBS_WALL_MS - 600000);
-	ticks(b, 3);
-	assert_int_equal(b->orders, 0);
+	add_three_vms_and_standby(f, 8);
+	jobs_job(f->jtb, "g", &s, 1, JOBS_WALL_MS - 600000);
+	ticks(f, 3);
+	assert_int_equal(f->orders, 0);
 }
 
 #define T(fn) cmocka_unit_test_setup_teardown(fn, setup, teardown)
@@ -1087,43 +1127,43 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		T(a_vm_that_is_off_is_fetched),
-		T(work_that_counts_nothing_gets_a_vm),
-		T(each_turn_counts_in_the_load),
-		T(a_late_gang_gets_its_vms),
-		T(a_gang_without_end_gets_no_vms),
-		T(what_waits_and_what_comes_add_up),
-		T(late_work_counts_less),
-		T(work_without_use_counts_nothing),
-		T(what_runs_makes_room_for_what_comes),
-		T(long_work_needs_what_it_uses),
-		T(work_that_lasts_makes_no_room),
-		T(no_vm_is_taken_twice),
-		T(a_pool_whose_load_grows_keeps_its_vms),
-		T(a_job_now_and_then_is_no_growth),
-		T(a_new_leader_knows_what_came_long_ago),
-		T(a_held_vm_stays),
-		T(a_vm_is_emptied_before_its_move),
-		T(work_that_saves_makes_way),
-		T(the_vm_that_is_empty_soonest_is_taken),
-		T(work_that_doesnt_save_is_waited_for),
-		T(work_that_is_nearly_done_is_waited_for),
-		T(a_gang_is_waited_for),
-		T(progress_tells_more_than_a_guess),
+		T(standby_vm_is_fetched_at_once),
+		T(work_of_weight_zero_gets_a_vm),
+		T(each_turn_of_a_repeated_job_counts),
+		T(late_gang_gets_its_vms),
+		T(gang_larger_than_the_fleet_gets_no_vms),
+		T(waiting_and_expected_jobs_add_up),
+		T(late_work_has_a_lower_weight),
+		T(hopeless_work_has_no_weight),
+		T(ending_runs_make_room_for_new_jobs),
+		T(steady_long_jobs_need_what_they_use),
+		T(long_running_work_makes_no_room),
+		T(vm_is_not_chosen_twice),
+		T(pool_with_growing_load_keeps_its_vms),
+		T(occasional_job_is_no_growth),
+		T(new_leader_ignores_old_jobs_in_rates),
+		T(vm_in_upkeep_is_not_moved),
+		T(vm_is_drained_before_its_move),
+		T(saved_work_is_stopped),
+		T(vm_that_is_empty_soonest_is_chosen),
+		T(unsaved_work_is_waited_for),
+		T(nearly_done_work_is_waited_for),
+		T(gang_is_waited_for),
+		T(progress_overrides_the_estimate),
 		T(work_is_not_stopped_to_switch_off),
-		T(work_that_saves_doesnt_hold_its_vm),
-		T(what_is_idle_can_be_spared),
-		T(the_last_vms_cant_be_spared),
-		T(what_load_needs_cant_be_spared),
-		T(rates_go_with_leadership),
-		T(a_start_on_its_way_is_waited_for),
-		T(a_start_without_memory_is_waited_for),
-		T(a_vm_with_work_that_lasts_stays),
-		T(a_move_ends),
-		T(a_vm_that_failed_is_left_alone),
-		T(a_move_with_a_lost_answer_keeps_its_worker_closed),
-		T(a_lost_rack_costs_one_move_a_vm),
-		T(a_move_that_was_agreed_to_ends_with_a_later_list),
+		T(vm_with_saved_work_is_chosen),
+		T(idle_and_standby_vms_are_spare),
+		T(last_vms_of_a_pool_are_not_spare),
+		T(vms_needed_by_load_are_not_spare),
+		T(rates_are_reset_for_a_new_leader),
+		T(pending_start_is_waited_for),
+		T(pending_start_without_memory_is_waited_for),
+		T(vm_with_long_running_work_stays),
+		T(unanswered_move_is_abandoned),
+		T(move_of_a_failed_vm_is_abandoned),
+		T(move_with_a_lost_answer_keeps_its_worker_closed),
+		T(lost_rack_costs_one_move_for_each_vm),
+		T(accepted_move_is_done_with_a_later_list),
 	};
 
 	return cmocka_run_group_tests_name("flo", tests, NULL, NULL);
