--- a/src/flo.h
+++ b/src/flo.h
@@ -2,6 +2,7 @@
 #define FLO_H
 
 /* Autoscaler for worker pools: moves VMs between pools to follow the load. */
+
 #include <stdbool.h>
 #include <stdint.h>
 
--- a/src/upk.h
+++ b/src/upk.h
@@ -2,6 +2,7 @@
 #define UPK_H
 
 /* Plans rolling VM maintenance ("upkeep") in maintenance waves. */
+
 #include <stdbool.h>
 #include <stdint.h>
 
--- a/src/vms.c
+++ b/src/vms.c
@@ -4,26 +4,30 @@
 
 #include "msg.h"
 
-/* The service answers within some ms, and within a second where it is slow. */
+/*
+ * Deadline of a call, ms. The service answers within some ms, and within a
+ * second when it is slow.
+ */
 #define VMS_ANSWER_MS 1500
 #define VMS_CONNECT_MS 500
-/* Largest page of the list: 200 VMs of 300 bytes, five times over. */
+/* Largest page of the list: 5 times 200 VMs of 300 bytes. */
 #define VMS_ANSWER_MAX (320 << 10)
 #define VMS_REUSE_MS 10000
 /*
- * Others elect no leader for 600 ms from the moment T up to which a quorum took
- * us for theirs, and the next leader orders nothing in its first 100 ms. So an
- * order is written until T + 300 ms, and broken off at T + 450 ms if it got no
- * answer by then; a kernel whose process stands still sends it again for 200 ms
- * at most. The 250 ms from the last of these to the next leader's first order
- * are for what is in the network, for a look that comes a turn late, and for
- * clocks that differ by 2 %. While a quorum answers, T is some 100 ms ago.
+ * Time limits of orders after T, the time at which a quorum last confirmed this
+ * leader, ms. Other replicas elect no leader until T + 600 ms, and the next
+ * leader sends no order in its first 100 ms. So an order is written until T +
+ * 300 ms, and aborted at T + 450 ms if it has no answer by then; if the process
+ * is paused, its kernel retransmits for at most 200 ms more. The 250 ms between
+ * the last retransmission and the next leader's first order allow for network
+ * delay, for a check that runs one interval late, and for clocks that differ by
+ * 2 %. While a quorum answers, T is some 100 ms ago.
  */
-#define VMS_UNSURE_MS 300
-#define VMS_BREAK_MS 450
-#define VMS_HELD_MS 200
-/* How often orders on their way are looked at, ms. */
-#define VMS_LOOK_MS 25
+#define VMS_SEND_LIMIT_MS 300
+#define VMS_ABORT_LIMIT_MS 450
+#define VMS_RETRANSMIT_MS 200
+/* Interval at which unanswered orders are checked, ms. */
+#define VMS_CHECK_MS 25
 
 struct vms_call {
 	struct vms *v;
@@ -40,43 +44,49 @@
 	void *arg;
 	struct ups *ups;
 	GPtrArray *calls; /* struct vms_call */
-	GPtrArray *vms; /* struct vms_vm, the newest whole list */
-	GHashTable *by_name; /* the same, by its VMs' names */
-	GHashTable *by_worker; /* and by what is on them */
-	GHashTable *last; /* worker: name of the VM it was last listed on */
-	bool unread; /* of a VM that is up the list doesn't tell the worker */
-	GPtrArray *incoming; /* pages of the next one */
+	GPtrArray *vms; /* struct vms_vm, the latest complete list */
+	GHashTable *by_name; /* the list by VM name */
+	GHashTable *by_worker; /* the list by worker id */
+	/* worker id: name of the VM that it was last listed on */
+	GHashTable *last_vm;
+	bool worker_unknown; /* a VM in the list is up, but its worker is not known */
+	GPtrArray *incoming; /* pages of the list being read */
 	bool listing;
-	int64_t list_from; /* when the list being read was asked for */
-	int64_t listed_ms; /* when the newest whole one was; 0: none */
+	int64_t list_requested_ms; /* when the list being read was requested */
+	/* when the latest complete list was requested; 0: none */
+	int64_t listed_ms;
 	uint64_t fence;
-	uint64_t look_timer;
+	uint64_t check_timer;
 	bool leading;
-	uint64_t sent;
+	uint64_t n_calls;
 };
 
 static void vms_index(struct vms *v);
-static void vms_note_last(struct vms *v, const struct vms_vm *vm);
-static bool vms_sure(const struct vms *v, int64_t for_ms);
+static void vms_record_last(struct vms *v, const struct vms_vm *vm);
+static bool vms_is_leader_confirmed(const struct vms *v, int64_t for_ms);
 static bool vms_may_order(const struct vms *v, const char *vm);
 static bool vms_may_write(void *arg);
-static void vms_look(void *arg, int64_t now);
-static struct vms_call *vms_any_order(const struct vms *v);
-static void vms_look_later(struct vms *v);
-static void vms_drop(struct vms_call *c);
-static void vms_ask_page(struct vms *v, const char *page);
+static void vms_check_orders(void *arg, int64_t now);
+static struct vms_call *vms_find_order(const struct vms *v);
+static void vms_schedule_check(struct vms *v);
+static void vms_abort_call(struct vms_call *c);
+static void vms_request_page(struct vms *v, const char *page);
 static struct vms_call *vms_send(struct vms *v, const struct vms_order *o);
-static void vms_on_end(void *arg, enum ups_end end, const struct ups_answer *a);
-static void vms_page(struct vms *v, enum ups_end end, int status,
-		     struct lstr body);
+static void vms_handle_end(void *arg, enum ups_end end,
+			   const struct ups_answer *a);
+static void vms_handle_page(struct vms *v, enum ups_end end, int status,
+			    struct lstr body);
 static void vms_call_free(struct vms_call *c);
 
 static const struct ups_ops vms_ups_ops = {
 	.may = vms_may_write,
-	.end = vms_on_end,
+	.end = vms_handle_end,
 };
 
-/* A session that rests until vms_lead; config's parts must outlive it. */
+/*
+ * Creates a session that does nothing until vms_lead(). What config points to
+ * must outlive it.
+ */
 struct vms *vms_new(const struct vms_config *config, const struct vms_ops *ops,
 		    void *arg)
 {
@@ -87,18 +97,18 @@
 	v->arg = arg;
 	v->ups = ups_new(config->base, config->tmr);
 	ups_set_reuse(v->ups, VMS_REUSE_MS);
-	ups_set_held(v->ups, VMS_HELD_MS);
+	ups_set_held(v->ups, VMS_RETRANSMIT_MS);
 	ups_set_most(v->ups, VMS_CONNS_MAX);
 	v->calls = g_ptr_array_new();
 	v->vms = g_ptr_array_new_with_free_func(vms_vm_free);
 	v->by_name = g_hash_table_new(g_str_hash, g_str_equal);
 	v->by_worker = g_hash_table_new(g_str_hash, g_str_equal);
-	v->last =
+	v->last_vm =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return v;
 }
 
-/* Ends the session; calls on their way may be carried out. */
+/* Ends the session. Orders in flight may still be carried out. */
 void vms_free(struct vms *v)
 {
 	if (!v)
@@ -108,12 +118,15 @@
 	g_ptr_array_free(v->calls, TRUE);
 	g_hash_table_destroy(v->by_name);
 	g_hash_table_destroy(v->by_worker);
-	g_hash_table_destroy(v->last);
+	g_hash_table_destroy(v->last_vm);
 	g_ptr_array_free(v->vms, TRUE);
 	g_free(v);
 }
 
-/* We lead; orders carry this fence. */
+/*
+ * Starts the session when this replica becomes leader. Orders carry the fencing
+ * token.
+ */
 void vms_lead(struct vms *v, uint64_t fence)
 {
 	vms_rest(v);
@@ -121,36 +134,42 @@
 	v->fence = fence;
 }
 
-/* We don't lead any more. */
+/*
+ * Stops the session when this replica is no leader any more: aborts all calls
+ * and drops the list.
+ */
 void vms_rest(struct vms *v)
 {
 	v->leading = false;
-	tmr_cancel(v->config.tmr, v->look_timer);
-	v->look_timer = 0;
+	tmr_cancel(v->config.tmr, v->check_timer);
+	v->check_timer = 0;
 	while (v->calls->len)
-		vms_drop(g_ptr_array_steal_index_fast(v->calls, 0));
+		vms_abort_call(g_ptr_array_steal_index_fast(v->calls, 0));
 	if (v->incoming)
 		g_ptr_array_free(v->incoming, TRUE);
 	v->incoming = NULL;
 	v->listing = false;
 	v->listed_ms = 0;
 	g_ptr_array_set_size(v->vms, 0);
-	g_hash_table_remove_all(v->last);
+	g_hash_table_remove_all(v->last_vm);
 	vms_index(v);
 }
 
-/* Reads the list anew, unless it is being read. */
+/* Reads the list again, unless it is being read or the session is stopped. */
 void vms_refresh(struct vms *v)
 {
 	if (!v->leading || v->listing)
 		return;
 	v->listing = true;
-	v->list_from = tmr_now(v->config.tmr);
+	v->list_requested_ms = tmr_now(v->config.tmr);
 	v->incoming = g_ptr_array_new_with_free_func(vms_vm_free);
-	vms_ask_page(v, NULL);
+	vms_request_page(v, NULL);
 }
 
-/* Takes a whole list over as if it had been read, asked for at that time. */
+/*
+ * Replaces the list as if it had been read, with a request at asked_ms. Takes
+ * ownership of the array.
+ */
 void vms_put_list(struct vms *v, GPtrArray *list, int64_t asked_ms)
 {
 	g_ptr_array_free(v->vms, TRUE);
@@ -159,14 +178,14 @@
 	vms_index(v);
 }
 
-/* Makes the newest list's VMs be found by name and by worker. */
+/* Builds the indexes of the list by VM name and by worker. */
 static void vms_index(struct vms *v)
 {
 	guint i;
 
 	g_hash_table_remove_all(v->by_name);
 	g_hash_table_remove_all(v->by_worker);
-	v->unread = false;
+	v->worker_unknown = false;
 	for (i = 0; i < v->vms->len; i++) {
 		struct vms_vm *vm = g_ptr_array_index(v->vms, i);
 
@@ -176,12 +195,15 @@
 		    !g_hash_table_contains(v->by_worker, vm->worker))
 			g_hash_table_insert(v->by_worker, vm->worker, vm);
 		if (*vm->worker)
-			vms_note_last(v, vm);
-		v->unread |= !*vm->worker && vm->state == VMS_UP;
+			vms_record_last(v, vm);
+		v->worker_unknown |= !*vm->worker && vm->state == VMS_UP;
 	}
 }
 
-/* Orders the upkeep of a VM that is due in a wave. */
+/*
+ * Orders the upkeep of a VM in a wave; does nothing if no order may be sent for
+ * it now.
+ */
 void vms_upkeep(struct vms *v, const char *vm, uint64_t wave)
 {
 	struct vms_order o = {.kind = VMS_DO_UPKEEP, .vm = vm, .wave = wave};
@@ -190,7 +212,10 @@
 		vms_send(v, &o);
 }
 
-/* Orders a VM to another pool. */
+/*
+ * Orders the move of a VM to a pool; does nothing if no order may be sent for
+ * it now.
+ */
 void vms_move(struct vms *v, const char *vm, const char *pool)
 {
 	struct vms_order o = {.kind = VMS_DO_MOVE, .vm = vm, .pool = pool};
@@ -199,7 +224,7 @@
 		vms_send(v, &o);
 }
 
-/* Whether an order for a VM is on its way. */
+/* Whether an order for a VM has been sent and not been answered. */
 bool vms_asked(const struct vms *v, const char *vm)
 {
 	guint i;
@@ -213,67 +238,70 @@
 	return false;
 }
 
-/* The newest whole list, struct vms_vm. */
+/* Returns the latest complete list, struct vms_vm. */
 GPtrArray *vms_all(const struct vms *v)
 {
 	return v->vms;
 }
 
-/* A VM by name, or NULL. */
+/* Returns a VM by name, or NULL. */
 const struct vms_vm *vms_find(const struct vms *v, const char *name)
 {
 	return g_hash_table_lookup(v->by_name, name);
 }
 
-/* The VM that a worker is on, or NULL. */
+/* Returns the VM that a worker runs on, or NULL. */
 const struct vms_vm *vms_of_worker(const struct vms *v, const char *worker)
 {
 	return g_hash_table_lookup(v->by_worker, worker);
 }
 
-/* The VM that a worker was last listed on, as it is listed now, or NULL. */
+/*
+ * Returns the current entry of the VM that a worker was last listed on, or
+ * NULL.
+ */
 const struct vms_vm *vms_last_of_worker(const struct vms *v, const char *worker)
 {
-	const char *name = g_hash_table_lookup(v->last, worker);
+	const char *name = g_hash_table_lookup(v->last_vm, worker);
 
 	return name ? vms_find(v, name) : NULL;
 }
 
-/* Keeps on which VM a worker was. */
-static void vms_note_last(struct vms *v, const struct vms_vm *vm)
+/* Records the VM of a worker. */
+static void vms_record_last(struct vms *v, const struct vms_vm *vm)
 {
-	const char *name = g_hash_table_lookup(v->last, vm->worker);
+	const char *name = g_hash_table_lookup(v->last_vm, vm->worker);
 
 	if (g_strcmp0(name, vm->name) != 0)
-		g_hash_table_insert(v->last, g_strdup(vm->worker),
+		g_hash_table_insert(v->last_vm, g_strdup(vm->worker),
 				    g_strdup(vm->name));
 }
 
-/* A worker is over: where it was is forgotten. */
+/* Drops the record of a worker's VM once the worker has ended. */
 void vms_forget_worker(struct vms *v, const char *worker)
 {
-	g_hash_table_remove(v->last, worker);
+	g_hash_table_remove(v->last_vm, worker);
 }
 
-/* Whether the newest list doesn't tell what is on a VM that is up. */
+/* Whether a VM in the latest list is up without a known worker. */
 bool vms_unread(const struct vms *v)
 {
-	return v->unread;
+	return v->worker_unknown;
 }
 
-/* When the newest whole list was asked for; 0: there is none. */
+/* Returns when the latest complete list was requested; 0: there is none. */
 int64_t vms_listed_ms(const struct vms *v)
 {
 	return v->listed_ms;
 }
 
-/* Calls since the start. */
+/* Returns the number of calls since the session was created. */
 uint64_t vms_calls(const struct vms *v)
 {
-	return v->sent;
+	return v->n_calls;
 }
 
-/* Frees a VM of the list. */
+/* Frees a struct vms_vm. */
 void vms_vm_free(gpointer p)
 {
 	struct vms_vm *vm = p;
@@ -284,58 +312,65 @@
 	g_free(vm);
 }
 
-/* Whether we lead, and knew so no longer ago than that. */
-static bool vms_sure(const struct vms *v, int64_t for_ms)
+/*
+ * Whether this replica leads, and was confirmed as leader at most for_ms ago.
+ */
+static bool vms_is_leader_confirmed(const struct vms *v, int64_t for_ms)
 {
-	int64_t unsure = tmr_now(v->config.tmr) - v->ops->sure(v->arg);
+	int64_t age_ms = tmr_now(v->config.tmr) - v->ops->sure(v->arg);
 
-	return v->leading && unsure <= for_ms;
+	return v->leading && age_ms <= for_ms;
 }
 
 /*
- * Whether an order for a VM may go out. A leader that stood still, and was
- * replaced meanwhile, would give orders by turns with the other until it learns
- * so; where the service doesn't look at fences, it would carry them out.
+ * Whether an order for a VM may be sent. A leader that was paused and replaced
+ * meanwhile would otherwise give orders alternating with the new leader's until
+ * it learns so. A service that does not check fencing tokens would carry out
+ * both.
  */
 static bool vms_may_order(const struct vms *v, const char *vm)
 {
-	return vms_sure(v, VMS_UNSURE_MS) && !vms_asked(v, vm);
+	return vms_is_leader_confirmed(v, VMS_SEND_LIMIT_MS) &&
+	       !vms_asked(v, vm);
 }
 
-/* The same as it is written: its connection may have taken long to come. */
+/* Checks again when the call is written, as connecting may have taken long. */
 static bool vms_may_write(void *arg)
 {
 	const struct vms_call *c = arg;
 
-	return c->kind == VMS_LIST || vms_sure(c->v, VMS_UNSURE_MS);
+	return c->kind == VMS_LIST ||
+	       vms_is_leader_confirmed(c->v, VMS_SEND_LIMIT_MS);
 }
 
 /*
- * Breaks off the orders that got no answer while we were surely the leader. A
- * cut may hold them up until another leads, which takes less time than we need
- * to see that we were replaced.
+ * Aborts unanswered orders when leadership has not been confirmed for
+ * VMS_ABORT_LIMIT_MS. A network partition may delay them until another leader
+ * is elected, which takes less time than this leader needs to notice that it
+ * was replaced.
  */
-static void vms_look(void *arg, int64_t now)
+static void vms_check_orders(void *arg, int64_t now)
 {
 	struct vms *v = arg;
-	struct vms_call *c = vms_any_order(v);
+	struct vms_call *c = vms_find_order(v);
 
-	v->look_timer = 0;
-	for (; c && !vms_sure(v, VMS_BREAK_MS); c = vms_any_order(v)) {
+	v->check_timer = 0;
+	for (; c && !vms_is_leader_confirmed(v, VMS_ABORT_LIMIT_MS);
+	     c = vms_find_order(v)) {
 		enum vms_kind kind = c->kind;
 		char *vm = g_strdup(c->vm);
 
 		g_ptr_array_remove(v->calls, c);
-		vms_drop(c);
+		vms_abort_call(c);
 		v->ops->answered(v->arg, kind, vm, VMS_UNANSWERED);
 		g_free(vm);
 	}
 	if (c)
-		vms_look_later(v);
+		vms_schedule_check(v);
 }
 
-/* An order that has no answer yet, or NULL. */
-static struct vms_call *vms_any_order(const struct vms *v)
+/* Returns an unanswered order, or NULL. */
+static struct vms_call *vms_find_order(const struct vms *v)
 {
 	guint i;
 
@@ -348,16 +383,16 @@
 	return NULL;
 }
 
-/* Has the orders on their way looked at soon. */
-static void vms_look_later(struct vms *v)
+/* Schedules the next check of unanswered orders. */
+static void vms_schedule_check(struct vms *v)
 {
-	if (!v->look_timer)
-		v->look_timer =
-			tmr_once(v->config.tmr, VMS_LOOK_MS, vms_look, v);
+	if (!v->check_timer)
+		v->check_timer = tmr_once(v->config.tmr, VMS_CHECK_MS,
+					  vms_check_orders, v);
 }
 
-/* Gives a call up; what of it lies in the kernel is dropped. */
-static void vms_drop(struct vms_call *c)
+/* Aborts a call; what the kernel still holds of it is discarded. */
+static void vms_abort_call(struct vms_call *c)
 {
 	if (c->vm)
 		msg(MSG_VMS_DROPPED,
@@ -369,8 +404,8 @@
 	vms_call_free(c);
 }
 
-/* Asks for a page of the list. */
-static void vms_ask_page(struct vms *v, const char *page)
+/* Requests a page of the list. */
+static void vms_request_page(struct vms *v, const char *page)
 {
 	struct vms_order o = {.kind = VMS_LIST, .page = page};
 
@@ -405,11 +440,11 @@
 				      scratch, sizeof(scratch));
 	r.uri = path;
 	r.body = c->body;
-	v->sent++;
+	v->n_calls++;
 	g_ptr_array_add(v->calls, c);
 	c->ups = ups_start(v->ups, &r, &vms_ups_ops, c);
 	if (c->vm) {
-		vms_look_later(v);
+		vms_schedule_check(v);
 		msg(MSG_VMS_SENT,
 		    "vm=%s fence=%" PRIu64 " sure_age_ms=%" PRId64, c->vm,
 		    o.fence, c->sent_ms - v->ops->sure(v->arg));
@@ -418,8 +453,9 @@
 	return c;
 }
 
-/* A call ended, with an answer or without. */
-static void vms_on_end(void *arg, enum ups_end end, const struct ups_answer *a)
+/* Handles the end of a call, answered or not. */
+static void vms_handle_end(void *arg, enum ups_end end,
+			   const struct ups_answer *a)
 {
 	struct vms_call *c = arg;
 	struct vms *v = c->v;
@@ -433,7 +469,7 @@
 		body = lstr_n(evbuffer_pullup(a->body, -1), len);
 	}
 	if (c->kind == VMS_LIST) {
-		vms_page(v, end, a->status, body);
+		vms_handle_page(v, end, a->status, body);
 	} else {
 		if (end == UPS_WHOLE)
 			answer = v->config.codec->answer(a->status, body);
@@ -442,9 +478,12 @@
 	vms_call_free(c);
 }
 
-/* One page of the list; it counts only once all of it is there. */
-static void vms_page(struct vms *v, enum ups_end end, int status,
-		     struct lstr body)
+/*
+ * Handles a page of the list. The list is replaced only when all pages have
+ * been read.
+ */
+static void vms_handle_page(struct vms *v, enum ups_end end, int status,
+			    struct lstr body)
 {
 	char *next = NULL;
 
@@ -456,11 +495,11 @@
 		return;
 	}
 	if (next) {
-		vms_ask_page(v, next);
+		vms_request_page(v, next);
 		g_free(next);
 		return;
 	}
-	vms_put_list(v, g_steal_pointer(&v->incoming), v->list_from);
+	vms_put_list(v, g_steal_pointer(&v->incoming), v->list_requested_ms);
 	v->listing = false;
 	v->ops->listed(v->arg);
 }
--- a/src/vms.h
+++ b/src/vms.h
@@ -1,6 +1,8 @@
 #ifndef VMS_H
 #define VMS_H
 
+/* Client of the platform service that lists, moves and maintains VMs. */
+
 #include <event2/event.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -10,12 +12,13 @@
 #include "ups.h"
 
 /*
- * The leader's session with the service that switches VMs: the list of them,
- * upkeep and moves between pools. An order may be given any number of times.
+ * The leader's session with the platform service: it reads the VM list and
+ * orders upkeep and moves between pools. An order may be sent any number of
+ * times.
  */
 struct vms;
 
-/* Connections to the service that switches VMs, at most. */
+/* Most connections to the platform service. */
 #define VMS_CONNS_MAX 16
 
 enum vms_state {
@@ -28,20 +31,20 @@
 struct vms_vm {
 	char *name;
 	char *pool;
-	char *worker; /* lifetime on it; "" where there is none */
+	char *worker; /* id of the worker on it; "": none */
 	enum vms_state state;
-	uint32_t cpu;
+	uint32_t cpu; /* thousandths of a core */
 	uint32_t mem_mb;
 };
 
 enum vms_answer {
 	VMS_YES,
-	VMS_FENCED, /* a later leader has given orders for it */
-	VMS_BUSY, /* it is not up, or leaves */
-	VMS_OTHER_WAVE, /* it isn't due in that wave */
+	VMS_FENCED, /* refused: a later leader has given orders for the VM */
+	VMS_BUSY, /* refused: the VM is not up, or is being taken down */
+	VMS_OTHER_WAVE, /* refused: the VM is not due in that wave */
 	VMS_NO_SUCH,
-	VMS_SLOW_DOWN, /* too many calls */
-	VMS_UNANSWERED, /* it may be done yet */
+	VMS_SLOW_DOWN, /* refused: too many calls */
+	VMS_UNANSWERED, /* no answer: the order may still be carried out */
 };
 
 enum vms_kind {
@@ -53,32 +56,41 @@
 struct vms_order {
 	enum vms_kind kind;
 	const char *vm;
-	const char *pool; /* move */
-	uint64_t wave; /* upkeep */
-	const char *page; /* list: where to go on; or NULL */
+	const char *pool; /* for a move */
+	uint64_t wave; /* for upkeep */
+	const char *page; /* for a list: the page; NULL for the first */
 	const char *holder;
 	uint64_t fence;
 };
 
 #define VMS_HEADERS_MAX 4
 
-/* How orders and answers look on the wire. */
+/* Encodes orders and decodes answers. */
 struct vms_codec {
-	/* returns the path, to be freed; headers are static or order's */
+	/*
+	 * Writes the request body and headers; returns the path, to be freed
+	 * with g_free. Header values are static or belong to the order or to
+	 * scratch.
+	 */
 	char *(*write)(const struct vms_order *o, struct evbuffer *body,
 		       struct ups_header *headers, size_t *n_headers,
 		       char *scratch, size_t scratch_size);
+	/* Returns the meaning of an answer to an order. */
 	enum vms_answer (*answer)(int status, struct lstr body);
-	/* adds struct vms_vm; *next: the next page, to be freed, or NULL */
+	/*
+	 * Adds the page's struct vms_vm; *next is the next page, to be freed,
+	 * or NULL. Returns false if the page is malformed.
+	 */
 	bool (*list)(struct lstr body, GPtrArray *vms, char **next);
 };
 
 struct vms_ops {
-	/* a whole list came in */
+	/* A complete list was read. */
 	void (*listed)(void *arg);
+	/* An order was answered, failed or was aborted. */
 	void (*answered)(void *arg, enum vms_kind kind, const char *vm,
 			 enum vms_answer answer);
-	/* when we last knew that we lead, on tmr's clock */
+	/* Returns when leadership was last confirmed, by tmr's clock. */
 	int64_t (*sure)(void *arg);
 };
 
@@ -87,7 +99,8 @@
 	struct tmr *tmr;
 	const struct vms_codec *codec;
 	const char *addr; /* IP:PORT */
-	const char *node; /* our name, as holder */
+	/* name of this replica, sent as the holder of orders */
+	const char *node;
 };
 
 struct vms *vms_new(const struct vms_config *config, const struct vms_ops *ops,
--- a/tests/unit/vms_test.c
+++ b/tests/unit/vms_test.c
@@ -15,14 +15,19 @@
 
 #define SETTLE_MS 100
 #define FENCE 7
-/* More than a service that doesn't read is sent, less than a kernel holds. */
+/*
+ * Larger than what a service that does not read accepts, smaller than what a
+ * kernel buffers.
+ */
 #define ORDER_BYTES 12000
-#define HEALED_MS 3000
-/* Longer than an election, and than a kernel waits to send again. */
-#define STILL_US 1500000
+#define READ_TIMEOUT_MS 3000
+/* Longer than an election and than a kernel's retransmissions. */
+#define PAUSE_US 1500000
 
-/* A service of VMs that says yes to all, and the leader's side. */
-struct bed {
+/*
+ * A platform service that accepts all orders, and the leader's session with it.
+ */
+struct fixture {
 	struct event_base *base;
 	struct tmr *tmr;
 	struct evhttp *http;
@@ -33,306 +38,309 @@
 	int unanswered;
 	int lists;
 	size_t padding; /* bytes of an order's body */
-	int64_t unsure_ms; /* we last knew so long ago that we lead */
+	int64_t confirmed_age_ms; /* age of the last confirmation of leadership */
 };
 
-/* The codec is told nothing of its bed. */
-static struct bed *bed_now;
+/* The codec's functions have no argument for the fixture. */
+static struct fixture *current_fixture;
 
-static char *bed_write(const struct vms_order *o, struct evbuffer *body,
-		       struct ups_header *headers, size_t *n_headers,
-		       char *scratch, size_t scratch_size)
+static char *fixture_write(const struct vms_order *o, struct evbuffer *body,
+			   struct ups_header *headers, size_t *n_headers,
+			   char *scratch, size_t scratch_size)
 {
-	struct bed *b = bed_now;
-	char *padding = g_malloc0(b->padding + 1);
+	struct fixture *f = current_fixture;
+	char *padding = g_malloc0(f->padding + 1);
 
-	evbuffer_add(body, padding, b->padding);
+	evbuffer_add(body, padding, f->padding);
 	g_free(padding);
 	*n_headers = 0;
 	return g_strdup(o->kind == VMS_LIST ? "/list" : "/order");
 }
 
-static enum vms_answer bed_answer(int status, struct lstr body)
+static enum vms_answer fixture_answer(int status, struct lstr body)
 {
 	return status == 200 ? VMS_YES : VMS_BUSY;
 }
 
-static bool bed_list(struct lstr body, GPtrArray *vms, char **next)
+static bool fixture_list(struct lstr body, GPtrArray *vms, char **next)
 {
 	return true;
 }
 
-static const struct vms_codec bed_codec = {
-	.write = bed_write,
-	.answer = bed_answer,
-	.list = bed_list,
+static const struct vms_codec fixture_codec = {
+	.write = fixture_write,
+	.answer = fixture_answer,
+	.list = fixture_list,
 };
 
-static void bed_on_request(struct evhttp_request *req, void *arg)
+static void fixture_on_request(struct evhttp_request *req, void *arg)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->orders += strcmp(evhttp_request_get_uri(req), "/order") == 0;
+	f->orders += strcmp(evhttp_request_get_uri(req), "/order") == 0;
 	evhttp_send_reply(req, 200, "OK", NULL);
 }
 
-static void bed_listed(void *arg)
+static void fixture_listed(void *arg)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->lists++;
+	f->lists++;
 }
 
-static void bed_answered(void *arg, enum vms_kind kind, const char *vm,
-			 enum vms_answer answer)
+static void fixture_answered(void *arg, enum vms_kind kind, const char *vm,
+			     enum vms_answer answer)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->yes += answer == VMS_YES;
-	b->unanswered += answer == VMS_UNANSWERED;
+	f->yes += answer == VMS_YES;
+	f->unanswered += answer == VMS_UNANSWERED;
 }
 
-static int64_t bed_sure(void *arg)
+static int64_t fixture_confirmed_ms(void *arg)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	return tmr_now(b->tmr) - b->unsure_ms;
+	return tmr_now(f->tmr) - f->confirmed_age_ms;
 }
 
-static const struct vms_ops bed_ops = {
-	.listed = bed_listed,
-	.answered = bed_answered,
-	.sure = bed_sure,
+static const struct vms_ops fixture_ops = {
+	.listed = fixture_listed,
+	.answered = fixture_answered,
+	.sure = fixture_confirmed_ms,
 };
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
+	struct fixture *f = g_new0(struct fixture, 1);
 	int port;
 
 	close(net_listen(&port));
-	g_snprintf(b->addr, sizeof(b->addr), "127.0.0.1:%d", port);
-	b->base = event_base_new();
-	b->tmr = tmr_new(b->base);
-	b->http = evhttp_new(b->base);
-	evhttp_set_gencb(b->http, bed_on_request, b);
+	g_snprintf(f->addr, sizeof(f->addr), "127.0.0.1:%d", port);
+	f->base = event_base_new();
+	f->tmr = tmr_new(f->base);
+	f->http = evhttp_new(f->base);
+	evhttp_set_gencb(f->http, fixture_on_request, f);
 	assert_int_equal(
-		evhttp_bind_socket(b->http, "127.0.0.1", (uint16_t)port), 0);
-	b->vms = vms_new(&(struct vms_config){.base = b->base,
-					      .tmr = b->tmr,
-					      .codec = &bed_codec,
-					      .addr = b->addr,
+		evhttp_bind_socket(f->http, "127.0.0.1", (uint16_t)port), 0);
+	f->vms = vms_new(&(struct vms_config){.base = f->base,
+					      .tmr = f->tmr,
+					      .codec = &fixture_codec,
+					      .addr = f->addr,
 					      .node = "n"},
-			 &bed_ops, b);
-	vms_lead(b->vms, FENCE);
-	bed_now = b;
-	*state = b;
+			 &fixture_ops, f);
+	vms_lead(f->vms, FENCE);
+	current_fixture = f;
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	vms_free(b->vms);
-	evhttp_free(b->http);
-	tmr_free(b->tmr);
-	event_base_free(b->base);
-	g_free(b);
+	vms_free(f->vms);
+	evhttp_free(f->http);
+	tmr_free(f->tmr);
+	event_base_free(f->base);
+	g_free(f);
 	return 0;
 }
 
-static void an_order_is_sent_once_at_a_time(void **state)
+static void vm_has_one_order_at_a_time(void **state)
 {
-	struct bed *b = *state;
-
-	vms_move(b->vms, "vm1", "p");
-	vms_move(b->vms, "vm1", "q");
-	vms_upkeep(b->vms, "vm1", 1);
-	vms_move(b->vms, "vm2", "p");
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->orders, 2);
-	assert_int_equal(b->yes, 2);
-	assert_false(vms_asked(b->vms, "vm1"));
+	struct fixture *f = *state;
+
+	vms_move(f->vms, "vm1", "p");
+	vms_move(f->vms, "vm1", "q");
+	vms_upkeep(f->vms, "vm1", 1);
+	vms_move(f->vms, "vm2", "p");
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->orders, 2);
+	assert_int_equal(f->yes, 2);
+	assert_false(vms_asked(f->vms, "vm1"));
 }
 
 /*
- * Two leaders give one VM orders by turns. A leader stood still while another
- * took its place, and goes on where it was before it learns so.
+ * Guards against two leaders that give orders for one VM in turn: a leader was
+ * paused while another replaced it, and continues before it learns so.
  */
-static void a_leader_that_stood_still_orders_nothing(void **state)
+static void paused_leader_sends_no_order(void **state)
 {
-	struct bed *b = *state;
-
-	b->unsure_ms = 12000;
-	vms_move(b->vms, "vm1", "p");
-	vms_upkeep(b->vms, "vm2", 1);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->orders, 0);
-	/* a list changes nothing */
-	vms_refresh(b->vms);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->lists, 1);
-	b->unsure_ms = 0;
-	vms_move(b->vms, "vm1", "p");
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->orders, 1);
+	struct fixture *f = *state;
+
+	f->confirmed_age_ms = 12000;
+	vms_move(f->vms, "vm1", "p");
+	vms_upkeep(f->vms, "vm2", 1);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->orders, 0);
+	/* A list has no effect on VMs and may be read. */
+	vms_refresh(f->vms);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->lists, 1);
+	f->confirmed_age_ms = 0;
+	vms_move(f->vms, "vm1", "p");
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->orders, 1);
 }
 
-static void who_doesnt_lead_orders_nothing(void **state)
+static void stopped_session_sends_no_call(void **state)
 {
-	struct bed *b = *state;
-
-	vms_rest(b->vms);
-	vms_move(b->vms, "vm1", "p");
-	vms_refresh(b->vms);
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->orders, 0);
-	assert_int_equal(b->lists, 0);
+	struct fixture *f = *state;
+
+	vms_rest(f->vms);
+	vms_move(f->vms, "vm1", "p");
+	vms_refresh(f->vms);
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->orders, 0);
+	assert_int_equal(f->lists, 0);
 }
 
 /*
- * Two leaders give one VM orders by turns. A leader asks for a connection and
- * stands still while it is being made; another takes its place and orders; the
- * first goes on where it was and writes its order. It must look again as it
- * writes.
+ * Guards against two leaders that give orders for one VM in turn: a leader is
+ * paused while its connection is being made, is replaced meanwhile, and then
+ * writes its order. Leadership must be checked again as the order is written.
  */
-static void an_order_is_looked_at_again_as_it_is_written(void **state)
+static void leadership_is_checked_when_an_order_is_written(void **state)
 {
-	struct bed *b = *state;
-
-	vms_move(b->vms, "vm1", "p");
-	b->unsure_ms = 12000;
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->orders, 0);
-	assert_false(vms_asked(b->vms, "vm1"));
-	/* the same over a connection that is there */
-	b->unsure_ms = 0;
-	vms_move(b->vms, "vm1", "p");
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->orders, 1);
-	vms_move(b->vms, "vm1", "p");
-	b->unsure_ms = 12000;
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->orders, 1);
-	assert_false(vms_asked(b->vms, "vm1"));
+	struct fixture *f = *state;
+
+	vms_move(f->vms, "vm1", "p");
+	f->confirmed_age_ms = 12000;
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->orders, 0);
+	assert_false(vms_asked(f->vms, "vm1"));
+	/* the same over an established connection */
+	f->confirmed_age_ms = 0;
+	vms_move(f->vms, "vm1", "p");
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->orders, 1);
+	vms_move(f->vms, "vm1", "p");
+	f->confirmed_age_ms = 12000;
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->orders, 1);
+	assert_false(vms_asked(f->vms, "vm1"));
 }
 
 /*
- * A service that takes connections and reads nothing, which stands for a cut:
- * most of an order stays in the kernel of who gave it.
+ * Creates a session with a service that accepts connections and reads nothing,
+ * as in a network partition: most of an order stays in the kernel of the
+ * sender.
  */
-static struct vms *mute_service(struct bed *b, int *listener, char *addr,
-				size_t size)
+static struct vms *start_mute_service(struct fixture *f, int *listener,
+				      char *addr, size_t size)
 {
-	int little = 1;
+	int rcvbuf = 1;
 	struct vms *v;
 	int port;
 
 	*listener = net_listen(&port);
-	assert_int_equal(setsockopt(*listener, SOL_SOCKET, SO_RCVBUF, &little,
-				    sizeof(little)),
+	assert_int_equal(setsockopt(*listener, SOL_SOCKET, SO_RCVBUF, &rcvbuf,
+				    sizeof(rcvbuf)),
 			 0);
 	g_snprintf(addr, size, "127.0.0.1:%d", port);
-	b->padding = ORDER_BYTES;
-	v = vms_new(&(struct vms_config){.base = b->base,
-					 .tmr = b->tmr,
-					 .codec = &bed_codec,
+	f->padding = ORDER_BYTES;
+	v = vms_new(&(struct vms_config){.base = f->base,
+					 .tmr = f->tmr,
+					 .codec = &fixture_codec,
 					 .addr = addr,
 					 .node = "n"},
-		    &bed_ops, b);
+		    &fixture_ops, f);
 	vms_lead(v, FENCE);
 	return v;
 }
 
-/* The cut heals: whether the connection ends and not all of the order came. */
-static bool broken_off(struct bed *b, int fd)
+/*
+ * Reads all after the partition; returns whether the connection ended before
+ * the whole order came.
+ */
+static bool is_aborted(struct fixture *f, int fd)
 {
 	char buf[ORDER_BYTES];
-	size_t got = 0;
+	size_t received = 0;
 	ssize_t n;
 	int i;
 
-	for (i = 0; i < HEALED_MS; i++) {
+	for (i = 0; i < READ_TIMEOUT_MS; i++) {
 		while ((n = recv(fd, buf, sizeof(buf), MSG_DONTWAIT)) > 0)
-			got += (size_t)n;
+			received += (size_t)n;
 		if (n == 0 || (errno != EAGAIN && errno != EWOULDBLOCK))
-			return got < ORDER_BYTES;
+			return received < ORDER_BYTES;
 		g_usleep(1000);
 	}
 	return false;
 }
 
 /*
- * A VM is moved by a leader that has long been replaced. A cut holds its order
- * up in its own kernel; it loses its place and gives the call up; another
- * leader orders something of the VM; the cut heals, and the kernel delivers
- * the old order. With the lead goes what its calls left in the kernel.
+ * Guards against an old order that is delivered late: a partition holds it in
+ * the kernel of a leader that is replaced; another leader orders something for
+ * the VM; then the partition ends. When leadership ends, unsent data of its
+ * calls must be discarded.
  */
-static void orders_are_broken_off_with_the_lead(void **state)
+static void orders_are_aborted_when_leadership_ends(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	char addr[32];
 	int listener;
-	struct vms *v = mute_service(b, &listener, addr, sizeof(addr));
+	struct vms *v = start_mute_service(f, &listener, addr, sizeof(addr));
 	int fd;
 
 	vms_move(v, "vm1", "p");
-	fd = net_accept(b->base, listener, SETTLE_MS);
-	net_run(b->base, SETTLE_MS / 2);
+	fd = net_accept(f->base, listener, SETTLE_MS);
+	net_run(f->base, SETTLE_MS / 2);
 	vms_rest(v);
-	net_run(b->base, SETTLE_MS / 2);
-	assert_true(broken_off(b, fd));
+	net_run(f->base, SETTLE_MS / 2);
+	assert_true(is_aborted(f, fd));
 	close(fd);
 	vms_free(v);
 	close(listener);
 }
 
 /*
- * The same, and the leader hasn't noticed yet that it lost its place: that
- * takes it longer than others need to elect. An order that got no answer by
- * then is broken off, and told as unanswered.
+ * The same for a leader that has not noticed yet that it was replaced, which
+ * takes longer than an election: an order without an answer by then is aborted
+ * and reported as unanswered.
  */
-static void orders_are_broken_off_when_the_lead_is_unsure(void **state)
+static void orders_are_aborted_when_leadership_is_unconfirmed(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	char addr[32];
 	int listener;
-	struct vms *v = mute_service(b, &listener, addr, sizeof(addr));
+	struct vms *v = start_mute_service(f, &listener, addr, sizeof(addr));
 	int fd;
 
 	vms_upkeep(v, "vm1", 1);
-	fd = net_accept(b->base, listener, SETTLE_MS);
-	net_run(b->base, SETTLE_MS / 2);
-	assert_int_equal(b->unanswered, 0);
-	b->unsure_ms = 12000;
-	net_run(b->base, SETTLE_MS);
-	assert_int_equal(b->unanswered, 1);
+	fd = net_accept(f->base, listener, SETTLE_MS);
+	net_run(f->base, SETTLE_MS / 2);
+	assert_int_equal(f->unanswered, 0);
+	f->confirmed_age_ms = 12000;
+	net_run(f->base, SETTLE_MS);
+	assert_int_equal(f->unanswered, 1);
 	assert_false(vms_asked(v, "vm1"));
-	assert_true(broken_off(b, fd));
+	assert_true(is_aborted(f, fd));
 	close(fd);
 	vms_free(v);
 	close(listener);
 }
 
 /*
- * The same, and the leader stands still all the while, so that it can break
- * nothing off: its kernel alone must not hold an order for longer than it
- * takes others to elect.
+ * The same for a leader whose process is paused all the time, so that it cannot
+ * abort anything: its kernel must not hold an order for longer than an election
+ * takes.
  */
-static void a_kernel_holds_no_order_for_long(void **state)
+static void kernel_drops_an_order_of_a_paused_leader(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	char addr[32];
 	int listener;
-	struct vms *v = mute_service(b, &listener, addr, sizeof(addr));
+	struct vms *v = start_mute_service(f, &listener, addr, sizeof(addr));
 	int fd;
 
 	vms_move(v, "vm1", "p");
-	fd = net_accept(b->base, listener, SETTLE_MS);
-	net_run(b->base, SETTLE_MS / 2);
-	g_usleep(STILL_US);
-	assert_true(broken_off(b, fd));
+	fd = net_accept(f->base, listener, SETTLE_MS);
+	net_run(f->base, SETTLE_MS / 2);
+	g_usleep(PAUSE_US);
+	assert_true(is_aborted(f, fd));
 	close(fd);
 	vms_free(v);
 	close(listener);
@@ -343,13 +351,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		T(an_order_is_sent_once_at_a_time),
-		T(a_leader_that_stood_still_orders_nothing),
-		T(who_doesnt_lead_orders_nothing),
-		T(an_order_is_looked_at_again_as_it_is_written),
-		T(orders_are_broken_off_with_the_lead),
-		T(orders_are_broken_off_when_the_lead_is_unsure),
-		T(a_kernel_holds_no_order_for_long),
+		T(vm_has_one_order_at_a_time),
+		T(paused_leader_sends_no_order),
+		T(stopped_session_sends_no_call),
+		T(leadership_is_checked_when_an_order_is_written),
+		T(orders_are_aborted_when_leadership_ends),
+		T(orders_are_aborted_when_leadership_is_unconfirmed),
+		T(kernel_drops_an_order_of_a_paused_leader),
 	};
 
 	signal(SIGPIPE, SIG_IGN);
