--- a/src/hst.c
+++ b/src/hst.c
@@ -4,57 +4,60 @@
 #include <math.h>
 #include <string.h>
 
-/* Larger than the rounding of a rank below 10^9. */
+/* Larger than the rounding error of a rank below 10^9. */
 #define RANK_SLACK 1e-6
 
 struct hst {
 	unsigned bits;
-	size_t n_cells;
+	size_t n_buckets;
 	uint64_t total;
 	uint64_t min;
 	uint64_t max;
 	double sum;
-	uint64_t cells[];
+	uint64_t buckets[];
 };
 
-static size_t hst_cell(const struct hst *h, uint64_t value);
-static uint64_t hst_cell_top(const struct hst *h, size_t cell);
+static size_t hst_bucket_of(const struct hst *h, uint64_t value);
+static uint64_t hst_bucket_max(const struct hst *h, size_t bucket);
 
-/* An empty histogram with a relative error of 1/2^bits. */
+/*
+ * Creates an empty histogram with a relative error of 1/2^bits; bits is from 1
+ * to HST_BITS_MAX.
+ */
 struct hst *hst_new(unsigned bits)
 {
-	size_t n_cells;
+	size_t n_buckets;
 	struct hst *h;
 
 	g_assert(bits >= 1 && bits <= HST_BITS_MAX);
-	n_cells = (size_t)(64 - bits + 1) << bits;
-	h = g_malloc(sizeof(*h) + n_cells * sizeof(h->cells[0]));
+	n_buckets = (size_t)(64 - bits + 1) << bits;
+	h = g_malloc(sizeof(*h) + n_buckets * sizeof(h->buckets[0]));
 	h->bits = bits;
-	h->n_cells = n_cells;
+	h->n_buckets = n_buckets;
 	hst_reset(h);
 	return h;
 }
 
-/* Frees h; NULL is let pass. */
+/* Frees h; NULL is allowed. */
 void hst_free(struct hst *h)
 {
 	g_free(h);
 }
 
-/* Forgets all values. */
+/* Removes all values. */
 void hst_reset(struct hst *h)
 {
 	h->total = 0;
 	h->min = UINT64_MAX;
 	h->max = 0;
 	h->sum = 0;
-	memset(h->cells, 0, h->n_cells * sizeof(h->cells[0]));
+	memset(h->buckets, 0, h->n_buckets * sizeof(h->buckets[0]));
 }
 
-/* Counts a value. */
+/* Adds a value. */
 void hst_add(struct hst *h, uint64_t value)
 {
-	h->cells[hst_cell(h, value)]++;
+	h->buckets[hst_bucket_of(h, value)]++;
 	h->total++;
 	h->sum += (double)value;
 	if (value < h->min)
@@ -64,8 +67,8 @@
 }
 
 /*
- * Adds all values of from, as if each had been added to into. False, with
- * nothing done, where the two differ in their relative error.
+ * Adds all values of from, as if each had been added to into. Returns false and
+ * changes nothing if their relative errors differ.
  */
 bool hst_merge(struct hst *into, const struct hst *from)
 {
@@ -73,8 +76,8 @@
 
 	if (into->bits != from->bits)
 		return false;
-	for (i = 0; i < into->n_cells; i++)
-		into->cells[i] += from->cells[i];
+	for (i = 0; i < into->n_buckets; i++)
+		into->buckets[i] += from->buckets[i];
 	into->total += from->total;
 	into->sum += from->sum;
 	if (from->min < into->min)
@@ -84,57 +87,62 @@
 	return true;
 }
 
-/* How many values were counted. */
+/* Returns the number of values. */
 uint64_t hst_count(const struct hst *h)
 {
 	return h->total;
 }
 
-/* The smallest value, exact; 0 for none. */
+/* Returns the smallest value, exact; 0 if there is none. */
 uint64_t hst_min(const struct hst *h)
 {
 	return h->total ? h->min : 0;
 }
 
-/* The largest value, exact; 0 for none. */
+/* Returns the largest value, exact; 0 if there is none. */
 uint64_t hst_max(const struct hst *h)
 {
 	return h->max;
 }
 
-/* The mean, exact but for rounding; 0 for none. */
+/* Returns the mean, exact but for rounding; 0 if there is no value. */
 double hst_mean(const struct hst *h)
 {
 	return h->total ? h->sum / (double)h->total : 0;
 }
 
 /*
- * The smallest value that at least percent of all values do not exceed; never
- * too small, too large by at most 1/2^bits of itself. 0 for an empty one.
+ * Returns the given percentile: the smallest value that at least percent % of
+ * all values do not exceed. The result is never too small, and too large by at
+ * most 1/2^bits of itself; 0 if there is no value.
  */
 uint64_t hst_percentile(const struct hst *h, double percent)
 {
-	uint64_t want;
-	uint64_t seen = 0;
+	uint64_t rank;
+	uint64_t count = 0;
 	uint64_t top;
 	size_t i;
 
 	g_assert(percent >= 0 && percent <= 100);
-	/* 99.9 is no binary fraction: its error must not ask for one more. */
-	want = (uint64_t)ceil(percent * (double)h->total / 100 - RANK_SLACK);
-	if (want < 1)
-		want = 1;
-	for (i = 0; i < h->n_cells; i++) {
-		seen += h->cells[i];
-		if (seen < want)
+	/*
+	 * 99.9 is no binary fraction: its rounding error must not raise the
+	 * rank by one.
+	 */
+	rank = (uint64_t)ceil(percent * (double)h->total / 100 - RANK_SLACK);
+	if (rank < 1)
+		rank = 1;
+	for (i = 0; i < h->n_buckets; i++) {
+		count += h->buckets[i];
+		if (count < rank)
 			continue;
-		top = hst_cell_top(h, i);
+		top = hst_bucket_max(h, i);
 		return top < h->max ? top : h->max;
 	}
 	return h->max;
 }
 
-static size_t hst_cell(const struct hst *h, uint64_t value)
+/* Returns the index of a value's bucket. */
+static size_t hst_bucket_of(const struct hst *h, uint64_t value)
 {
 	unsigned shift;
 
@@ -144,15 +152,16 @@
 	return ((size_t)shift << h->bits) + (size_t)(value >> shift);
 }
 
-static uint64_t hst_cell_top(const struct hst *h, size_t cell)
+/* Returns the largest value of a bucket. */
+static uint64_t hst_bucket_max(const struct hst *h, size_t bucket)
 {
-	size_t shift = cell >> h->bits;
-	uint64_t lead;
+	size_t shift = bucket >> h->bits;
+	uint64_t mantissa;
 
 	if (shift == 0)
-		return cell;
+		return bucket;
 	shift--;
-	lead = cell - (shift << h->bits);
-	/* Wraps to the largest value for the last cell, as it must. */
-	return ((lead + 1) << shift) - 1;
+	mantissa = bucket - (shift << h->bits);
+	/* Wraps to the largest value for the last bucket, as intended. */
+	return ((mantissa + 1) << shift) - 1;
 }
--- a/src/hst.h
+++ b/src/hst.h
@@ -1,18 +1,20 @@
 #ifndef HST_H
 #define HST_H
 
+/* Log-linear histogram, for percentiles of latencies and the like. */
+
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
 /*
- * A log-linear histogram of whole numbers: each power of two is split into
- * 2^bits cells of the same width, so that a value read back is too large by
- * at most 1/2^bits of itself, and values below 2^bits are exact.
+ * A log-linear histogram of unsigned integers. Each power of two is split into
+ * 2^bits buckets of equal width, so a value read back is too large by at most
+ * 1/2^bits of itself, and values below 2^bits are exact.
  */
 struct hst;
 
-/* Relative error of 1/128 in 58 KB: enough for latencies in microseconds. */
+/* Relative error 1/128 in 58 KB: enough for latencies in microseconds. */
 #define HST_BITS 7
 #define HST_BITS_MAX 14
 
--- a/tests/unit/hst_test.c
+++ b/tests/unit/hst_test.c
@@ -12,7 +12,7 @@
 #define SEED 20261202
 #define VALUES 6000
 
-static int order(const void *a, const void *b)
+static int compare_values(const void *a, const void *b)
 {
 	const uint64_t *x = a;
 	const uint64_t *y = b;
@@ -20,15 +20,18 @@
 	return (*x > *y) - (*x < *y);
 }
 
-/* Spread over all powers of two, so that each cell width is met. */
-static uint64_t some_value(GRand *rand)
+/*
+ * Returns a random value of any magnitude, so that buckets of every width are
+ * used.
+ */
+static uint64_t random_value(GRand *rand)
 {
 	uint64_t v = (uint64_t)g_rand_int(rand) << 32 | g_rand_int(rand);
 
 	return v >> (g_rand_int(rand) % 64);
 }
 
-static void percentiles_stay_within_the_stated_error(void **state)
+static void percentiles_have_the_stated_error(void **state)
 {
 	static const size_t permille[] = {0, 11, 250, 500, 900, 990, 999, 1000};
 	static const unsigned bits[] = {1, 4, HST_BITS, HST_BITS_MAX};
@@ -41,10 +44,10 @@
 		struct hst *h = hst_new(bits[b]);
 
 		for (i = 0; i < VALUES; i++) {
-			values[i] = some_value(rand);
+			values[i] = random_value(rand);
 			hst_add(h, values[i]);
 		}
-		qsort(values, VALUES, sizeof(values[0]), order);
+		qsort(values, VALUES, sizeof(values[0]), compare_values);
 		for (i = 0; i < G_N_ELEMENTS(permille); i++) {
 			size_t rank = (permille[i] * VALUES + 999) / 1000;
 			uint64_t exact = values[rank ? rank - 1 : 0];
@@ -61,7 +64,7 @@
 	g_rand_free(rand);
 }
 
-static void merged_is_as_if_counted_together(void **state)
+static void merge_equals_adding_to_one_histogram(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(SEED);
 	struct hst *parts[2] = {hst_new(HST_BITS), hst_new(HST_BITS)};
@@ -70,7 +73,7 @@
 	int i;
 
 	for (i = 0; i < VALUES; i++) {
-		uint64_t v = some_value(rand);
+		uint64_t v = random_value(rand);
 
 		hst_add(parts[i % 3 == 0], v);
 		hst_add(all, v);
@@ -90,8 +93,11 @@
 	g_rand_free(rand);
 }
 
-/* 1.1 * 6000 / 100 comes out above 66; no value more may be asked for. */
-static void a_rank_is_not_rounded_up_by_its_own_error(void **state)
+/*
+ * Guards against a rank that a rounding error raises by one: 1.1 * 6000 / 100
+ * is computed as slightly more than 66.
+ */
+static void rounding_error_does_not_raise_the_rank(void **state)
 {
 	struct hst *h = hst_new(HST_BITS_MAX);
 	uint64_t v;
@@ -102,7 +108,7 @@
 	hst_free(h);
 }
 
-static void the_ends_of_the_range_hold(void **state)
+static void empty_and_extreme_values(void **state)
 {
 	struct hst *h = hst_new(HST_BITS);
 
@@ -125,10 +131,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(percentiles_stay_within_the_stated_error),
-		cmocka_unit_test(merged_is_as_if_counted_together),
-		cmocka_unit_test(a_rank_is_not_rounded_up_by_its_own_error),
-		cmocka_unit_test(the_ends_of_the_range_hold),
+		cmocka_unit_test(percentiles_have_the_stated_error),
+		cmocka_unit_test(merge_equals_adding_to_one_histogram),
+		cmocka_unit_test(rounding_error_does_not_raise_the_rank),
+		cmocka_unit_test(empty_and_extreme_values),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
