--- a/src/mvr.c
+++ b/src/mvr.c
@@ -1,34 +1,37 @@
 #include "mvr.h"
 
-/* A step that brought nothing is decided again after this long, ms. */
+/*
+ * A submitted step that had no effect is submitted again after this time, ms.
+ */
 #define MVR_RETRY_MS 1000
 
-/* A move as this leader has seen it. */
+/* State of a move on this leader. */
 struct mvr_move {
 	uint64_t epoch;
 	enum fst_phase phase;
 	int64_t since_ms; /* when this leader first saw the phase */
-	int64_t sent_ms;
-	bool sent;
-	bool seen; /* in the present run */
+	int64_t sent_ms; /* when its step was last submitted */
+	bool sent; /* a step of this phase was submitted */
+	bool seen; /* in the current mvr_run() */
 };
 
 struct mvr {
 	const struct mvr_ops *ops;
 	void *arg;
-	GHashTable *moves; /* VM -> struct mvr_move */
+	GHashTable *moves; /* VM name: struct mvr_move */
 };
 
-static void mvr_one(struct mvr *m, const struct fst *f,
-		    const struct fst_member *vm, int64_t now_ms);
-static struct mvr_move *mvr_move_of(struct mvr *m, const struct fst_member *vm,
-				    int64_t now_ms);
-static const char *mvr_holdout(const struct mvr *m, const struct fst *f,
-			       const struct fst_member *vm);
-static int64_t mvr_grace(const struct fst *f, const struct fst_member *vm);
-static gboolean mvr_unseen(gpointer key, gpointer value, gpointer arg);
-
-/* A mover without knowledge of any move. */
+static void mvr_advance_move(struct mvr *m, const struct fst *f,
+			     const struct fst_member *vm, int64_t now_ms);
+static struct mvr_move *mvr_get_move(struct mvr *m, const struct fst_member *vm,
+				     int64_t now_ms);
+static const char *mvr_find_pending_entry(const struct mvr *m,
+					  const struct fst *f,
+					  const struct fst_member *vm);
+static int64_t mvr_grace_ms(const struct fst *f, const struct fst_member *vm);
+static gboolean mvr_is_unseen(gpointer key, gpointer value, gpointer arg);
+
+/* Creates a mover that knows no moves. */
 struct mvr *mvr_new(const struct mvr_ops *ops, void *arg)
 {
 	struct mvr *m = g_new0(struct mvr, 1);
@@ -49,7 +52,10 @@
 	g_free(m);
 }
 
-/* Decides for every VM on its way; called at the leader, now and then. */
+/*
+ * Submits the steps that are due for all VMs being moved. Called periodically
+ * on the leader.
+ */
 void mvr_run(struct mvr *m, const struct fst *f, int64_t now_ms)
 {
 	struct fst_member vm;
@@ -58,12 +64,13 @@
 	for (i = 0; i < fst_members(f); i++) {
 		fst_member(f, i, &vm);
 		if (vm.to)
-			mvr_one(m, f, &vm, now_ms);
+			mvr_advance_move(m, f, &vm, now_ms);
 	}
-	g_hash_table_foreach_remove(m->moves, mvr_unseen, NULL);
+	g_hash_table_foreach_remove(m->moves, mvr_is_unseen, NULL);
 }
 
-static gboolean mvr_unseen(gpointer key, gpointer value, gpointer arg)
+/* Whether a move was not seen in this run, so that it is removed. */
+static gboolean mvr_is_unseen(gpointer key, gpointer value, gpointer arg)
 {
 	struct mvr_move *move = value;
 	bool seen = move->seen;
@@ -72,10 +79,11 @@
 	return !seen;
 }
 
-static void mvr_one(struct mvr *m, const struct fst *f,
-		    const struct fst_member *vm, int64_t now_ms)
+/* Submits the next step of a VM's move if it is due. */
+static void mvr_advance_move(struct mvr *m, const struct fst *f,
+			     const struct fst_member *vm, int64_t now_ms)
 {
-	struct mvr_move *move = mvr_move_of(m, vm, now_ms);
+	struct mvr_move *move = mvr_get_move(m, vm, now_ms);
 	struct fcm_cmd cmd = {
 		.kind = vm->phase == FST_RELEASING ? FCM_RELEASED : FCM_MOVED,
 		.step = {.vm = lstr_from(vm->vm), .epoch = vm->epoch}};
@@ -83,16 +91,17 @@
 	if (move->sent && now_ms < move->sent_ms + MVR_RETRY_MS)
 		return;
 	if (vm->phase == FST_RELEASING) {
-		if (mvr_holdout(m, f, vm))
+		if (mvr_find_pending_entry(m, f, vm))
 			return;
 		cmd.step.reason = LSTR("every entry daemon of its zone "
 				       "has let go");
 	} else {
 		/*
-		 * Requests placed before the release are still in flight; the
-		 * VM joins its new pool once none of them can be.
+		 * Requests sent to the VM before its release may still be in
+		 * flight; the VM joins its new pool once their deadline has
+		 * passed.
 		 */
-		if (now_ms < move->since_ms + mvr_grace(f, vm))
+		if (now_ms < move->since_ms + mvr_grace_ms(f, vm))
 			return;
 		cmd.step.reason = LSTR("no request of the old pool can be in "
 				       "flight");
@@ -102,8 +111,9 @@
 	m->ops->submit(m->arg, &cmd);
 }
 
-static struct mvr_move *mvr_move_of(struct mvr *m, const struct fst_member *vm,
-				    int64_t now_ms)
+/* Returns the state of a VM's move, started anew with each phase. */
+static struct mvr_move *mvr_get_move(struct mvr *m, const struct fst_member *vm,
+				     int64_t now_ms)
 {
 	struct mvr_move *move = g_hash_table_lookup(m->moves, vm->vm);
 
@@ -120,12 +130,14 @@
 }
 
 /*
- * The first entry daemon of the VM's zone that may still place there. Those
- * of other zones hand requests to this zone's entry daemons and never place
- * here themselves, so a zone that is cut off keeps no other zone's VM.
+ * Returns the first entry daemon of the VM's zone that may still send requests
+ * to the VM, or NULL. Entry daemons of other zones hand requests to this zone's
+ * entry daemons and never send to the VM themselves, so a partitioned zone
+ * delays no VM of another zone.
  */
-static const char *mvr_holdout(const struct mvr *m, const struct fst *f,
-			       const struct fst_member *vm)
+static const char *mvr_find_pending_entry(const struct mvr *m,
+					  const struct fst *f,
+					  const struct fst_member *vm)
 {
 	const char *home = cfg_vm(fst_config(f), vm->vm)->zone;
 	const char *node;
@@ -141,7 +153,11 @@
 	return NULL;
 }
 
-static int64_t mvr_grace(const struct fst *f, const struct fst_member *vm)
+/*
+ * Returns the deadline of requests in the VM's pool, ms: the time for which a
+ * request may be in flight after the VM's release.
+ */
+static int64_t mvr_grace_ms(const struct fst *f, const struct fst_member *vm)
 {
 	const struct cfg *c = fst_config(f);
 	const struct cfg_obj *pool = cfg_find(c, CFG_POOL, vm->pool);
@@ -149,7 +165,10 @@
 	return cfg_num(c, cfg_vm(c, vm->vm)->site, pool, CFG_POOL_DEADLINE);
 }
 
-/* What a move waits for, in words for operators; freed with g_free. */
+/*
+ * Returns what a VM's move waits for, as a text for operators; to be freed with
+ * g_free.
+ */
 char *mvr_waits_for(const struct mvr *m, const struct fst *f, const char *vm)
 {
 	struct fst_member at;
@@ -164,7 +183,7 @@
 			return g_strdup("nothing: it does not move");
 		if (at.phase == FST_RELEASED)
 			return g_strdup("requests in flight");
-		node = mvr_holdout(m, f, &at);
+		node = mvr_find_pending_entry(m, f, &at);
 		return node ? g_strdup_printf("entry daemon %s", node)
 			    : g_strdup("the leader");
 	}
--- a/src/mvr.h
+++ b/src/mvr.h
@@ -1,6 +1,8 @@
 #ifndef MVR_H
 #define MVR_H
 
+/* Controls VM moves between pools: decides when each phase is complete. */
+
 #include <glib.h>
 #include <stdint.h>
 
@@ -8,15 +10,22 @@
 #include "fst.h"
 
 /*
- * The mover: decides, at the leader, when a VM on its way between pools may
- * take the next step. Without I/O; time is passed in.
+ * The mover: decides, on the leader, when a VM that is being moved between
+ * pools may take the next step. It does no input or output itself; time is
+ * passed in.
  */
 struct mvr;
 
 struct mvr_ops {
-	/* the version an entry daemon said it works by; 0: not heard of */
+	/*
+	 * Returns the view version that an entry daemon has reported as
+	 * applied; 0: none.
+	 */
 	uint64_t (*works_by)(void *arg, const char *node);
-	/* submits a step; its identity and time are the submitter's */
+	/*
+	 * Submits a step; the command's identity and time are set by the
+	 * submitter.
+	 */
 	void (*submit)(void *arg, const struct fcm_cmd *cmd);
 };
 
