--- a/src/wav.c
+++ b/src/wav.c
@@ -3,17 +3,17 @@
 #include "cht.h"
 #include "err.h"
 
-/* Largest number of VMs a packed wave may name. */
+/* Most VMs in a packed wave. */
 #define WAV_TARGETS_MAX 100000
 
 struct wav_target {
 	int vm;
 	enum wav_step step;
-	uint32_t attempt; /* drains begun */
-	int stuck; /* drains that ran out of time */
-	int64_t since_ms; /* of the step */
-	int64_t told_ms; /* the step's act was sent last; 0: not yet */
-	int64_t proven_ms; /* probation ends; 0: ended or not begun */
+	uint32_t attempt; /* number of drains begun */
+	int drain_timeouts; /* number of drains that timed out */
+	int64_t since_ms; /* when the step began */
+	int64_t sent_ms; /* when the step's act was last sent; 0: not yet */
+	int64_t probation_end_ms; /* end of the probation; 0: over or not begun */
 };
 
 struct wav {
@@ -21,71 +21,77 @@
 	enum wav_state state;
 	struct wav_config config;
 	GArray *targets; /* struct wav_target */
-	GHashTable *by_vm; /* vm + 1 to target index + 1 */
+	GHashTable *by_vm; /* VM index + 1: index in targets + 1 */
 	int failures;
-	int good; /* VMs proven since the last failure was forgiven */
-	int proven; /* VMs that are through their probation */
+	/*
+	 * VMs that passed their probation since the last failure or forgiveness
+	 */
+	int passed_in_row;
+	int n_proven; /* VMs that passed their probation */
 	char *reason;
 };
 
 /* The waiting VMs of a pool. */
 struct wav_queue {
 	int pool;
-	int rounds; /* that the pool needs about */
-	GArray *waiting; /* int: indexes of targets; NULL: none */
-	guint at;
+	int rounds; /* estimated number of maintenance rounds of the pool */
+	GArray *waiting; /* int, indexes in targets; NULL: none */
+	guint next; /* position in waiting */
 };
 
-/* What a step expects and how it goes on. */
+/* Definition of a step. */
 struct wav_step_def {
 	const char *name;
-	bool active; /* the VM is in our hands */
-	enum flt_state expects; /* of the VM, while active */
-	void (*done)(struct wav *w, struct flt *f, struct wav_target *t,
-		     int64_t now_ms, struct wav_out *out);
+	bool active; /* the VM is in maintenance */
+	enum flt_state vm_state; /* state of the VM while the step is active */
+	void (*on_done)(struct wav *w, struct flt *f, struct wav_target *t,
+			int64_t now_ms, struct wav_out *out);
 };
 
-static void wav_drained(struct wav *w, struct flt *f, struct wav_target *t,
-			int64_t now_ms, struct wav_out *out);
-static void wav_booted(struct wav *w, struct flt *f, struct wav_target *t,
-		       int64_t now_ms, struct wav_out *out);
-static void wav_healthy(struct wav *w, struct flt *f, struct wav_target *t,
-			int64_t now_ms, struct wav_out *out);
-static void wav_returned(struct wav *w, struct flt *f, struct wav_target *t,
-			 int64_t now_ms, struct wav_out *out);
-static void wav_given_back(struct wav *w, struct flt *f, struct wav_target *t,
+static void wav_on_drained(struct wav *w, struct flt *f, struct wav_target *t,
 			   int64_t now_ms, struct wav_out *out);
+static void wav_on_booted(struct wav *w, struct flt *f, struct wav_target *t,
+			  int64_t now_ms, struct wav_out *out);
+static void wav_on_healthy(struct wav *w, struct flt *f, struct wav_target *t,
+			   int64_t now_ms, struct wav_out *out);
+static void wav_on_returned(struct wav *w, struct flt *f, struct wav_target *t,
+			    int64_t now_ms, struct wav_out *out);
+static void wav_on_given_back(struct wav *w, struct flt *f,
+			      struct wav_target *t, int64_t now_ms,
+			      struct wav_out *out);
 static const struct cht *wav_chart(void);
-static struct wav_target *wav_target(const struct wav *w, int i);
-static void wav_go(struct wav_target *t, enum wav_step step, int64_t now_ms);
-static bool wav_event(struct wav *w, enum wav_event ev);
-static void wav_settle(struct wav *w, struct flt *f, struct wav_target *t,
-		       int64_t now_ms, struct wav_out *out);
-static void wav_probation(struct wav *w, const struct flt *f,
-			  struct wav_target *t, int64_t now_ms,
-			  struct wav_out *out);
-static void wav_timeouts(struct wav *w, struct flt *f, struct wav_target *t,
-			 int64_t now_ms, struct wav_out *out);
-static void wav_lost(struct wav *w, struct flt *f, struct wav_target *t,
-		     int64_t now_ms, struct wav_out *out);
-static bool wav_lost_with_others(const struct wav *w, const struct flt *f,
-				 int vm);
-static void wav_fail(struct wav *w, struct flt *f, struct wav_target *t,
-		     const char *how, struct wav_out *out);
+static struct wav_target *wav_get_target(const struct wav *w, int i);
+static void wav_set_step(struct wav_target *t, enum wav_step step,
+			 int64_t now_ms);
+static bool wav_handle_event(struct wav *w, enum wav_event ev);
+static void wav_check_target(struct wav *w, struct flt *f, struct wav_target *t,
+			     int64_t now_ms, struct wav_out *out);
+static void wav_check_probation(struct wav *w, const struct flt *f,
+				struct wav_target *t, int64_t now_ms,
+				struct wav_out *out);
+static void wav_check_timeouts(struct wav *w, struct flt *f,
+			       struct wav_target *t, int64_t now_ms,
+			       struct wav_out *out);
+static void wav_handle_loss(struct wav *w, struct flt *f, struct wav_target *t,
+			    int64_t now_ms, struct wav_out *out);
+static bool wav_is_rack_loss(const struct wav *w, const struct flt *f, int vm);
+static void wav_fail_target(struct wav *w, struct flt *f, struct wav_target *t,
+			    const char *how, struct wav_out *out);
 static void wav_count_failure(struct wav *w, const struct flt *f, int vm,
 			      const char *how, struct wav_out *out);
-static void wav_take_some(struct wav *w, struct flt *f, int64_t now_ms,
-			  struct wav_out *out);
-static GArray *wav_queues(const struct wav *w, const struct flt *f);
+static void wav_start_drains(struct wav *w, struct flt *f, int64_t now_ms,
+			     struct wav_out *out);
+static GArray *wav_make_queues(const struct wav *w, const struct flt *f);
 static void wav_queue_clear(gpointer queue);
-static gint wav_more_rounds(gconstpointer a, gconstpointer b);
-static bool wav_take_one(struct wav *w, struct flt *f, struct wav_queue *q,
-			 bool largest, int64_t now_ms);
-static bool wav_in_largest(const struct flt *f, int vm);
-static int wav_room(const struct wav *w);
-static void wav_tell(struct wav *w, const struct flt *f, struct wav_target *t,
-		     int64_t now_ms, struct wav_out *out);
-static bool wav_calls_back(const struct wav *w);
+static gint wav_compare_rounds(gconstpointer a, gconstpointer b);
+static bool wav_start_drain(struct wav *w, struct flt *f, struct wav_queue *q,
+			    bool largest, int64_t now_ms);
+static bool wav_is_in_largest_domain(const struct flt *f, int vm);
+static int wav_count_startable(const struct wav *w);
+static void wav_send_act(struct wav *w, const struct flt *f,
+			 struct wav_target *t, int64_t now_ms,
+			 struct wav_out *out);
+static bool wav_must_return_vms(const struct wav *w);
 static void wav_audit(const struct wav *w, struct wav_out *out, const char *fmt,
 		      ...) G_GNUC_PRINTF(3, 4);
 static bool wav_unpack_targets(struct wav *w, struct pk_in *in);
@@ -115,16 +121,20 @@
 
 static const struct wav_step_def wav_defs[WAV_STEPS] = {
 	[WAV_WAITING] = {.name = "waiting"},
-	[WAV_DRAIN] = {"drain", true, FLT_DRAINING, wav_drained},
-	[WAV_REBOOT] = {"reboot", true, FLT_REBOOTING, wav_booted},
-	[WAV_CHECK] = {"check", true, FLT_CHECKING, wav_healthy},
-	[WAV_RETURN] = {"return", true, FLT_CHECKING, wav_returned},
-	[WAV_GIVE_BACK] = {"give-back", true, FLT_DRAINING, wav_given_back},
+	[WAV_DRAIN] = {"drain", true, FLT_DRAINING, wav_on_drained},
+	[WAV_REBOOT] = {"reboot", true, FLT_REBOOTING, wav_on_booted},
+	[WAV_CHECK] = {"check", true, FLT_CHECKING, wav_on_healthy},
+	[WAV_RETURN] = {"return", true, FLT_CHECKING, wav_on_returned},
+	[WAV_GIVE_BACK] = {"give-back", true, FLT_DRAINING, wav_on_given_back},
 	[WAV_MAINTAINED] = {.name = "maintained"},
 	[WAV_FAILED] = {.name = "failed"},
 };
 
-/* A wave over n VMs that waits for its start; id is one in the fleet. */
+/*
+ * Creates a wave over n VMs, given by index, that waits for its start. A VM
+ * that is given twice counts once. id is unique in the fleet and not
+ * FLT_NO_WAVE.
+ */
 struct wav *wav_new(uint64_t id, const struct wav_config *config,
 		    const int *vms, int n)
 {
@@ -149,7 +159,7 @@
 	return w;
 }
 
-/* Frees a wave. */
+/* Frees a wave; NULL is allowed. */
 void wav_free(struct wav *w)
 {
 	if (!w)
@@ -161,8 +171,9 @@
 }
 
 /*
- * An operator's command; one that is sent again does nothing. False: it is
- * not allowed in the state that the wave is in.
+ * Applies an operator's command, WAV_START to WAV_ABORT; who is named in the
+ * audit text. A repeated command changes nothing. Returns false if the command
+ * is not allowed in the current state.
  */
 bool wav_command(struct wav *w, enum wav_event ev, struct lstr who,
 		 struct wav_out *out)
@@ -170,7 +181,7 @@
 	enum wav_state before = w->state;
 
 	g_assert(ev <= WAV_ABORT);
-	if (!wav_event(w, ev))
+	if (!wav_handle_event(w, ev))
 		return false;
 	if (w->state != before)
 		wav_audit(w, out, "%s by " LSTR_FMT ": %s -> %s",
@@ -180,33 +191,33 @@
 }
 
 /*
- * A reply of the platform. One for an earlier attempt or step is late and
- * says nothing about now.
+ * Processes a reply of the platform. A reply to an earlier attempt or step is
+ * outdated and ignored.
  */
 void wav_reply(struct wav *w, struct flt *f, const struct wav_reply *r,
 	       int64_t now_ms, struct wav_out *out)
 {
-	gpointer at =
+	gpointer entry =
 		g_hash_table_lookup(w->by_vm, GINT_TO_POINTER(r->act.vm + 1));
 	struct wav_target *t;
 
-	if (!at || r->act.wave != w->id)
+	if (!entry || r->act.wave != w->id)
 		return;
-	t = wav_target(w, GPOINTER_TO_INT(at) - 1);
+	t = wav_get_target(w, GPOINTER_TO_INT(entry) - 1);
 	if (t->step != r->act.step || t->attempt != r->act.attempt ||
 	    !wav_defs[t->step].active)
 		return;
-	if (flt_vm(f, t->vm)->state != wav_defs[t->step].expects) {
-		wav_lost(w, f, t, now_ms, out);
+	if (flt_vm(f, t->vm)->state != wav_defs[t->step].vm_state) {
+		wav_handle_loss(w, f, t, now_ms, out);
 		return;
 	}
 	if (r->ok)
-		wav_defs[t->step].done(w, f, t, now_ms, out);
+		wav_defs[t->step].on_done(w, f, t, now_ms, out);
 }
 
 /*
- * Moves the wave on: sees what failed, gives back what the budgets need,
- * takes VMs that they allow, and sends acts that are due.
+ * Advances the wave: detects failures, returns VMs that budgets need, starts to
+ * drain VMs that budgets allow, and sends acts that are due.
  */
 void wav_tick(struct wav *w, struct flt *f, int64_t now_ms, struct wav_out *out)
 {
@@ -215,25 +226,28 @@
 	int i;
 
 	for (i = 0; i < (int)w->targets->len; i++)
-		wav_settle(w, f, wav_target(w, i), now_ms, out);
+		wav_check_target(w, f, wav_get_target(w, i), now_ms, out);
 	if (w->state == WAV_RUNNING)
-		wav_take_some(w, f, now_ms, out);
+		wav_start_drains(w, f, now_ms, out);
 	for (i = 0; i < (int)w->targets->len; i++) {
-		struct wav_target *t = wav_target(w, i);
+		struct wav_target *t = wav_get_target(w, i);
 
 		if (wav_defs[t->step].active) {
-			wav_tell(w, f, t, now_ms, out);
+			wav_send_act(w, f, t, now_ms, out);
 			active++;
 		}
-		open += t->step == WAV_WAITING || t->proven_ms;
+		open += t->step == WAV_WAITING || t->probation_end_ms;
 	}
 	if (active == 0)
-		wav_event(w, WAV_SETTLED);
+		wav_handle_event(w, WAV_SETTLED);
 	if (active == 0 && open == 0)
-		wav_event(w, WAV_FINISH);
+		wav_handle_event(w, WAV_FINISH);
 }
 
-/* Progress, for operators. */
+/*
+ * Fills in the wave's progress, for operators. The reason is valid until the
+ * wave is changed.
+ */
 void wav_status(const struct wav *w, struct wav_status *out)
 {
 	guint i;
@@ -244,22 +258,22 @@
 		.reason = w->reason,
 	};
 	for (i = 0; i < w->targets->len; i++)
-		out->by_step[wav_target(w, (int)i)->step]++;
+		out->by_step[wav_get_target(w, (int)i)->step]++;
 }
 
-/* The state's name as in the chart. */
+/* Returns the state's name as in the chart. */
 const char *wav_state_name(enum wav_state state)
 {
 	return wav_states[state];
 }
 
-/* The step's name, as in audit texts. */
+/* Returns the step's name as in audit texts. */
 const char *wav_step_name(enum wav_step step)
 {
 	return wav_defs[step].name;
 }
 
-/* Packs a wave; the VMs' own states are in the fleet. */
+/* Packs a wave. The states of its VMs are in the fleet. */
 void wav_pack(const struct wav *w, struct pk_out *o)
 {
 	const struct wav_config *c = &w->config;
@@ -269,8 +283,8 @@
 	pk_u(o, w->id);
 	pk_i(o, w->state);
 	pk_i(o, w->failures);
-	pk_i(o, w->good);
-	pk_i(o, w->proven);
+	pk_i(o, w->passed_in_row);
+	pk_i(o, w->n_proven);
 	pk_cstr(o, w->reason);
 	pk_i(o, c->parallel);
 	pk_i(o, c->halt_after);
@@ -284,21 +298,22 @@
 	pk_i(o, c->retry_ms);
 	pk_arr(o, (size_t)w->targets->len * 6);
 	for (i = 0; i < w->targets->len; i++) {
-		const struct wav_target *t = wav_target(w, (int)i);
+		const struct wav_target *t = wav_get_target(w, (int)i);
 
 		pk_i(o, t->vm);
 		pk_i(o, t->step);
 		pk_u(o, t->attempt);
-		pk_i(o, t->stuck);
+		pk_i(o, t->drain_timeouts);
 		pk_i(o, t->since_ms);
-		pk_i(o, t->proven_ms);
+		pk_i(o, t->probation_end_ms);
 	}
 }
 
 /*
- * The wave that wav_pack wrote, or NULL with ERR_CORRUPT. When acts were sent
- * is not kept: all that are open are sent again at the next tick, under their
- * old keys, so that none is forgotten and the platform repeats none.
+ * Returns the wave that wav_pack wrote, or NULL with ERR_CORRUPT. The times at
+ * which acts were sent are not stored: all unanswered acts are sent again at
+ * the next tick under their old keys, so that none is lost and the platform
+ * repeats none.
  */
 struct wav *wav_unpack(struct lstr bytes, GError **err)
 {
@@ -312,8 +327,8 @@
 		w->id = pk_get_u(&in);
 		state = pk_get_i(&in);
 		w->failures = (int)pk_get_i(&in);
-		w->good = (int)pk_get_i(&in);
-		w->proven = (int)pk_get_i(&in);
+		w->passed_in_row = (int)pk_get_i(&in);
+		w->n_proven = (int)pk_get_i(&in);
 		g_free(w->reason);
 		w->reason = lstr_dup(pk_get_str(&in));
 		c.parallel = (int)pk_get_i(&in);
@@ -339,7 +354,7 @@
 	return NULL;
 }
 
-/* Empty arrays. */
+/* Initializes empty arrays. */
 void wav_out_init(struct wav_out *out)
 {
 	out->acts = g_array_new(FALSE, FALSE, sizeof(struct wav_act));
@@ -361,65 +376,67 @@
 }
 
 /*
- * No work is left on a VM: the last moment at which it can be had back at
- * once. A failure that came while it drained, or a bad image found meanwhile,
- * must be seen here; after the reboot has begun it is too late.
+ * Handles a drained VM. This is the last moment at which the VM can return to
+ * service at once, so failures that happened while it drained, and a halt or
+ * abort of the wave, must be checked here; once the reboot has begun it is too
+ * late.
  */
-static void wav_drained(struct wav *w, struct flt *f, struct wav_target *t,
-			int64_t now_ms, struct wav_out *out)
+static void wav_on_drained(struct wav *w, struct flt *f, struct wav_target *t,
+			   int64_t now_ms, struct wav_out *out)
 {
 	enum flt_why why = flt_kept(f, t->vm);
 
-	if (why != FLT_OK || wav_calls_back(w)) {
+	if (why != FLT_OK || wav_must_return_vms(w)) {
 		wav_audit(w, out, "%s given back: %s", flt_vm(f, t->vm)->name,
 			  why != FLT_OK ? flt_why_text(why)
 					: wav_states[w->state]);
-		wav_go(t, WAV_GIVE_BACK, now_ms);
+		wav_set_step(t, WAV_GIVE_BACK, now_ms);
 		return;
 	}
 	flt_vm_event(f, t->vm, FLT_EMPTIED);
-	wav_go(t, WAV_REBOOT, now_ms);
+	wav_set_step(t, WAV_REBOOT, now_ms);
 }
 
-static void wav_booted(struct wav *w, struct flt *f, struct wav_target *t,
-		       int64_t now_ms, struct wav_out *out)
+static void wav_on_booted(struct wav *w, struct flt *f, struct wav_target *t,
+			  int64_t now_ms, struct wav_out *out)
 {
 	flt_vm_event(f, t->vm, FLT_BOOTED);
-	wav_go(t, WAV_CHECK, now_ms);
+	wav_set_step(t, WAV_CHECK, now_ms);
 }
 
-static void wav_healthy(struct wav *w, struct flt *f, struct wav_target *t,
-			int64_t now_ms, struct wav_out *out)
+static void wav_on_healthy(struct wav *w, struct flt *f, struct wav_target *t,
+			   int64_t now_ms, struct wav_out *out)
 {
-	wav_go(t, WAV_RETURN, now_ms);
+	wav_set_step(t, WAV_RETURN, now_ms);
 }
 
-static void wav_returned(struct wav *w, struct flt *f, struct wav_target *t,
-			 int64_t now_ms, struct wav_out *out)
+static void wav_on_returned(struct wav *w, struct flt *f, struct wav_target *t,
+			    int64_t now_ms, struct wav_out *out)
 {
 	struct flt_vm *v = flt_vm(f, t->vm);
 
 	flt_vm_event(f, t->vm, FLT_HEALTHY);
 	v->wave = FLT_NO_WAVE;
 	v->maintained_ms = now_ms;
-	wav_go(t, WAV_MAINTAINED, now_ms);
-	t->proven_ms = now_ms + w->config.probation_ms;
+	wav_set_step(t, WAV_MAINTAINED, now_ms);
+	t->probation_end_ms = now_ms + w->config.probation_ms;
 }
 
-static void wav_given_back(struct wav *w, struct flt *f, struct wav_target *t,
-			   int64_t now_ms, struct wav_out *out)
+static void wav_on_given_back(struct wav *w, struct flt *f,
+			      struct wav_target *t, int64_t now_ms,
+			      struct wav_out *out)
 {
 	flt_vm_event(f, t->vm, FLT_GIVE_BACK);
 	flt_vm(f, t->vm)->wave = FLT_NO_WAVE;
-	wav_go(t, WAV_WAITING, now_ms);
-	if (t->stuck < w->config.drains_max)
+	wav_set_step(t, WAV_WAITING, now_ms);
+	if (t->drain_timeouts < w->config.drains_max)
 		return;
-	wav_go(t, WAV_FAILED, now_ms);
+	wav_set_step(t, WAV_FAILED, now_ms);
 	wav_audit(w, out, "%s left alone: its work did not end in %d drains",
-		  flt_vm(f, t->vm)->name, t->stuck);
+		  flt_vm(f, t->vm)->name, t->drain_timeouts);
 }
 
-/* Read once; the table never changes after that. */
+/* Returns the wave's state chart, loaded once; it never changes after that. */
 static const struct cht *wav_chart(void)
 {
 	static struct cht *chart;
@@ -437,19 +454,20 @@
 	return chart;
 }
 
-static struct wav_target *wav_target(const struct wav *w, int i)
+static struct wav_target *wav_get_target(const struct wav *w, int i)
 {
 	return &g_array_index(w->targets, struct wav_target, i);
 }
 
-static void wav_go(struct wav_target *t, enum wav_step step, int64_t now_ms)
+static void wav_set_step(struct wav_target *t, enum wav_step step,
+			 int64_t now_ms)
 {
 	t->step = step;
 	t->since_ms = now_ms;
-	t->told_ms = 0;
+	t->sent_ms = 0;
 }
 
-static bool wav_event(struct wav *w, enum wav_event ev)
+static bool wav_handle_event(struct wav *w, enum wav_event ev)
 {
 	struct cht_step step;
 
@@ -458,91 +476,101 @@
 	w->state = (enum wav_state)step.next;
 	if (step.action == WAV_FORGIVE) {
 		w->failures = 0;
-		/* Unproven again: the image has failed before. */
-		w->proven = 0;
+		/* Unproven again, as the image has failed before. */
+		w->n_proven = 0;
 	}
 	return true;
 }
 
-/* One VM of the wave: is what we believe of it still so? */
-static void wav_settle(struct wav *w, struct flt *f, struct wav_target *t,
-		       int64_t now_ms, struct wav_out *out)
+/*
+ * Checks a VM of the wave: its probation, an unexpected state, a budget that
+ * needs it back, and timeouts.
+ */
+static void wav_check_target(struct wav *w, struct flt *f, struct wav_target *t,
+			     int64_t now_ms, struct wav_out *out)
 {
-	if (t->proven_ms)
-		wav_probation(w, f, t, now_ms, out);
+	if (t->probation_end_ms)
+		wav_check_probation(w, f, t, now_ms, out);
 	if (!wav_defs[t->step].active)
 		return;
-	if (flt_vm(f, t->vm)->state != wav_defs[t->step].expects) {
-		wav_lost(w, f, t, now_ms, out);
+	if (flt_vm(f, t->vm)->state != wav_defs[t->step].vm_state) {
+		wav_handle_loss(w, f, t, now_ms, out);
 		return;
 	}
 	/*
-	 * Behind a cut nothing can be told or heard: time stands still there,
-	 * else the wave would take silence for a bad image.
+	 * While a zone is partitioned, no act or reply passes: timeouts are
+	 * suspended, or the wave would take the missing replies for a bad
+	 * image.
 	 */
 	if (flt_zone_of(f, t->vm)->cut) {
 		t->since_ms = now_ms;
 		return;
 	}
 	if (t->step == WAV_DRAIN &&
-	    (wav_calls_back(w) || flt_kept(f, t->vm) != FLT_OK)) {
+	    (wav_must_return_vms(w) || flt_kept(f, t->vm) != FLT_OK)) {
 		wav_audit(w, out, "%s given back: %s", flt_vm(f, t->vm)->name,
-			  wav_calls_back(w) ? wav_states[w->state]
-					    : flt_why_text(flt_kept(f, t->vm)));
-		wav_go(t, WAV_GIVE_BACK, now_ms);
+			  wav_must_return_vms(w)
+				  ? wav_states[w->state]
+				  : flt_why_text(flt_kept(f, t->vm)));
+		wav_set_step(t, WAV_GIVE_BACK, now_ms);
 		return;
 	}
-	wav_timeouts(w, f, t, now_ms, out);
+	wav_check_timeouts(w, f, t, now_ms, out);
 }
 
 /*
- * A bad image may pass the health check and fail under work a minute later.
- * The VM has left the wave's hands by then, so it is watched for a while.
+ * Checks a VM after its return: a bad image may pass the health check and fail
+ * under work a minute later.
  */
-static void wav_probation(struct wav *w, const struct flt *f,
-			  struct wav_target *t, int64_t now_ms,
-			  struct wav_out *out)
+static void wav_check_probation(struct wav *w, const struct flt *f,
+				struct wav_target *t, int64_t now_ms,
+				struct wav_out *out)
 {
 	if (flt_vm(f, t->vm)->state == FLT_DOWN) {
-		t->proven_ms = 0;
-		if (!wav_lost_with_others(w, f, t->vm))
+		t->probation_end_ms = 0;
+		if (!wav_is_rack_loss(w, f, t->vm))
 			wav_count_failure(w, f, t->vm,
 					  "failed after its "
 					  "return",
 					  out);
 		return;
 	}
-	if (now_ms < t->proven_ms)
+	if (now_ms < t->probation_end_ms)
 		return;
-	t->proven_ms = 0;
-	w->proven++;
-	w->good++;
-	if (w->good < w->config.halt_among)
+	t->probation_end_ms = 0;
+	w->n_proven++;
+	w->passed_in_row++;
+	if (w->passed_in_row < w->config.halt_among)
 		return;
-	w->good = 0;
+	w->passed_in_row = 0;
 	w->failures = MAX(0, w->failures - 1);
 }
 
-static void wav_timeouts(struct wav *w, struct flt *f, struct wav_target *t,
-			 int64_t now_ms, struct wav_out *out)
+static void wav_check_timeouts(struct wav *w, struct flt *f,
+			       struct wav_target *t, int64_t now_ms,
+			       struct wav_out *out)
 {
 	int64_t since = now_ms - t->since_ms;
 
 	switch (t->step) {
 	case WAV_DRAIN:
-		/* Work that doesn't end is not cut off; another time. */
+		/*
+		 * Work that does not end is not interrupted; the VM is drained
+		 * again later.
+		 */
 		if (since < w->config.drain_ms)
 			break;
-		t->stuck++;
-		wav_go(t, WAV_GIVE_BACK, now_ms);
+		t->drain_timeouts++;
+		wav_set_step(t, WAV_GIVE_BACK, now_ms);
 		break;
 	case WAV_REBOOT:
 		if (since >= w->config.reboot_ms)
-			wav_fail(w, f, t, "did not come back", out);
+			wav_fail_target(w, f, t, "did not come back", out);
 		break;
 	case WAV_CHECK:
 		if (since >= w->config.check_ms)
-			wav_fail(w, f, t, "came back and is not healthy", out);
+			wav_fail_target(w, f, t, "came back and is not healthy",
+					out);
 		break;
 	default:
 		break;
@@ -550,55 +578,56 @@
 }
 
 /*
- * The VM failed while it was in our hands. Before the reboot that says
- * nothing about the image; the VM waits until it is repaired. After it the
- * image is suspect, but for a VM that went down together with its rack.
+ * Handles a VM that failed during its maintenance. Before the reboot that says
+ * nothing about the image: the VM waits until it is repaired. After it the
+ * image is suspect, unless the VM went down together with its rack.
  */
-static void wav_lost(struct wav *w, struct flt *f, struct wav_target *t,
-		     int64_t now_ms, struct wav_out *out)
+static void wav_handle_loss(struct wav *w, struct flt *f, struct wav_target *t,
+			    int64_t now_ms, struct wav_out *out)
 {
 	bool before = t->step == WAV_DRAIN || t->step == WAV_GIVE_BACK;
 
-	if (!before && !wav_lost_with_others(w, f, t->vm)) {
-		wav_fail(w, f, t, "was lost during its maintenance", out);
+	if (!before && !wav_is_rack_loss(w, f, t->vm)) {
+		wav_fail_target(w, f, t, "was lost during its maintenance",
+				out);
 		return;
 	}
 	flt_vm(f, t->vm)->wave = FLT_NO_WAVE;
-	wav_go(t, WAV_WAITING, now_ms);
+	wav_set_step(t, WAV_WAITING, now_ms);
 	wav_audit(w, out, "%s lost, waits for its repair",
 		  flt_vm(f, t->vm)->name);
 }
 
 /*
- * Whether a VM behind the same switch is down that this wave has not touched:
- * then the rack is the cause. Without this, one lost rack with a few VMs of
- * the wave in it would halt the wave over the whole fleet.
+ * Whether a VM behind the same switch is down that is not in this wave, or
+ * still waits in it: then the rack is the cause. Otherwise one lost rack with a
+ * few VMs of the wave would halt the wave in the whole fleet.
  */
-static bool wav_lost_with_others(const struct wav *w, const struct flt *f,
-				 int vm)
+static bool wav_is_rack_loss(const struct wav *w, const struct flt *f, int vm)
 {
 	int sw = flt_rack_of(f, vm)->sw;
-	gpointer at;
+	gpointer entry;
 	int i;
 
 	for (i = 0; i < (int)f->vms->len; i++) {
 		if (i == vm || flt_rack_of(f, i)->sw != sw ||
 		    flt_vm(f, i)->state != FLT_DOWN)
 			continue;
-		at = g_hash_table_lookup(w->by_vm, GINT_TO_POINTER(i + 1));
-		if (!at ||
-		    wav_target(w, GPOINTER_TO_INT(at) - 1)->step == WAV_WAITING)
+		entry = g_hash_table_lookup(w->by_vm, GINT_TO_POINTER(i + 1));
+		if (!entry ||
+		    wav_get_target(w, GPOINTER_TO_INT(entry) - 1)->step ==
+			    WAV_WAITING)
 			return true;
 	}
 	return false;
 }
 
-static void wav_fail(struct wav *w, struct flt *f, struct wav_target *t,
-		     const char *how, struct wav_out *out)
+static void wav_fail_target(struct wav *w, struct flt *f, struct wav_target *t,
+			    const char *how, struct wav_out *out)
 {
 	flt_vm_event(f, t->vm, FLT_FAIL);
 	flt_vm(f, t->vm)->wave = FLT_NO_WAVE;
-	wav_go(t, WAV_FAILED, t->since_ms);
+	wav_set_step(t, WAV_FAILED, t->since_ms);
 	wav_count_failure(w, f, t->vm, how, out);
 }
 
@@ -606,12 +635,12 @@
 			      const char *how, struct wav_out *out)
 {
 	w->failures++;
-	w->good = 0;
+	w->passed_in_row = 0;
 	wav_audit(w, out, "%s %s", flt_vm(f, vm)->name, how);
 	if (w->failures < w->config.halt_after ||
 	    (w->state != WAV_RUNNING && w->state != WAV_PAUSED))
 		return;
-	wav_event(w, WAV_HALT);
+	wav_handle_event(w, WAV_HALT);
 	g_free(w->reason);
 	w->reason = g_strdup_printf("%d VMs failed, the last, %s, %s",
 				    w->failures, flt_vm(f, vm)->name, how);
@@ -619,45 +648,46 @@
 }
 
 /*
- * Takes what budgets allow. While the wave may not have all of that out, the
- * pools that need most rounds go first, for they end it; one VM of each at a
- * time. Of a pool, first VMs out of the domains in which it has most: that
- * leaves its largest loss smaller, and so more may be out at once.
+ * Starts to drain VMs as budgets allow. While the wave may not drain all of
+ * these, the pools that need most rounds go first, as they determine when the
+ * wave ends; one VM of each pool at a time. Of a pool, VMs in the domains where
+ * it has most are drained first: that reduces its largest loss, so more VMs may
+ * be out at once.
  */
-static void wav_take_some(struct wav *w, struct flt *f, int64_t now_ms,
-			  struct wav_out *out)
+static void wav_start_drains(struct wav *w, struct flt *f, int64_t now_ms,
+			     struct wav_out *out)
 {
-	int room = wav_room(w);
+	int startable = wav_count_startable(w);
 	GArray *queues;
-	bool took;
+	bool started;
 	int pass;
 	guint i;
 
-	if (room <= 0)
+	if (startable <= 0)
 		return;
-	queues = wav_queues(w, f);
+	queues = wav_make_queues(w, f);
 	for (pass = 0; pass < 2; pass++) {
 		for (i = 0; i < queues->len; i++)
-			g_array_index(queues, struct wav_queue, i).at = 0;
+			g_array_index(queues, struct wav_queue, i).next = 0;
 		do {
-			took = false;
-			for (i = 0; i < queues->len && room > 0; i++) {
-				if (!wav_take_one(
+			started = false;
+			for (i = 0; i < queues->len && startable > 0; i++) {
+				if (!wav_start_drain(
 					    w, f,
 					    &g_array_index(queues,
 							   struct wav_queue, i),
 					    pass == 0, now_ms))
 					continue;
-				took = true;
-				room--;
+				started = true;
+				startable--;
 			}
-		} while (took && room > 0);
+		} while (started && startable > 0);
 	}
 	g_array_free(queues, TRUE);
 }
 
-/* What waits, by pool, the pool with most rounds to go first. */
-static GArray *wav_queues(const struct wav *w, const struct flt *f)
+/* Returns the waiting VMs by pool, the pool with most rounds first. */
+static GArray *wav_make_queues(const struct wav *w, const struct flt *f)
 {
 	GArray *queues = g_array_sized_new(
 		FALSE, TRUE, sizeof(struct wav_queue), f->pools->len);
@@ -667,10 +697,10 @@
 	g_array_set_size(queues, f->pools->len);
 	g_array_set_clear_func(queues, wav_queue_clear);
 	for (i = 0; i < (int)w->targets->len; i++) {
-		if (wav_target(w, i)->step != WAV_WAITING)
+		if (wav_get_target(w, i)->step != WAV_WAITING)
 			continue;
 		q = &g_array_index(queues, struct wav_queue,
-				   flt_vm(f, wav_target(w, i)->vm)->pool);
+				   flt_vm(f, wav_get_target(w, i)->vm)->pool);
 		if (!q->waiting)
 			q->waiting = g_array_new(FALSE, FALSE, sizeof(int));
 		g_array_append_val(q->waiting, i);
@@ -682,7 +712,7 @@
 			q->rounds = (int)q->waiting->len /
 				    MAX(1, flt_margin(flt_pool(f, i)));
 	}
-	g_array_sort(queues, wav_more_rounds);
+	g_array_sort(queues, wav_compare_rounds);
 	return queues;
 }
 
@@ -694,35 +724,39 @@
 		g_array_free(q->waiting, TRUE);
 }
 
-static gint wav_more_rounds(gconstpointer a, gconstpointer b)
+static gint wav_compare_rounds(gconstpointer a, gconstpointer b)
 {
-	const struct wav_queue *qa = a;
-	const struct wav_queue *qb = b;
+	const struct wav_queue *x = a;
+	const struct wav_queue *y = b;
 
-	return qb->rounds != qa->rounds ? qb->rounds - qa->rounds
-					: qa->pool - qb->pool;
+	return y->rounds != x->rounds ? y->rounds - x->rounds
+				      : x->pool - y->pool;
 }
 
-/* Takes the next VM of a pool that may be taken, if there is one. */
-static bool wav_take_one(struct wav *w, struct flt *f, struct wav_queue *q,
-			 bool largest, int64_t now_ms)
+/*
+ * Starts to drain the next VM of a pool that may be drained; returns false if
+ * there is none. largest: only VMs in the domains where the pool has most.
+ */
+static bool wav_start_drain(struct wav *w, struct flt *f, struct wav_queue *q,
+			    bool largest, int64_t now_ms)
 {
 	struct wav_target *t;
 
-	while (q->waiting && q->at < q->waiting->len) {
-		t = wav_target(w, g_array_index(q->waiting, int, q->at++));
+	while (q->waiting && q->next < q->waiting->len) {
+		t = wav_get_target(w,
+				   g_array_index(q->waiting, int, q->next++));
 		if (t->step != WAV_WAITING ||
-		    (largest && !wav_in_largest(f, t->vm)) ||
+		    (largest && !wav_is_in_largest_domain(f, t->vm)) ||
 		    flt_take(f, t->vm, w->id) != FLT_OK)
 			continue;
 		t->attempt++;
-		wav_go(t, WAV_DRAIN, now_ms);
+		wav_set_step(t, WAV_DRAIN, now_ms);
 		return true;
 	}
 	return false;
 }
 
-static bool wav_in_largest(const struct flt *f, int vm)
+static bool wav_is_in_largest_domain(const struct flt *f, int vm)
 {
 	const struct flt_rack *r = flt_rack_of(f, vm);
 	const struct flt_pool *p = flt_pool(f, flt_vm(f, vm)->pool);
@@ -734,36 +768,41 @@
 }
 
 /*
- * How many VMs more may be taken. Made for the bad image: budgets alone would
- * let hundreds reboot at once before the first fails, and all of them would
- * be lost. So no more VMs are unproven than may fail before the wave halts,
- * until that many have proved themselves; from then on the wave widens.
+ * Returns how many more VMs may be drained. With a bad image, budgets alone
+ * would let hundreds of VMs reboot at once before the first one fails, and all
+ * of them would be lost. So at most halt_after VMs may be failed or unproven,
+ * until that many have passed their probation; from then on the number grows.
  */
-static int wav_room(const struct wav *w)
+static int wav_count_startable(const struct wav *w)
 {
 	const struct wav_config *c = &w->config;
 	int unproven = w->failures;
 	int out = 0;
-	int room;
+	int startable;
 	guint i;
 
 	for (i = 0; i < w->targets->len; i++) {
-		const struct wav_target *t = wav_target(w, (int)i);
+		const struct wav_target *t = wav_get_target(w, (int)i);
 
 		out += wav_defs[t->step].active;
-		unproven += wav_defs[t->step].active || t->proven_ms;
+		unproven += wav_defs[t->step].active || t->probation_end_ms;
 	}
-	room = c->halt_after - unproven;
-	if (w->proven >= c->halt_after)
-		room = c->widen ? c->widen * w->proven - unproven : INT_MAX;
+	startable = c->halt_after - unproven;
+	if (w->n_proven >= c->halt_after)
+		startable =
+			c->widen ? c->widen * w->n_proven - unproven : INT_MAX;
 	if (c->parallel)
-		room = MIN(room, c->parallel - out);
-	return room;
+		startable = MIN(startable, c->parallel - out);
+	return startable;
 }
 
-/* Sends the act of a step until its reply is here, but not into a cut. */
-static void wav_tell(struct wav *w, const struct flt *f, struct wav_target *t,
-		     int64_t now_ms, struct wav_out *out)
+/*
+ * Sends the act of a step, again until its reply arrives, but not into a
+ * partitioned zone.
+ */
+static void wav_send_act(struct wav *w, const struct flt *f,
+			 struct wav_target *t, int64_t now_ms,
+			 struct wav_out *out)
 {
 	struct wav_act act = {
 		.wave = w->id,
@@ -773,14 +812,14 @@
 	};
 
 	if (flt_zone_of(f, t->vm)->cut ||
-	    (t->told_ms && now_ms - t->told_ms < w->config.retry_ms))
+	    (t->sent_ms && now_ms - t->sent_ms < w->config.retry_ms))
 		return;
-	t->told_ms = now_ms;
+	t->sent_ms = now_ms;
 	g_array_append_val(out->acts, act);
 }
 
-/* Whether VMs that only drain must go back to work. */
-static bool wav_calls_back(const struct wav *w)
+/* Whether VMs that are still draining must return to service. */
+static bool wav_must_return_vms(const struct wav *w)
 {
 	return w->state == WAV_HALTED || w->state == WAV_ABORTING;
 }
@@ -811,9 +850,9 @@
 		t.vm = (int)pk_get_i(&a);
 		step = pk_get_i(&a);
 		t.attempt = (uint32_t)pk_get_u(&a);
-		t.stuck = (int)pk_get_i(&a);
+		t.drain_timeouts = (int)pk_get_i(&a);
 		t.since_ms = pk_get_i(&a);
-		t.proven_ms = pk_get_i(&a);
+		t.probation_end_ms = pk_get_i(&a);
 		if (t.vm < 0 || step < 0 || step >= WAV_STEPS)
 			return false;
 		t.step = (enum wav_step)step;
--- a/src/wav.h
+++ b/src/wav.h
@@ -1,6 +1,8 @@
 #ifndef WAV_H
 #define WAV_H
 
+/* Maintenance wave: rolling reboot of VMs within availability budgets. */
+
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -10,18 +12,19 @@
 #include "pk.h"
 
 /*
- * A maintenance wave: drains, reboots, checks and returns the VMs it names,
- * as many at a time as budgets allow. It gives acts for the platform and
- * takes replies; a tick at least every second moves it on. Everything that
- * must survive a restart is in wav_pack beside flt_pack.
+ * A maintenance wave drains, reboots, checks and returns the VMs in it, as many
+ * at a time as budgets allow. It emits acts, the requests to the platform, and
+ * consumes the platform's replies; wav_tick(), called at least every second,
+ * advances it. All that must survive a restart is in the output of wav_pack()
+ * together with that of flt_pack().
  */
 
-/* In the order of the names in charts/wave.chart. */
+/* In the order of the state names in charts/wave.chart. */
 enum wav_state {
 	WAV_READY,
 	WAV_RUNNING,
 	WAV_PAUSED,
-	WAV_HALTED, /* by itself, with a reason */
+	WAV_HALTED, /* by the wave itself, after failures; see wav_status */
 	WAV_ABORTING,
 	WAV_ABORTED,
 	WAV_DONE,
@@ -39,40 +42,50 @@
 	WAV_EVENTS
 };
 
-/* Where a VM stands in the wave; the acts are those from drain to give back. */
+/*
+ * Progress of a VM in the wave; WAV_DRAIN to WAV_GIVE_BACK are also the acts.
+ */
 enum wav_step {
 	WAV_WAITING,
-	WAV_DRAIN, /* reply: no work is left on it */
-	WAV_REBOOT, /* reply: it is up again */
-	WAV_CHECK, /* reply: it is healthy, or not yet */
-	WAV_RETURN, /* reply: it gets work again */
-	WAV_GIVE_BACK, /* the same, before it was rebooted */
+	WAV_DRAIN, /* reply: no work is left on the VM */
+	WAV_REBOOT, /* reply: the VM is up again */
+	WAV_CHECK, /* reply: whether the VM is healthy yet */
+	WAV_RETURN, /* reply: the VM gets work again */
+	WAV_GIVE_BACK, /* the same for a VM that was not rebooted */
 	WAV_MAINTAINED,
 	WAV_FAILED,
 	WAV_STEPS
 };
 
 struct wav_config {
-	int parallel; /* VMs out at once; 0: as budgets allow */
-	/* failures that halt the wave; so many in every halt_among pass */
+	/* most VMs in maintenance at once; 0: as many as budgets allow */
+	int parallel;
+	/*
+	 * Number of failures that halts the wave. One failure is forgiven after
+	 * halt_among VMs in a row have passed their probation.
+	 */
 	int halt_after;
 	int halt_among;
 	/*
-	 * So many times the VMs that have proved themselves may be unproven,
-	 * once halt_after of them have; 0: as many as budgets allow
+	 * Once halt_after VMs have passed their probation, at most widen times
+	 * the number that passed may be unproven at a time; 0: as many as
+	 * budgets allow.
 	 */
 	int widen;
-	int drains_max; /* drains that ran out of time before a VM is left */
+	/* drains that time out before the wave gives up on a VM */
+	int drains_max;
 	int64_t drain_ms;
 	int64_t reboot_ms;
 	int64_t check_ms;
-	int64_t probation_ms; /* a failure so soon after return counts */
-	int64_t retry_ms; /* an act without reply is sent again */
+	/* a failure within this time after the return counts */
+	int64_t probation_ms;
+	/* an act without a reply is sent again after this time */
+	int64_t retry_ms;
 };
 
 /*
- * For the platform, which does each key (wave, vm, step, attempt) once and
- * answers a key that it has done with the same reply.
+ * A request to the platform, which carries out each key (wave, vm, step,
+ * attempt) once and answers a repeated key with the same reply.
  */
 struct wav_act {
 	uint64_t wave;
@@ -86,17 +99,17 @@
 	bool ok;
 };
 
-/* What a call asks for; the caller owns the arrays. */
+/* Output of a call; the caller owns the arrays. */
 struct wav_out {
-	GArray *acts; /* struct wav_act */
-	GPtrArray *audit; /* char *, g_free */
+	GArray *acts; /* struct wav_act, to be sent to the platform */
+	GPtrArray *audit; /* char *, audit texts; freed with g_free */
 };
 
 struct wav_status {
 	enum wav_state state;
 	int by_step[WAV_STEPS];
-	int failures; /* that count towards halt_after now */
-	const char *reason; /* of the last halt, or "" */
+	int failures; /* failures that count towards halt_after now */
+	const char *reason; /* reason of the last halt, or "" */
 };
 
 struct wav;
--- a/tests/prop/wav_prop.cc
+++ b/tests/prop/wav_prop.cc
@@ -13,33 +13,37 @@
 const int64_t TICK_MS = 20000;
 const int WAVES = 2;
 
-/* Over the whole range in every case; by itself inRange begins with the least. */
-int roll(int from, int to)
+/*
+ * A number in [from, to). The nominal size is set because inRange alone starts
+ * with the least values.
+ */
+int randomInt(int from, int to)
 {
 	return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(from, to));
 }
 
-/* A fleet, two waves that name the same VMs, and the platform of each. */
-struct Rig {
+/* A fleet, two waves over the same VMs, and a platform for each wave. */
+struct World {
 	struct flt *f;
 	struct wav *w[WAVES];
 	struct fake *p[WAVES];
 	struct wav_out out;
-	std::vector<int> losses; /* of each VM, by the world */
+	std::vector<int> losses; /* failures of each VM that tests injected */
 	int64_t now = 1000;
 
-	Rig()
+	World()
 	{
-		int zones = roll(1, 4);
+		int zones = randomInt(1, 4);
 		struct pln_config plan = fleet_harrowgate();
 		struct wav_config c = fake_wave_config();
 		std::vector<int> vms;
 
-		f = fleet_make(zones, roll(zones, 10), roll(1, 5));
-		for (int i = roll(1, 4); i > 0; i--) {
-			int wanted = roll(0, (int)f->vms->len / 3 + 1);
+		f = fleet_make(zones, randomInt(zones, 10), randomInt(1, 5));
+		for (int i = randomInt(1, 4); i > 0; i--) {
+			int wanted = randomInt(0, (int)f->vms->len / 3 + 1);
 
-			fleet_pool(f, wanted, roll(0, wanted + 1), roll(0, 2));
+			fleet_pool(f, wanted, randomInt(0, wanted + 1),
+				   randomInt(0, 2));
 		}
 		fleet_replan(f, &plan);
 		losses.resize(f->vms->len);
@@ -49,13 +53,14 @@
 		for (int i = 0; i < WAVES; i++) {
 			w[i] = wav_new((uint64_t)i + 1, &c, vms.data(),
 				       (int)vms.size());
-			p[i] = fake_new((int)vms.size(), (guint32)roll(0, 99));
-			p[i]->lost_percent = roll(0, 30);
-			p[i]->bad_percent = roll(0, 2) * roll(0, 100);
+			p[i] = fake_new((int)vms.size(),
+					(guint32)randomInt(0, 99));
+			p[i]->lost_percent = randomInt(0, 30);
+			p[i]->bad_percent = randomInt(0, 2) * randomInt(0, 100);
 			wav_command(w[i], WAV_START, LSTR("prop"), &out);
 		}
 	}
-	~Rig()
+	~World()
 	{
 		for (int i = 0; i < WAVES; i++) {
 			wav_free(w[i]);
@@ -65,7 +70,7 @@
 		wav_out_done(&out);
 	}
 
-	/* The control daemon goes down and comes back with the bytes. */
+	/* Restarts the control daemon from its packed state. */
 	void restart()
 	{
 		struct pk_out o;
@@ -96,10 +101,10 @@
 	}
 
 	/*
-	 * One tick of a wave. What it newly takes or reboots leaves the pool
-	 * able to survive its declared failure, nothing is told to a zone
-	 * that is cut off, and no VM is rebooted a second time, but for one
-	 * that was lost while it was out.
+	 * Runs a tick of a wave. A VM that it newly drains or reboots leaves
+	 * its pool able to survive the declared failure, no act is sent to a
+	 * partitioned zone, and no VM is rebooted twice except one that failed
+	 * during its maintenance.
 	 */
 	void tick(int i)
 	{
@@ -123,31 +128,31 @@
 					 ->cut);
 	}
 
-	void worldActs()
+	void injectFault()
 	{
 		auto before = states();
 
-		anyEvent();
+		randomEvent();
 		for (int v = 0; v < (int)before.size(); v++)
 			losses[v] += before[v] != FLT_DOWN &&
 				     flt_vm(f, v)->state == FLT_DOWN;
 	}
 
-	void anyEvent()
+	void randomEvent()
 	{
-		int vm = roll(0, (int)f->vms->len);
-		int zone = roll(0, (int)f->zones->len);
+		int vm = randomInt(0, (int)f->vms->len);
+		int zone = randomInt(0, (int)f->zones->len);
 
-		switch (roll(0, 24)) {
+		switch (randomInt(0, 24)) {
 		case 0:
-			flt_fail_rack(f, roll(0, (int)f->racks->len));
+			flt_fail_rack(f, randomInt(0, (int)f->racks->len));
 			break;
 		case 1:
 			flt_fail_zone(f, zone);
 			break;
 		case 2:
 		case 3:
-			flt_cut(f, zone, roll(0, 2));
+			flt_cut(f, zone, randomInt(0, 2));
 			break;
 		case 4:
 			flt_hold(f, vm, false);
@@ -162,7 +167,7 @@
 			repair();
 			break;
 		case 8:
-			command(roll(0, WAVES),
+			command(randomInt(0, WAVES),
 				*rc::gen::element(WAV_PAUSE, WAV_RESUME,
 						  WAV_RESUME, WAV_ABORT));
 			break;
@@ -204,24 +209,24 @@
 
 int main()
 {
-	bool ok = rc::check("waves break no budget, repeat none", [] {
-		Rig r;
+	bool ok = rc::check("waves keep budgets, repeat no reboot", [] {
+		World r;
 
-		for (int t = roll(20, 150); t > 0; t--) {
+		for (int t = randomInt(20, 150); t > 0; t--) {
 			r.now += TICK_MS;
-			r.worldActs();
-			r.tick(roll(0, WAVES));
+			r.injectFault();
+			r.tick(randomInt(0, WAVES));
 		}
 	});
 
-	ok &= rc::check("waves forget none", [] {
-		Rig r;
+	ok &= rc::check("all VMs return to service", [] {
+		World r;
 		struct wav_status s;
 
-		for (int t = roll(0, 40); t > 0; t--) {
+		for (int t = randomInt(0, 40); t > 0; t--) {
 			r.now += TICK_MS;
-			r.worldActs();
-			r.tick(roll(0, WAVES));
+			r.injectFault();
+			r.tick(randomInt(0, WAVES));
 		}
 		for (int z = 0; z < (int)r.f->zones->len; z++)
 			flt_cut(r.f, z, false);
@@ -235,7 +240,10 @@
 				r.tick(i);
 			}
 		}
-		/* All that is out has come back, whatever became of waves. */
+		/*
+		 * All VMs have returned to service, whatever state the waves
+		 * are in.
+		 */
 		for (int v = 0; v < (int)r.f->vms->len; v++) {
 			RC_ASSERT(flt_vm(r.f, v)->wave == FLT_NO_WAVE);
 			RC_ASSERT(flt_vm(r.f, v)->state == FLT_UP);
--- a/tests/unit/fake_platform.h
+++ b/tests/unit/fake_platform.h
@@ -1,25 +1,28 @@
 #ifndef FAKE_PLATFORM_H
 #define FAKE_PLATFORM_H
 
+/* Fake platform for tests of maintenance waves. */
+
 #include "wav.h"
 
 /*
- * The platform as a wave meets it: does each key once, after a while, and
- * answers a key it has done with the same reply. Acts and replies get lost.
+ * A platform that carries out each key once, after a delay, and answers a
+ * repeated key with the same reply. Acts and replies may be lost.
  */
 struct fake_job {
-	int64_t due_ms; /* of the reply; -1: it got lost */
+	int64_t due_ms; /* when the reply is due; -1: sent or lost */
 	struct wav_reply reply;
 };
 
 struct fake {
-	GHashTable *by_key; /* char * to index in jobs + 1 */
+	GHashTable *by_key; /* char *: index in jobs + 1 */
 	GArray *jobs; /* struct fake_job */
 	GRand *rand;
-	int lost_percent; /* of acts and of replies */
-	int bad_percent; /* of VMs that never get healthy after the reboot */
-	int64_t step_ms; /* of each step, up to twice that */
-	int *reboots; /* begun, by VM */
+	int lost_percent; /* percentage of acts and of replies */
+	/* percentage of VMs that do not get healthy after the reboot */
+	int bad_percent;
+	int64_t step_ms; /* duration of each step, up to twice that */
+	int *reboots; /* number of reboots begun, by VM */
 };
 
 static inline struct fake *fake_new(int vms, guint32 seed)
@@ -79,7 +82,7 @@
 			now_ms + 1;
 }
 
-/* The next reply that is due, if any. */
+/* Takes the next reply that is due; returns false if there is none. */
 static inline bool fake_next(struct fake *p, int64_t now_ms,
 			     struct wav_reply *out)
 {
@@ -116,7 +119,7 @@
 	return c;
 }
 
-/* One tick of a wave against the platform. */
+/* Runs a tick of a wave against the platform. */
 static inline void fake_tick(struct fake *p, struct wav *w, struct flt *f,
 			     int64_t now_ms, struct wav_out *out)
 {
