--- a/src/pln.c
+++ b/src/pln.c
@@ -1,23 +1,22 @@
 #include "pln.h"
 
 /*
- * Greedy repair: pools in the order of their priority take, one by one, the
- * VM that keeps them spread best, until they have what they want and survive
- * what they declared. docs/design/planner.md has the ways weighed beside it.
- *
- * A VM beyond what its pool needs stays where it is and may be taken by any
- * pool that lacks one: a buffer is shared without moves to a common place and
- * back.
+ * Greedy repair: in the order of their priority, pools get VMs one by one, each
+ * time the VM that keeps the pool spread best, until they have what they want
+ * and survive the declared failure. docs/design/planner.md compares this with
+ * other algorithms. A VM beyond what its pool needs stays in the pool and may
+ * be moved to any pool that lacks one: so the buffer is shared without moves to
+ * a common place and back.
  */
 
-/* What one touch of a switch while a pool's heap is built costs, in steps. */
-#define PLN_STEP_SWITCH 1
-/* What moving one VM costs, in steps. */
-#define PLN_STEP_MOVE 16
+/* Cost, in steps, of one access to a switch while a pool's heap is built. */
+#define PLN_COST_SWITCH 1
+/* Cost, in steps, of moving one VM. */
+#define PLN_COST_MOVE 16
 /*
- * VMs in a row that may join without bringing the pool further through its
- * declared failure. An even spread over switches, and over zones, has one
- * such VM each, the first of a new layer.
+ * Most VMs in a row that may join a pool without improving its margin. An even
+ * spread over switches, and over zones, has one such VM each, the first of a
+ * new layer.
  */
 #define PLN_FUTILE_MAX 2
 
@@ -28,27 +27,27 @@
 	PLN_DONE,
 };
 
-/* A switch that has donors, by what the pool already has there. */
-struct pln_place {
-	uint64_t key;
+/* A switch that has donors, with its rank for the pool being filled. */
+struct pln_switch {
+	uint64_t rank;
 	int sw;
 	int zone;
 };
 
 struct pln {
-	struct flt *f; /* copy, with the moves so far done */
+	struct flt *f; /* copy of the fleet, with the planned moves applied */
 	struct pln_config config;
-	int *lend; /* by pool, VMs beyond slack */
-	int *coming; /* by pool, VMs that a wave has out */
+	int *lend; /* by pool: VMs beyond slack */
+	int *in_maintenance; /* by pool: VMs that are in a wave's maintenance */
 	enum pln_phase phase;
-	int work; /* done in this step */
-	int vm; /* last that was indexed */
-	int *donor; /* by switch: first VM that may change pools, or -1 */
-	int *next; /* by VM: the next behind its switch, or -1 */
+	int steps_used; /* steps used in this pln_step() */
+	int vm; /* the VM that was indexed last */
+	int *donors; /* by switch: first VM that may change pools, or -1 */
+	int *next_donor; /* by VM: the next donor behind its switch, or -1 */
 	int *zone_of_sw;
-	GArray *order; /* int: pools, most important first */
-	guint at; /* in order */
-	GArray *heap; /* struct pln_place of the pool being filled */
+	GArray *order; /* int: pools, in descending priority */
+	guint at; /* position in order */
+	GArray *heap; /* struct pln_switch, for the pool being filled */
 	int futile;
 	GArray *moves;
 	GArray *shortages;
@@ -56,31 +55,34 @@
 
 static void pln_add_lacking(const struct flt_pool *pool, int *lacking,
 			    int *always);
-static void pln_index(struct pln *p);
-static void pln_open(struct pln *p);
-static bool pln_in_site(const struct pln *p, int pool, int zone);
-static void pln_fill(struct pln *p);
-static int pln_by_priority(gconstpointer a, gconstpointer b, gpointer data);
+static void pln_index_vm(struct pln *p);
+static void pln_open_pool(struct pln *p);
+static bool pln_is_in_site(const struct pln *p, int pool, int zone);
+static void pln_fill_pool(struct pln *p);
+static int pln_compare_priority(gconstpointer a, gconstpointer b,
+				gpointer data);
 static int pln_slack(const struct pln *p, int pool);
-static int pln_lacking(const struct pln *p, int pool, enum pln_reason *why);
-static bool pln_zone_cut(const struct flt *f, const struct flt_pool *pool);
-static uint64_t pln_key(const struct pln *p, int pool, int sw, int zone);
-static int pln_pick(struct pln *p, int pool);
-static int pln_donor(struct pln *p, int sw, int pool);
-static bool pln_gives(struct pln *p, int vm, int to);
-static void pln_give_up(struct pln *p, int pool, int lacking,
-			enum pln_reason why);
-static struct pln_place *pln_heap_at(GArray *heap, guint i);
-static void pln_swap(GArray *heap, guint i, guint j);
-static bool pln_before(GArray *heap, guint i, guint j);
-static void pln_sift_up(GArray *heap, guint i);
-static void pln_sift_down(GArray *heap, guint i);
-static struct pln_place pln_pop(GArray *heap);
+static int pln_count_lacking(const struct pln *p, int pool,
+			     enum pln_reason *why);
+static bool pln_has_partitioned_zone(const struct flt *f,
+				     const struct flt_pool *pool);
+static uint64_t pln_rank(const struct pln *p, int pool, int sw, int zone);
+static int pln_choose_vm(struct pln *p, int pool);
+static int pln_find_donor(struct pln *p, int sw, int pool);
+static bool pln_may_give(struct pln *p, int vm, int to);
+static void pln_record_shortage(struct pln *p, int pool, int lacking,
+				enum pln_reason why);
+static struct pln_switch *pln_heap_at(GArray *heap, guint i);
+static void pln_heap_swap(GArray *heap, guint i, guint j);
+static bool pln_heap_less(GArray *heap, guint i, guint j);
+static void pln_heap_sift_up(GArray *heap, guint i);
+static void pln_heap_sift_down(GArray *heap, guint i);
+static struct pln_switch pln_heap_pop(GArray *heap);
 
 static void (*const pln_phases[])(struct pln *p) = {
-	[PLN_INDEX] = pln_index,
-	[PLN_OPEN] = pln_open,
-	[PLN_FILL] = pln_fill,
+	[PLN_INDEX] = pln_index_vm,
+	[PLN_OPEN] = pln_open_pool,
+	[PLN_FILL] = pln_fill_pool,
 };
 
 static const char *const pln_reasons[PLN_REASONS] = {
@@ -90,8 +92,9 @@
 };
 
 /*
- * Begins a plan for the fleet as it is now. lend, by pool, are VMs that its
- * wave may use beyond the configured slack; NULL: none.
+ * Starts a plan for the fleet in its current state. lend has, by pool, the VMs
+ * that a wave of the pool may use beyond the configured slack; NULL: none. f is
+ * copied.
  */
 struct pln *pln_new(const struct flt *f, const struct pln_config *config,
 		    const int *lend)
@@ -104,11 +107,11 @@
 	p->lend = g_new0(int, f->pools->len);
 	if (lend)
 		memcpy(p->lend, lend, f->pools->len * sizeof(*lend));
-	p->coming = g_new0(int, f->pools->len);
-	p->donor = g_new(int, f->n_switches + 1);
+	p->in_maintenance = g_new0(int, f->pools->len);
+	p->donors = g_new(int, f->n_switches + 1);
 	for (i = 0; i < f->n_switches; i++)
-		p->donor[i] = -1;
-	p->next = g_new(int, f->vms->len + 1);
+		p->donors[i] = -1;
+	p->next_donor = g_new(int, f->vms->len + 1);
 	p->vm = (int)f->vms->len;
 	p->zone_of_sw = g_new0(int, f->n_switches + 1);
 	for (i = 0; i < (int)f->racks->len; i++) {
@@ -119,23 +122,23 @@
 	p->order = g_array_new(FALSE, FALSE, sizeof(int));
 	for (i = 1; i < (int)f->pools->len; i++)
 		g_array_append_val(p->order, i);
-	g_array_sort_with_data(p->order, pln_by_priority, p->f);
-	p->heap = g_array_new(FALSE, FALSE, sizeof(struct pln_place));
+	g_array_sort_with_data(p->order, pln_compare_priority, p->f);
+	p->heap = g_array_new(FALSE, FALSE, sizeof(struct pln_switch));
 	p->moves = g_array_new(FALSE, FALSE, sizeof(struct pln_move));
 	p->shortages = g_array_new(FALSE, FALSE, sizeof(struct pln_shortage));
 	return p;
 }
 
-/* Frees a plan, finished or not. */
+/* Frees a plan, complete or not; NULL is allowed. */
 void pln_free(struct pln *p)
 {
 	if (!p)
 		return;
-	g_free(p->donor);
-	g_free(p->next);
+	g_free(p->donors);
+	g_free(p->next_donor);
 	g_free(p->zone_of_sw);
 	g_free(p->lend);
-	g_free(p->coming);
+	g_free(p->in_maintenance);
 	g_array_free(p->order, TRUE);
 	g_array_free(p->heap, TRUE);
 	g_array_free(p->moves, TRUE);
@@ -145,50 +148,56 @@
 }
 
 /*
- * Plans on for about budget steps (each well under a microsecond), so that
- * the loop of the caller is never held for long. True: the plan is complete.
+ * Continues a plan for about budget steps of well under a microsecond each, so
+ * that the caller's event loop is not blocked for long. Returns true when the
+ * plan is complete.
  */
 bool pln_step(struct pln *p, int budget)
 {
-	p->work = 0;
-	while (p->phase != PLN_DONE && p->work < budget)
+	p->steps_used = 0;
+	while (p->phase != PLN_DONE && p->steps_used < budget)
 		pln_phases[p->phase](p);
 	return p->phase == PLN_DONE;
 }
 
-/* The moves, struct pln_move, in the order in which they must be done. */
+/*
+ * Returns the moves, struct pln_move, in the order in which they must be
+ * carried out.
+ */
 const GArray *pln_moves(const struct pln *p)
 {
 	return p->moves;
 }
 
-/* What can't be met, struct pln_shortage. */
+/* Returns the needs that cannot be met, struct pln_shortage. */
 const GArray *pln_shortages(const struct pln *p)
 {
 	return p->shortages;
 }
 
-/* The fleet with the moves done. */
+/* Returns the fleet with the moves applied; it belongs to the plan. */
 const struct flt *pln_after(const struct pln *p)
 {
 	return p->f;
 }
 
-/* The reason in words. */
+/* Returns the text of a reason. */
 const char *pln_reason_text(enum pln_reason reason)
 {
 	return pln_reasons[reason];
 }
 
 /*
- * VMs that must stand ready so that whichever single switch of a site is
- * lost, every pool gets back what it wants: for each site the worst sum over
- * one switch, not the sum of every pool's worst. Spare VMs behind that switch
- * don't count, so they are added on top.
+ * Returns how many VMs must be in reserve so that every pool gets back what it
+ * wants after the loss of any single switch of each site: for each site the
+ * largest sum over one switch, not the sum of every pool's worst case. Spare
+ * VMs behind the lost switch do not count towards the reserve and come on top
+ * of it.
  */
 int pln_reserve(const struct flt *f, const struct pln_config *config)
 {
-	GHashTable *worst = g_hash_table_new(NULL, NULL); /* by site + 1 */
+	/* site + 1: largest sum */
+	GHashTable *worst = g_hash_table_new(NULL, NULL);
 	int *lacking = g_new0(int, f->n_switches + 1);
 	int sum = config->single_failures;
 	int always = 0;
@@ -217,25 +226,25 @@
 }
 
 /*
- * What a pool would lack after the loss of each switch that it is behind;
- * what it lacks whatever is lost goes into always.
+ * Adds what a pool would lack after the loss of each switch that it has VMs
+ * behind. What it lacks in any case is added to always.
  */
 static void pln_add_lacking(const struct flt_pool *pool, int *lacking,
 			    int *always)
 {
 	int now = pool->budget.wanted - pool->serving;
-	const struct flt_place *place;
+	const struct flt_place *entry;
 	guint i;
 
 	*always += MAX(0, now);
 	for (i = 0; i < pool->places->len; i++) {
-		place = &g_array_index(pool->places, struct flt_place, i);
-		lacking[place->sw] +=
-			MAX(0, now + place->tally.serving) - MAX(0, now);
+		entry = &g_array_index(pool->places, struct flt_place, i);
+		lacking[entry->sw] +=
+			MAX(0, now + entry->tally.serving) - MAX(0, now);
 	}
 }
 
-/* The three measures of a fleet as it stands. */
+/* Computes the measures of a fleet in its current state. */
 void pln_measure(const struct flt *f, const struct pln_config *config,
 		 struct pln_measures *out)
 {
@@ -248,7 +257,7 @@
 		pool = flt_pool(f, (int)i);
 		margin = flt_margin(pool);
 		out->wanted += pool->budget.wanted;
-		/* What is above the slack is surplus, and serves any pool. */
+		/* VMs above the slack are surplus, which any pool may use. */
 		out->embedded += MAX(0, pool->serving - pool->budget.wanted -
 						MAX(0, margin - config->slack));
 		out->broken += pool->serving < flt_floor(pool);
@@ -262,10 +271,9 @@
 }
 
 /*
- * VMs worth lending to a pool while its wave runs, at most available: each
- * shortens the wave by some rounds, is set aside for it and costs a move to
- * it and one away. The weights decide, so one user's fleet rolls out fast and another's stays
- * still.
+ * Returns how many VMs are worth lending to a pool while its wave runs, at most
+ * available. Each shortens the wave by some rounds, is reserved for it, and
+ * costs a move to the pool and one away; the weights decide which is preferred.
  */
 int pln_lend(const struct flt *f, const struct pln_config *config, int pool,
 	     int available)
@@ -290,8 +298,11 @@
 	return lend;
 }
 
-/* One VM of the fleet, the last first: may it change pools at all? */
-static void pln_index(struct pln *p)
+/*
+ * Indexes one VM, from the last to the first: whether it may change pools at
+ * all.
+ */
+static void pln_index_vm(struct pln *p)
 {
 	const struct flt_vm *v;
 	const struct flt_pool *pool;
@@ -304,53 +315,57 @@
 	p->vm--;
 	v = flt_vm(p->f, p->vm);
 	pool = flt_pool(p->f, v->pool);
-	p->work++;
-	p->coming[v->pool] += v->wave != FLT_NO_WAVE && v->state != FLT_UP &&
-			      v->state != FLT_DOWN;
+	p->steps_used++;
+	p->in_maintenance[v->pool] += v->wave != FLT_NO_WAVE &&
+				      v->state != FLT_UP &&
+				      v->state != FLT_DOWN;
 	if (v->state == FLT_UP && v->wave == FLT_NO_WAVE && !v->hold &&
 	    !flt_zone_of(p->f, p->vm)->cut &&
 	    (v->pool == FLT_SPARE || pool->serving > flt_floor(pool))) {
 		sw = flt_rack_of(p->f, p->vm)->sw;
-		p->next[p->vm] = p->donor[sw];
-		p->donor[sw] = p->vm;
+		p->next_donor[p->vm] = p->donors[sw];
+		p->donors[sw] = p->vm;
 	}
 }
 
-/* The next pool: passed by in O(1) if it lacks nothing. */
-static void pln_open(struct pln *p)
+/* Opens the next pool, or skips it in O(1) if it lacks nothing. */
+static void pln_open_pool(struct pln *p)
 {
-	struct pln_place place;
+	struct pln_switch entry;
 	enum pln_reason why;
 	int pool;
 
-	p->work++;
+	p->steps_used++;
 	if (p->at >= p->order->len) {
 		p->phase = PLN_DONE;
 		return;
 	}
 	pool = g_array_index(p->order, int, p->at);
-	if (pln_lacking(p, pool, &why) <= 0) {
+	if (pln_count_lacking(p, pool, &why) <= 0) {
 		p->at++;
 		return;
 	}
 	g_array_set_size(p->heap, 0);
-	for (place.sw = 0; place.sw < p->f->n_switches; place.sw++) {
-		p->work += PLN_STEP_SWITCH;
-		if (p->donor[place.sw] < 0)
+	for (entry.sw = 0; entry.sw < p->f->n_switches; entry.sw++) {
+		p->steps_used += PLN_COST_SWITCH;
+		if (p->donors[entry.sw] < 0)
 			continue;
-		place.zone = p->zone_of_sw[place.sw];
-		if (!pln_in_site(p, pool, place.zone))
+		entry.zone = p->zone_of_sw[entry.sw];
+		if (!pln_is_in_site(p, pool, entry.zone))
 			continue;
-		place.key = pln_key(p, pool, place.sw, place.zone);
-		g_array_append_val(p->heap, place);
-		pln_sift_up(p->heap, p->heap->len - 1);
+		entry.rank = pln_rank(p, pool, entry.sw, entry.zone);
+		g_array_append_val(p->heap, entry);
+		pln_heap_sift_up(p->heap, p->heap->len - 1);
 	}
 	p->futile = 0;
 	p->phase = PLN_FILL;
 }
 
-/* Else the zones of all other sites, where it has none, would come first. */
-static bool pln_in_site(const struct pln *p, int pool, int zone)
+/*
+ * Whether a zone is in the pool's site. Without this check, zones of other
+ * sites would rank first, as the pool has no VMs there.
+ */
+static bool pln_is_in_site(const struct pln *p, int pool, int zone)
 {
 	int site = flt_pool(p->f, pool)->budget.site;
 
@@ -358,20 +373,21 @@
 	       site == g_array_index(p->f->zones, struct flt_zone, zone).site;
 }
 
-/* One VM more for the pool that is open. */
-static void pln_fill(struct pln *p)
+/* Adds one VM to the open pool. */
+static void pln_fill_pool(struct pln *p)
 {
 	struct pln_move move = {.to = g_array_index(p->order, int, p->at)};
 	const struct flt_pool *pool = flt_pool(p->f, move.to);
-	int lacking = pln_lacking(p, move.to, &move.reason);
+	int lacking = pln_count_lacking(p, move.to, &move.reason);
 	int margin = flt_margin(pool);
 
-	p->work += PLN_STEP_MOVE;
+	p->steps_used += PLN_COST_MOVE;
 	if (lacking > 0) {
-		move.vm =
-			p->futile > PLN_FUTILE_MAX ? -1 : pln_pick(p, move.to);
+		move.vm = p->futile > PLN_FUTILE_MAX
+				  ? -1
+				  : pln_choose_vm(p, move.to);
 		if (move.vm < 0)
-			pln_give_up(p, move.to, lacking, move.reason);
+			pln_record_shortage(p, move.to, lacking, move.reason);
 	}
 	if (lacking <= 0 || move.vm < 0) {
 		p->at++;
@@ -387,7 +403,7 @@
 		p->futile++;
 }
 
-static int pln_by_priority(gconstpointer a, gconstpointer b, gpointer data)
+static int pln_compare_priority(gconstpointer a, gconstpointer b, gpointer data)
 {
 	int pa = *(const int *)a;
 	int pb = *(const int *)b;
@@ -403,31 +419,34 @@
 }
 
 /*
- * VMs that a pool lacks and the first reason for it. While a zone is cut off
- * a pool is only kept above its floor: the zone may well serve on its own
- * side, and refilling for every cut would move a third of the fleet and back.
- * What a wave has out comes back in minutes and is not replaced either,
- * unless a failure beside it has put the budget at stake.
+ * Returns how many VMs a pool lacks, and the first reason for it. While one of
+ * its zones is partitioned, a pool is only kept above its floor: the zone may
+ * well serve on its side, and refilling at every partition would move a third
+ * of the fleet and back. VMs in a wave's maintenance come back in minutes and
+ * are not replaced either, unless another failure has put the budget at stake.
  */
-static int pln_lacking(const struct pln *p, int pool, enum pln_reason *why)
+static int pln_count_lacking(const struct pln *p, int pool,
+			     enum pln_reason *why)
 {
 	const struct flt_pool *at = flt_pool(p->f, pool);
-	int coming = p->coming[pool];
+	int in_maintenance = p->in_maintenance[pool];
 	int margin = flt_margin(at);
 
 	*why = PLN_REFILL;
 	if (at->budget.wanted == 0)
 		return 0;
-	if (pln_zone_cut(p->f, at))
+	if (pln_has_partitioned_zone(p->f, at))
 		return flt_floor(at) - at->serving;
-	if (at->budget.wanted > at->serving + coming)
-		return at->budget.wanted - at->serving - coming;
-	*why = margin + coming < p->config.slack || margin < 0 ? PLN_SURVIVE
-							       : PLN_LEND;
-	return MAX(-margin, pln_slack(p, pool) - margin - coming);
+	if (at->budget.wanted > at->serving + in_maintenance)
+		return at->budget.wanted - at->serving - in_maintenance;
+	*why = margin + in_maintenance < p->config.slack || margin < 0
+		       ? PLN_SURVIVE
+		       : PLN_LEND;
+	return MAX(-margin, pln_slack(p, pool) - margin - in_maintenance);
 }
 
-static bool pln_zone_cut(const struct flt *f, const struct flt_pool *pool)
+static bool pln_has_partitioned_zone(const struct flt *f,
+				     const struct flt_pool *pool)
 {
 	guint z;
 
@@ -439,62 +458,67 @@
 }
 
 /*
- * Smaller is better: fewest of the pool where its declared failure strikes,
- * then fewest in the other kind of domain, then the switch with most spare
- * VMs, so that what stays spare is spread too and the next pool finds it so.
+ * Returns the rank of a switch for a pool; the smallest is best: fewest of the
+ * pool's VMs in the domain of its declared failure, then fewest in the other
+ * kind of domain, then most spare VMs behind the switch. The last keeps the
+ * spare VMs spread, too, for the pools that follow.
  */
-static uint64_t pln_key(const struct pln *p, int pool, int sw, int zone)
+static uint64_t pln_rank(const struct pln *p, int pool, int sw, int zone)
 {
 	const struct flt_pool *at = flt_pool(p->f, pool);
 	uint64_t in_zone = flt_at_zone(at, zone)->serving;
 	uint64_t in_sw = flt_at_sw(at, sw)->serving;
 	const struct flt_pool *spare = flt_pool(p->f, FLT_SPARE);
-	uint64_t few = UINT16_MAX - flt_at_sw(spare, sw)->serving;
+	uint64_t spare_rank = UINT16_MAX - flt_at_sw(spare, sw)->serving;
 
 	if (at->budget.survive_zone)
-		return in_zone << 32 | in_sw << 16 | few;
-	return in_sw << 32 | in_zone << 16 | few;
+		return in_zone << 32 | in_sw << 16 | spare_rank;
+	return in_sw << 32 | in_zone << 16 | spare_rank;
 }
 
 /*
- * The best VM for a pool, or -1. Keys only grow while the pool is filled, so
- * a stale smallest one is put back with its present key.
+ * Returns the best VM for a pool, or -1. Ranks only grow while a pool is
+ * filled, so a smallest entry that is outdated is put back with its current
+ * rank.
  */
-static int pln_pick(struct pln *p, int pool)
+static int pln_choose_vm(struct pln *p, int pool)
 {
-	struct pln_place place;
-	uint64_t key;
+	struct pln_switch entry;
+	uint64_t rank;
 	int vm;
 
 	while (p->heap->len) {
-		place = pln_pop(p->heap);
-		p->work += PLN_STEP_SWITCH;
-		key = pln_key(p, pool, place.sw, place.zone);
-		if (key != place.key) {
-			place.key = key;
-			g_array_append_val(p->heap, place);
-			pln_sift_up(p->heap, p->heap->len - 1);
+		entry = pln_heap_pop(p->heap);
+		p->steps_used += PLN_COST_SWITCH;
+		rank = pln_rank(p, pool, entry.sw, entry.zone);
+		if (rank != entry.rank) {
+			entry.rank = rank;
+			g_array_append_val(p->heap, entry);
+			pln_heap_sift_up(p->heap, p->heap->len - 1);
 			continue;
 		}
-		vm = pln_donor(p, place.sw, pool);
+		vm = pln_find_donor(p, entry.sw, pool);
 		if (vm < 0)
 			continue;
-		g_array_append_val(p->heap, place);
-		pln_sift_up(p->heap, p->heap->len - 1);
+		g_array_append_val(p->heap, entry);
+		pln_heap_sift_up(p->heap, p->heap->len - 1);
 		return vm;
 	}
 	return -1;
 }
 
-/* A VM behind a switch that the pool may have: a spare one if there is. */
-static int pln_donor(struct pln *p, int sw, int pool)
+/*
+ * Returns a VM behind a switch that the pool may have, preferably a spare one,
+ * or -1.
+ */
+static int pln_find_donor(struct pln *p, int sw, int pool)
 {
 	int found = -1;
 	int vm;
 
-	for (vm = p->donor[sw]; vm >= 0; vm = p->next[vm]) {
-		p->work += PLN_STEP_SWITCH;
-		if (!pln_gives(p, vm, pool))
+	for (vm = p->donors[sw]; vm >= 0; vm = p->next_donor[vm]) {
+		p->steps_used += PLN_COST_SWITCH;
+		if (!pln_may_give(p, vm, pool))
 			continue;
 		if (flt_vm(p->f, vm)->pool == FLT_SPARE)
 			return vm;
@@ -505,15 +529,15 @@
 }
 
 /*
- * Whether a VM may leave its pool for another. A pool gives what it has
- * beyond its own needs; one that is less important also gives what it wants
- * but can do without, while the other is below its floor.
+ * Whether a VM may move from its pool to another. A pool gives up VMs beyond
+ * its own needs. A pool of lower priority also gives up VMs that it wants but
+ * can do without while the other is below its floor.
  */
-static bool pln_gives(struct pln *p, int vm, int to)
+static bool pln_may_give(struct pln *p, int vm, int to)
 {
 	const struct flt_vm *v = flt_vm(p->f, vm);
 	const struct flt_pool *from = flt_pool(p->f, v->pool);
-	const struct flt_pool *taker = flt_pool(p->f, to);
+	const struct flt_pool *target = flt_pool(p->f, to);
 	bool surplus;
 
 	if (v->pool == to || !flt_fits(p->f, vm, to))
@@ -524,14 +548,14 @@
 		  flt_margin(from) > pln_slack(p, v->pool);
 	if (surplus)
 		return flt_can_lose(p->f, vm) == FLT_OK;
-	return taker->serving < flt_floor(taker) &&
-	       from->budget.priority < taker->budget.priority &&
+	return target->serving < flt_floor(target) &&
+	       from->budget.priority < target->budget.priority &&
 	       flt_margin(from) > 0 && flt_can_lose(p->f, vm) == FLT_OK;
 }
 
-/* Nothing helps: what didn't is taken back, and the shortage is told. */
-static void pln_give_up(struct pln *p, int pool, int lacking,
-			enum pln_reason why)
+/* Records a shortage and undoes the moves that did not help. */
+static void pln_record_shortage(struct pln *p, int pool, int lacking,
+				enum pln_reason why)
 {
 	struct pln_shortage s = {
 		.pool = pool, .lacking = lacking, .reason = why};
@@ -547,58 +571,62 @@
 	g_array_append_val(p->shortages, s);
 }
 
-static struct pln_place *pln_heap_at(GArray *heap, guint i)
+static struct pln_switch *pln_heap_at(GArray *heap, guint i)
 {
-	return &g_array_index(heap, struct pln_place, i);
+	return &g_array_index(heap, struct pln_switch, i);
 }
 
-static void pln_swap(GArray *heap, guint i, guint j)
+static void pln_heap_swap(GArray *heap, guint i, guint j)
 {
-	struct pln_place t = *pln_heap_at(heap, i);
+	struct pln_switch t = *pln_heap_at(heap, i);
 
 	*pln_heap_at(heap, i) = *pln_heap_at(heap, j);
 	*pln_heap_at(heap, j) = t;
 }
 
-/* Equal keys go by switch, so that every voter plans the same. */
-static bool pln_before(GArray *heap, guint i, guint j)
+/*
+ * Whether heap entry i ranks before j. Equal ranks are ordered by switch, so
+ * that every voter makes the same plan.
+ */
+static bool pln_heap_less(GArray *heap, guint i, guint j)
 {
-	const struct pln_place *a = pln_heap_at(heap, i);
-	const struct pln_place *b = pln_heap_at(heap, j);
+	const struct pln_switch *a = pln_heap_at(heap, i);
+	const struct pln_switch *b = pln_heap_at(heap, j);
 
-	return a->key < b->key || (a->key == b->key && a->sw < b->sw);
+	return a->rank < b->rank || (a->rank == b->rank && a->sw < b->sw);
 }
 
-static void pln_sift_up(GArray *heap, guint i)
+static void pln_heap_sift_up(GArray *heap, guint i)
 {
-	while (i > 0 && pln_before(heap, i, (i - 1) / 2)) {
-		pln_swap(heap, i, (i - 1) / 2);
+	while (i > 0 && pln_heap_less(heap, i, (i - 1) / 2)) {
+		pln_heap_swap(heap, i, (i - 1) / 2);
 		i = (i - 1) / 2;
 	}
 }
 
-static void pln_sift_down(GArray *heap, guint i)
+static void pln_heap_sift_down(GArray *heap, guint i)
 {
-	guint least = i;
-	guint kid;
+	guint smallest = i;
+	guint child;
 
 	for (;;) {
-		for (kid = 2 * i + 1; kid <= 2 * i + 2; kid++)
-			if (kid < heap->len && pln_before(heap, kid, least))
-				least = kid;
-		if (least == i)
+		for (child = 2 * i + 1; child <= 2 * i + 2; child++)
+			if (child < heap->len &&
+			    pln_heap_less(heap, child, smallest))
+				smallest = child;
+		if (smallest == i)
 			return;
-		pln_swap(heap, i, least);
-		i = least;
+		pln_heap_swap(heap, i, smallest);
+		i = smallest;
 	}
 }
 
-static struct pln_place pln_pop(GArray *heap)
+static struct pln_switch pln_heap_pop(GArray *heap)
 {
-	struct pln_place top = *pln_heap_at(heap, 0);
+	struct pln_switch top = *pln_heap_at(heap, 0);
 
-	pln_swap(heap, 0, heap->len - 1);
+	pln_heap_swap(heap, 0, heap->len - 1);
 	g_array_set_size(heap, heap->len - 1);
-	pln_sift_down(heap, 0);
+	pln_heap_sift_down(heap, 0);
 	return top;
 }
--- a/src/pln.h
+++ b/src/pln.h
@@ -1,41 +1,47 @@
 #ifndef PLN_H
 #define PLN_H
 
+/* Placement planner: assigns VMs to pools by greedy repair. */
+
 #include <glib.h>
 #include <stdbool.h>
 
 #include "flt.h"
 
 /*
- * The planner: which VMs change pools so that each pool has what it wants
- * and keeps its budget through the failure it declared. It plans on a copy of
- * the fleet, in steps that the caller bounds, and keeps nothing between
- * plans: after a restart the same fleet gives the same plan. Whoever carries
- * a move out calls flt_move, which checks again.
+ * The planner decides which VMs change pools so that each pool has the VMs it
+ * wants and keeps its availability budget through the failure it declared. It
+ * plans on a copy of the fleet, in steps that the caller bounds, and keeps no
+ * state between plans: after a restart the same fleet gives the same plan. A
+ * move is carried out by flt_move(), which checks it again.
  */
 
-/* Prices of the three measures; only their ratios matter. */
+/* Costs of the three measures; only their ratios matter. */
 struct pln_weights {
-	double buffer; /* a VM set aside */
-	double rollout; /* a round of maintenance of one pool */
-	double moves; /* a VM that changes pools */
+	double buffer; /* cost of a reserved VM */
+	double rollout; /* cost of a maintenance round of one pool */
+	double moves; /* cost of a VM that changes pools */
 };
 
 struct pln_config {
 	struct pln_weights weights;
 	/*
-	 * VMs a pool may lack beside its declared failure before its budget
-	 * is at stake; 1 lets a wave go on while nothing has failed.
+	 * VMs that a pool may lack beside its declared failure without a
+	 * violation of its budget; 1 lets a maintenance wave continue while
+	 * nothing has failed.
 	 */
 	int slack;
-	/* VMs that fail by themselves and are being replaced at any time. */
+	/*
+	 * VMs that have failed by themselves and are being replaced at any
+	 * time.
+	 */
 	int single_failures;
 };
 
 enum pln_reason {
-	PLN_REFILL, /* fewer serve than are wanted */
-	PLN_SURVIVE, /* the declared failure would break the budget */
-	PLN_LEND, /* a wave goes faster with it */
+	PLN_REFILL, /* fewer VMs serve than the pool wants */
+	PLN_SURVIVE, /* the declared failure would violate the budget */
+	PLN_LEND, /* a maintenance wave takes less time with the VM */
 	PLN_REASONS
 };
 
@@ -46,21 +52,22 @@
 	enum pln_reason reason;
 };
 
-/* A need that no VM of the fleet can meet now. */
+/* A need of a pool that no VM of the fleet can meet now. */
 struct pln_shortage {
 	int pool;
-	int lacking; /* VMs */
+	int lacking; /* number of VMs */
 	enum pln_reason reason;
 };
 
-/* The users' three measures of a fleet as it stands, and what is short. */
+/* The three measures of a fleet in its current state, and what is short. */
 struct pln_measures {
-	int wanted;
-	int embedded; /* VMs beyond wanted that declared failures call for */
-	int reserve; /* further VMs that the worst single failure calls for */
-	int rounds; /* of maintenance, for the pool that takes longest */
+	int wanted; /* VMs that the pools want in all */
+	int embedded; /* VMs beyond wanted that the declared failures require */
+	int reserve; /* further VMs that the worst single failure requires */
+	int rounds; /* maintenance rounds of the pool that needs most */
 	int broken; /* pools below their floor */
-	int at_stake; /* pools whose declared failure would break the budget */
+	/* pools whose declared failure would violate the budget */
+	int at_stake;
 };
 
 struct pln;
--- a/tests/prop/pln_prop.cc
+++ b/tests/prop/pln_prop.cc
@@ -17,43 +17,46 @@
 	}
 };
 
-/* Over the whole range in every case; by itself inRange begins with the least. */
-int roll(int from, int to)
+/*
+ * A number in [from, to). The nominal size is set because inRange alone starts
+ * with the least values.
+ */
+int randomInt(int from, int to)
 {
 	return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(from, to));
 }
 
 struct flt *randomFleet()
 {
-	int zones = roll(1, 5);
-	int racks = roll(zones, 16);
-	int perRack = roll(1, 6);
+	int zones = randomInt(1, 5);
+	int racks = randomInt(zones, 16);
+	int perRack = randomInt(1, 6);
 	struct flt *f = fleet_make(zones, racks, perRack);
-	int pools = roll(1, 5);
+	int pools = randomInt(1, 5);
 	int share = (int)f->vms->len / (pools + 1);
 
 	for (int i = 0; i < pools; i++) {
-		int wanted = roll(0, share * 3 / 2 + 2);
-		int pool = fleet_pool(f, wanted, roll(0, wanted / 2 + 1),
-				      roll(0, 2));
+		int wanted = randomInt(0, share * 3 / 2 + 2);
+		int pool = fleet_pool(f, wanted, randomInt(0, wanted / 2 + 1),
+				      randomInt(0, 2));
 		struct flt_budget b = flt_pool(f, pool)->budget;
 
-		b.priority = roll(0, 3);
-		b.missing_zone = roll(0, 4);
+		b.priority = randomInt(0, 3);
+		b.missing_zone = randomInt(0, 4);
 		flt_set_budget(f, pool, &b);
 	}
 	return f;
 }
 
-/* The world acts: failures, repairs, cuts, operators. */
+/* Injects a failure, a repair, a partition or an operator's command. */
 void randomEvent(struct flt *f)
 {
-	int vm = roll(0, (int)f->vms->len);
-	int zone = roll(0, (int)f->zones->len);
+	int vm = randomInt(0, (int)f->vms->len);
+	int zone = randomInt(0, (int)f->zones->len);
 
-	switch (roll(0, 9)) {
+	switch (randomInt(0, 9)) {
 	case 0:
-		flt_fail_rack(f, roll(0, (int)f->racks->len));
+		flt_fail_rack(f, randomInt(0, (int)f->racks->len));
 		break;
 	case 1:
 		flt_cut(f, zone, true);
@@ -77,8 +80,8 @@
 	}
 }
 
-/* Counts from scratch, to hold against those kept on the way. */
-void countsAgree(const struct flt *f)
+/* Compares the counts kept incrementally with counts from scratch. */
+void checkCounts(const struct flt *f)
 {
 	int total = 0;
 
@@ -108,8 +111,8 @@
 }
 
 /*
- * A plan is carried out move by move: no pool that gives a VM is brought
- * below its floor, or below it once its declared failure happens.
+ * Carries out a plan move by move: no pool that gives up a VM may fall below
+ * its floor, nor below it after its declared failure.
  */
 void carryOut(struct flt *f, const struct pln *p)
 {
@@ -125,18 +128,20 @@
 	}
 }
 
-/* A need that the plan didn't meet is told, and none is told for nothing. */
-void shortagesAreTold(const struct flt *f, const struct pln *p)
+/*
+ * Checks that each need which the plan does not meet is reported, and no other.
+ */
+void checkShortages(const struct flt *f, const struct pln *p)
 {
-	std::vector<bool> told(f->pools->len);
+	std::vector<bool> reported(f->pools->len);
 	const GArray *s = pln_shortages(p);
 
 	for (guint i = 0; i < s->len; i++)
-		told[g_array_index(s, struct pln_shortage, i).pool] = true;
+		reported[g_array_index(s, struct pln_shortage, i).pool] = true;
 	for (int i = 1; i < (int)f->pools->len; i++) {
 		const struct flt_pool *pool = flt_pool(f, i);
 
-		if (!told[i])
+		if (!reported[i])
 			RC_ASSERT(pool->serving >= flt_floor(pool));
 		else
 			RC_ASSERT(pool->serving < pool->budget.wanted ||
@@ -151,18 +156,18 @@
 	bool ok = rc::check("plans keep budgets beside failures", [] {
 		Fleet fleet{randomFleet()};
 		struct pln_config c = fleet_harrowgate();
-		int rounds = roll(1, 12);
+		int rounds = randomInt(1, 12);
 
 		for (int i = 0; i < rounds; i++) {
 			struct pln *p = fleet_plan(fleet.f, &c, NULL);
 
 			carryOut(fleet.f, p);
-			countsAgree(fleet.f);
-			shortagesAreTold(fleet.f, p);
+			checkCounts(fleet.f);
+			checkShortages(fleet.f, p);
 			pln_free(p);
-			for (int e = roll(0, 5); e > 0; e--)
+			for (int e = randomInt(0, 5); e > 0; e--)
 				randomEvent(fleet.f);
-			countsAgree(fleet.f);
+			checkCounts(fleet.f);
 		}
 	});
 
@@ -170,7 +175,7 @@
 		Fleet fleet{randomFleet()};
 		struct pln_config c = fleet_harrowgate();
 
-		for (int e = roll(0, 9); e > 0; e--)
+		for (int e = randomInt(0, 9); e > 0; e--)
 			randomEvent(fleet.f);
 		fleet_replan(fleet.f, &c);
 		RC_ASSERT(fleet_replan(fleet.f, &c) == 0);
--- a/tests/unit/fleet_make.h
+++ b/tests/unit/fleet_make.h
@@ -1,12 +1,15 @@
 #ifndef FLEET_MAKE_H
 #define FLEET_MAKE_H
 
+/* Builds model fleets for tests and benchmarks, in C and C++. */
+
 #include "flt.h"
 #include "pln.h"
 
-/* Fleets for tests and benches; both C and C++ read this. */
-
-/* Racks of per_rack VMs, each with its own switch, dealt over the zones. */
+/*
+ * Returns a fleet of racks with per_rack VMs each. Each rack has its own
+ * switch, and racks are assigned to the zones in turn.
+ */
 static inline struct flt *fleet_make(int zones, int racks, int per_rack)
 {
 	struct flt *f = flt_new();
@@ -30,6 +33,7 @@
 	return f;
 }
 
+/* Adds a pool that may use VMs of any site; returns its index. */
 static inline int fleet_pool(struct flt *f, int wanted, int missing,
 			     bool survive_zone)
 {
@@ -44,7 +48,10 @@
 	return flt_add_pool(f, lstr_from(name), &b);
 }
 
-/* VMs of a pool that serve outside of one switch (zone -1) or one zone. */
+/*
+ * Returns how many VMs of a pool serve outside of one switch (with zone -1) or
+ * outside of one zone (with sw -1).
+ */
 static inline int fleet_serving_without(const struct flt *f, int pool, int sw,
 					int zone)
 {
@@ -60,25 +67,25 @@
 }
 
 /*
- * Whether a pool keeps its floor through each failure it declared, tried one
- * by one: on purpose without the counts that the code under test keeps.
+ * Whether a pool keeps its floor through each failure it declared. Tries each
+ * failure, independent of the counts that the code under test maintains.
  */
 static inline bool fleet_survives(const struct flt *f, int pool)
 {
 	const struct flt_budget *b = &flt_pool(f, pool)->budget;
-	int least = (int)f->vms->len;
+	int fewest = (int)f->vms->len;
 	int i;
 
 	if (pool == FLT_SPARE)
 		return true;
 	for (i = 0; i < f->n_switches; i++)
-		least = MIN(least, fleet_serving_without(f, pool, i, -1));
+		fewest = MIN(fewest, fleet_serving_without(f, pool, i, -1));
 	for (i = 0; b->survive_zone && i < (int)f->zones->len; i++)
-		least = MIN(least, fleet_serving_without(f, pool, -1, i));
-	return least >= b->wanted - b->missing;
+		fewest = MIN(fewest, fleet_serving_without(f, pool, -1, i));
+	return fewest >= b->wanted - b->missing;
 }
 
-/* The weights of a user who pays for buffer and moves. */
+/* Returns the weights of a user to whom buffer and moves are expensive. */
 static inline struct pln_config fleet_harrowgate(void)
 {
 	struct pln_config c = {};
@@ -90,7 +97,7 @@
 	return c;
 }
 
-/* The weights of a user who pays for roll-out time. */
+/* Returns the weights of a user to whom roll-out time is expensive. */
 static inline struct pln_config fleet_jadranski(void)
 {
 	struct pln_config c = {};
@@ -104,7 +111,7 @@
 
 #define FLEET_STEP 500
 
-/* Plans to the end in small steps; the plan is the caller's. */
+/* Returns a complete plan, made in small steps; to be freed by the caller. */
 static inline struct pln *fleet_plan(const struct flt *f,
 				     const struct pln_config *config,
 				     const int *lend)
@@ -116,7 +123,7 @@
 	return p;
 }
 
-/* Plans and carries out; moves done. */
+/* Makes a plan and carries it out; returns the number of moves done. */
 static inline int fleet_replan(struct flt *f, const struct pln_config *config)
 {
 	struct pln *p = fleet_plan(f, config, NULL);
--- a/tests/unit/pln_test.c
+++ b/tests/unit/pln_test.c
@@ -8,8 +8,11 @@
 
 #define POOLS 5
 
-/* A site of today: 13 racks of four in three zones, five pools. */
-static struct flt *site_of_today(void)
+/*
+ * Returns a site of 13 racks with four VMs each in three zones, with five
+ * pools.
+ */
+static struct flt *make_site(void)
 {
 	struct flt *f = fleet_make(3, 13, 4);
 	int i;
@@ -19,7 +22,7 @@
 	return f;
 }
 
-static void every_pool_keeps(const struct flt *f)
+static void check_every_pool(const struct flt *f)
 {
 	int i;
 
@@ -34,24 +37,24 @@
 static void pools_are_filled_and_spread(void **state)
 {
 	struct pln_config c = fleet_harrowgate();
-	struct flt *f = site_of_today();
+	struct flt *f = make_site();
 
 	assert_int_equal(fleet_replan(f, &c), POOLS * 8);
-	every_pool_keeps(f);
+	check_every_pool(f);
 	assert_int_equal(flt_largest_loss(flt_pool(f, 1)), 1);
 	assert_int_equal(fleet_replan(f, &c), 0);
 	flt_free(f);
 }
 
 /*
- * A rack is lost. Callers of the pools in it see fewer VMs until others join;
- * each lacking VM must cost one move, since a plan that evens out as it goes
- * would move work that nothing has happened to.
+ * Guards against plans that also even out the spread: after the loss of a rack
+ * each missing VM must cost one move, and work that the loss did not affect
+ * must not be moved.
  */
-static void lost_rack_costs_one_move_a_vm(void **state)
+static void lost_rack_costs_one_move_for_each_missing_vm(void **state)
 {
 	struct pln_config c = fleet_harrowgate();
-	struct flt *f = site_of_today();
+	struct flt *f = make_site();
 	int lacking = 0;
 	int i;
 
@@ -61,19 +64,19 @@
 		lacking += MAX(0, 8 - flt_pool(f, i)->serving);
 	assert_true(lacking > 0);
 	assert_int_equal(fleet_replan(f, &c), lacking);
-	every_pool_keeps(f);
+	check_every_pool(f);
 	flt_free(f);
 }
 
 /*
- * Right after the repair of a lost rack a VM that has just joined is lost,
- * too. The pool still has its budget in that moment, and the next plan fills
- * it again out of what is spare.
+ * Guards against a second loss right after the repair of a lost rack, of a VM
+ * that has just joined: the pool still keeps its budget then, and the next plan
+ * refills it from spare VMs.
  */
-static void second_loss_after_repair(void **state)
+static void second_loss_right_after_a_repair(void **state)
 {
 	struct pln_config c = fleet_harrowgate();
-	struct flt *f = site_of_today();
+	struct flt *f = make_site();
 	int i;
 
 	fleet_replan(f, &c);
@@ -84,15 +87,15 @@
 	flt_vm_event(f, i, FLT_FAIL);
 	assert_true(flt_pool(f, 1)->serving >= flt_floor(flt_pool(f, 1)));
 	assert_int_equal(fleet_replan(f, &c), 1);
-	every_pool_keeps(f);
+	check_every_pool(f);
 	flt_free(f);
 }
 
 /*
- * A zone is cut off for an hour. It serves on its own side; were its pools
- * refilled at once, a third of the fleet would move, and move back later.
+ * Guards against refilling the pools of a partitioned zone, which serves on its
+ * own side: a third of the fleet would move, and move back later.
  */
-static void cut_zone_moves_nothing_while_floors_hold(void **state)
+static void partitioned_zone_moves_nothing_while_floors_hold(void **state)
 {
 	struct pln_config c = fleet_harrowgate();
 	struct flt *f = fleet_make(3, 15, 4);
@@ -106,28 +109,28 @@
 	assert_int_equal(pln_shortages(p)->len, 0);
 	pln_free(p);
 	flt_cut(f, 1, false);
-	every_pool_keeps(f);
+	check_every_pool(f);
 	flt_free(f);
 }
 
-static void pool_survives_the_zone_it_asked_for(void **state)
+static void pool_survives_the_loss_of_a_zone(void **state)
 {
 	struct pln_config c = fleet_harrowgate();
 	struct flt *f = fleet_make(3, 15, 4);
 	int pool = fleet_pool(f, 9, 2, true);
 
 	fleet_replan(f, &c);
-	every_pool_keeps(f);
+	check_every_pool(f);
 	flt_fail_zone(f, 0);
 	assert_true(flt_pool(f, pool)->serving >= 7);
 	flt_free(f);
 }
 
 /*
- * The wanted number of one pool has dropped and no VM is spare. The other
- * pool gets the surplus straight from the first, with one move for each VM.
+ * With no spare VM, surplus VMs of a pool whose wanted number has dropped go to
+ * another pool directly, with one move for each VM.
  */
-static void surplus_is_shared_where_it_stands(void **state)
+static void surplus_vms_move_directly(void **state)
 {
 	struct pln_config c = fleet_harrowgate();
 	struct flt *f = fleet_make(3, 12, 2);
@@ -143,16 +146,15 @@
 	flt_vm_event(f, 1, FLT_FAIL);
 	fleet_replan(f, &c);
 	assert_true(flt_pool(f, b)->serving >= 6);
-	every_pool_keeps(f);
+	check_every_pool(f);
 	flt_free(f);
 }
 
 /*
- * The duty officer ranks one pool above the other while nothing is spare. It
- * is filled to its floor out of what the other may lack, never out of what
- * the other's own budget needs.
+ * With no spare VM, a pool of higher priority is filled to its floor with VMs
+ * that the other pool may lack, never with those that the other's budget needs.
  */
-static void priority_takes_what_the_other_may_lack(void **state)
+static void priority_pool_gets_vms_the_other_may_lack(void **state)
 {
 	struct pln_config c = fleet_harrowgate();
 	struct flt *f = fleet_make(3, 12, 1);
@@ -179,11 +181,11 @@
 }
 
 /*
- * One rack holds every spare VM, so none of them brings the pool through the
- * loss of that rack. Moves that don't help are taken back, else each plan
- * would move some more of them for ever; the shortage is told instead.
+ * Guards against plans that move VMs for ever: all spare VMs are in one rack,
+ * so none of them lets the pool survive the loss of that rack. Moves that do
+ * not help are undone, and the shortage is reported instead.
  */
-static void moves_that_do_not_help_are_taken_back(void **state)
+static void moves_that_do_not_help_are_undone(void **state)
 {
 	struct pln_config c = fleet_harrowgate();
 	struct flt *f = fleet_make(1, 1, 9);
@@ -199,13 +201,12 @@
 }
 
 /*
- * A VM of the plan fails, is cut off or is needed where it is before its move
- * is carried out. The move is refused then: the plan was made for a fleet
- * that is no longer so.
+ * Guards against an outdated plan: a move is refused if its VM has failed, is
+ * in a partitioned zone, or is needed in its pool by then.
  */
-static void move_is_checked_again_when_done(void **state)
+static void outdated_move_is_refused(void **state)
 {
-	struct flt *f = site_of_today();
+	struct flt *f = make_site();
 	int i;
 
 	flt_vm_event(f, 7, FLT_FAIL);
@@ -219,7 +220,7 @@
 	flt_free(f);
 }
 
-static void declared_limits_hold_in_each_domain(void **state)
+static void limits_hold_in_each_failure_domain(void **state)
 {
 	struct flt *f = fleet_make(2, 4, 3);
 	int pool = fleet_pool(f, 12, 8, false);
@@ -242,10 +243,10 @@
 	flt_free(f);
 }
 
-/* An operator's hold is still there after the VM failed and came back. */
-static void hold_outlives_a_failure(void **state)
+/* An operator's hold remains in force after the VM failed and came back. */
+static void hold_remains_after_a_failure(void **state)
 {
-	struct flt *f = site_of_today();
+	struct flt *f = make_site();
 
 	assert_int_equal(flt_hold(f, 3, false), FLT_OK);
 	flt_vm_event(f, 3, FLT_FAIL);
@@ -258,11 +259,11 @@
 }
 
 /*
- * A wave has as much of a pool out as its budget allows when one more VM
- * fails. What is out comes back, but until then the next failure would break
- * the budget: the plan brings a VM at once, and only one.
+ * A wave has as many VMs of a pool in maintenance as the budget allows when one
+ * more VM fails. They will come back, but until then the next failure would
+ * break the budget: the plan adds one VM at once, and only one.
  */
-static void failure_beside_a_wave_is_repaired_at_once(void **state)
+static void failure_during_a_wave_is_repaired_at_once(void **state)
 {
 	struct pln_config c = fleet_harrowgate();
 	struct flt *f = fleet_make(3, 15, 1);
@@ -279,11 +280,11 @@
 	flt_free(f);
 }
 
-static void weights_decide_what_is_lent(void **state)
+static void weights_decide_the_number_of_lent_vms(void **state)
 {
 	struct pln_config harrowgate = fleet_harrowgate();
 	struct pln_config jadranski = fleet_jadranski();
-	struct flt *f = site_of_today();
+	struct flt *f = make_site();
 
 	fleet_replan(f, &harrowgate);
 	assert_int_equal(pln_lend(f, &harrowgate, 1, 6), 0);
@@ -291,10 +292,10 @@
 	flt_free(f);
 }
 
-static void fleet_comes_back_from_its_bytes(void **state)
+static void packed_fleet_is_restored(void **state)
 {
 	struct pln_config c = fleet_harrowgate();
-	struct flt *f = site_of_today();
+	struct flt *f = make_site();
 	struct pk_out a;
 	struct pk_out b;
 	struct flt *g;
@@ -325,19 +326,20 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(pools_are_filled_and_spread),
-		cmocka_unit_test(lost_rack_costs_one_move_a_vm),
-		cmocka_unit_test(second_loss_after_repair),
-		cmocka_unit_test(cut_zone_moves_nothing_while_floors_hold),
-		cmocka_unit_test(pool_survives_the_zone_it_asked_for),
-		cmocka_unit_test(surplus_is_shared_where_it_stands),
-		cmocka_unit_test(priority_takes_what_the_other_may_lack),
-		cmocka_unit_test(moves_that_do_not_help_are_taken_back),
-		cmocka_unit_test(move_is_checked_again_when_done),
-		cmocka_unit_test(declared_limits_hold_in_each_domain),
-		cmocka_unit_test(hold_outlives_a_failure),
-		cmocka_unit_test(failure_beside_a_wave_is_repaired_at_once),
-		cmocka_unit_test(weights_decide_what_is_lent),
-		cmocka_unit_test(fleet_comes_back_from_its_bytes),
+		cmocka_unit_test(lost_rack_costs_one_move_for_each_missing_vm),
+		cmocka_unit_test(second_loss_right_after_a_repair),
+		cmocka_unit_test(
+			partitioned_zone_moves_nothing_while_floors_hold),
+		cmocka_unit_test(pool_survives_the_loss_of_a_zone),
+		cmocka_unit_test(surplus_vms_move_directly),
+		cmocka_unit_test(priority_pool_gets_vms_the_other_may_lack),
+		cmocka_unit_test(moves_that_do_not_help_are_undone),
+		cmocka_unit_test(outdated_move_is_refused),
+		cmocka_unit_test(limits_hold_in_each_failure_domain),
+		cmocka_unit_test(hold_remains_after_a_failure),
+		cmocka_unit_test(failure_during_a_wave_is_repaired_at_once),
+		cmocka_unit_test(weights_decide_the_number_of_lent_vms),
+		cmocka_unit_test(packed_fleet_is_restored),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
