--- a/src/flt.c
+++ b/src/flt.c
@@ -31,25 +31,26 @@
 };
 
 static const struct cht *flt_chart(void);
-static bool flt_serves(const struct flt *f, int vm);
-static void flt_count(struct flt *f, int vm, int size, int serving);
-static void flt_count_sw(struct flt_pool *p, int sw, int size, int serving);
-static void flt_count_serving(struct flt_pool *p, struct flt_tally *t,
-			      int serving);
-static struct flt_place *flt_place(const struct flt_pool *p, guint at);
-static guint flt_place_at(const struct flt_pool *p, int sw);
-static void flt_pool_grow(const struct flt *f, struct flt_pool *p);
-static struct flt_pool flt_pool_copy(const struct flt_pool *p);
-static void flt_pool_clear(struct flt_pool *p);
-static int flt_most(const GArray *tallies);
+static bool flt_is_serving(const struct flt *f, int vm);
+static void flt_add_count(struct flt *f, int vm, int size, int serving);
+static void flt_add_switch_count(struct flt_pool *p, int sw, int size,
+				 int serving);
+static void flt_add_serving(struct flt_pool *p, struct flt_tally *t,
+			    int serving);
+static struct flt_place *flt_get_place(const struct flt_pool *p, guint at);
+static guint flt_find_place(const struct flt_pool *p, int sw);
+static void flt_grow_pool(const struct flt *f, struct flt_pool *p);
+static struct flt_pool flt_copy_pool(const struct flt_pool *p);
+static void flt_clear_pool(struct flt_pool *p);
+static int flt_max_serving(const GArray *tallies);
 static void flt_pack_budget(const struct flt_budget *b, struct pk_out *o);
 static struct flt_budget flt_unpack_budget(struct pk_in *in);
-static bool flt_unpack_places(struct flt *f, struct pk_in *in);
+static bool flt_unpack_topology(struct flt *f, struct pk_in *in);
 static bool flt_unpack_pools(struct flt *f, struct pk_in *in);
 static bool flt_unpack_vms(struct flt *f, struct pk_in *in);
 static int flt_find(const GArray *a, size_t stride, struct lstr name);
 
-/* A fleet with the spare pool and nothing else. */
+/* Creates a fleet that has only the spare pool. */
 struct flt *flt_new(void)
 {
 	struct flt *f = g_new0(struct flt, 1);
@@ -64,8 +65,9 @@
 }
 
 /*
- * A copy that a plan may try its moves on. It has no names: nothing in a plan
- * is named, and copying them took longer than the plan after a lost rack.
+ * Returns a copy of a fleet that a plan may apply its moves to. The copy has no
+ * names: a plan uses none, and copying them took longer than the plan after a
+ * lost rack.
  */
 struct flt *flt_clone(const struct flt *f)
 {
@@ -84,11 +86,11 @@
 	for (i = 0; i < c->vms->len; i++)
 		flt_vm(c, (int)i)->name = NULL;
 	for (i = 0; i < c->pools->len; i++)
-		*flt_pool(c, (int)i) = flt_pool_copy(flt_pool(f, (int)i));
+		*flt_pool(c, (int)i) = flt_copy_pool(flt_pool(f, (int)i));
 	return c;
 }
 
-/* Frees a fleet. */
+/* Frees a fleet; NULL is allowed. */
 void flt_free(struct flt *f)
 {
 	guint i;
@@ -102,7 +104,7 @@
 	for (i = 0; i < f->vms->len; i++)
 		g_free(flt_vm(f, (int)i)->name);
 	for (i = 0; i < f->pools->len; i++)
-		flt_pool_clear(flt_pool(f, (int)i));
+		flt_clear_pool(flt_pool(f, (int)i));
 	g_array_free(f->zones, TRUE);
 	g_array_free(f->racks, TRUE);
 	g_array_free(f->vms, TRUE);
@@ -110,7 +112,7 @@
 	g_free(f);
 }
 
-/* Adds a zone; its index. */
+/* Adds a zone; returns its index. */
 int flt_add_zone(struct flt *f, struct lstr name, int site)
 {
 	struct flt_zone z = {.name = lstr_dup(name), .site = site};
@@ -118,11 +120,14 @@
 
 	g_array_append_val(f->zones, z);
 	for (i = 0; i < f->pools->len; i++)
-		flt_pool_grow(f, flt_pool(f, (int)i));
+		flt_grow_pool(f, flt_pool(f, (int)i));
 	return (int)f->zones->len - 1;
 }
 
-/* Adds a rack behind switch sw (numbered from 0 over the fleet). */
+/*
+ * Adds a rack behind switch sw (numbered from 0 over the fleet); returns its
+ * index.
+ */
 int flt_add_rack(struct flt *f, struct lstr name, int zone, int sw)
 {
 	struct flt_rack r = {.name = lstr_dup(name), .zone = zone, .sw = sw};
@@ -133,7 +138,7 @@
 	return (int)f->racks->len - 1;
 }
 
-/* Adds a VM that is up, in the spare pool. */
+/* Adds a VM, up and in the spare pool; returns its index. */
 int flt_add_vm(struct flt *f, struct lstr name, int rack, int kind)
 {
 	struct flt_vm v = {
@@ -146,12 +151,12 @@
 
 	g_assert(rack >= 0 && rack < (int)f->racks->len);
 	g_array_append_val(f->vms, v);
-	flt_count(f, (int)f->vms->len - 1, 1,
-		  flt_serves(f, (int)f->vms->len - 1));
+	flt_add_count(f, (int)f->vms->len - 1, 1,
+		      flt_is_serving(f, (int)f->vms->len - 1));
 	return (int)f->vms->len - 1;
 }
 
-/* Adds a pool without VMs; its index. */
+/* Adds a pool without VMs; returns its index. */
 int flt_add_pool(struct flt *f, struct lstr name,
 		 const struct flt_budget *budget)
 {
@@ -160,105 +165,108 @@
 	p.places = g_array_new(FALSE, TRUE, sizeof(struct flt_place));
 	p.by_zone = g_array_new(FALSE, TRUE, sizeof(struct flt_tally));
 	p.sw_having = g_array_new(FALSE, TRUE, sizeof(int));
-	flt_pool_grow(f, &p);
+	flt_grow_pool(f, &p);
 	g_array_append_val(f->pools, p);
 	return (int)f->pools->len - 1;
 }
 
-/* Changes what is declared of a pool. */
+/* Changes the declared budget of a pool. */
 void flt_set_budget(struct flt *f, int pool, const struct flt_budget *budget)
 {
 	flt_pool(f, pool)->budget = *budget;
 }
 
-/* The VM at an index. */
+/* Returns the VM at an index. */
 struct flt_vm *flt_vm(const struct flt *f, int vm)
 {
 	g_assert(vm >= 0 && vm < (int)f->vms->len);
 	return &g_array_index(f->vms, struct flt_vm, vm);
 }
 
-/* The zone at an index. */
+/* Returns the zone at an index. */
 struct flt_zone *flt_zone(const struct flt *f, int zone)
 {
 	g_assert(zone >= 0 && zone < (int)f->zones->len);
 	return &g_array_index(f->zones, struct flt_zone, zone);
 }
 
-/* The rack at an index. */
+/* Returns the rack at an index. */
 struct flt_rack *flt_rack(const struct flt *f, int rack)
 {
 	g_assert(rack >= 0 && rack < (int)f->racks->len);
 	return &g_array_index(f->racks, struct flt_rack, rack);
 }
 
-/* The rack a VM is in. */
+/* Returns the rack of a VM. */
 struct flt_rack *flt_rack_of(const struct flt *f, int vm)
 {
 	return &g_array_index(f->racks, struct flt_rack, flt_vm(f, vm)->rack);
 }
 
-/* The zone a VM is in. */
+/* Returns the zone of a VM. */
 struct flt_zone *flt_zone_of(const struct flt *f, int vm)
 {
 	return &g_array_index(f->zones, struct flt_zone,
 			      flt_rack_of(f, vm)->zone);
 }
 
-/* The pool at an index. */
+/* Returns the pool at an index. */
 struct flt_pool *flt_pool(const struct flt *f, int pool)
 {
 	g_assert(pool >= 0 && pool < (int)f->pools->len);
 	return &g_array_index(f->pools, struct flt_pool, pool);
 }
 
-/* What a pool has behind a switch. */
+/* Returns a pool's numbers of VMs behind a switch. */
 const struct flt_tally *flt_at_sw(const struct flt_pool *p, int sw)
 {
 	static const struct flt_tally none;
-	guint at = flt_place_at(p, sw);
+	guint at = flt_find_place(p, sw);
 
-	if (at == p->places->len || flt_place(p, at)->sw != sw)
+	if (at == p->places->len || flt_get_place(p, at)->sw != sw)
 		return &none;
-	return &flt_place(p, at)->tally;
+	return &flt_get_place(p, at)->tally;
 }
 
-/* What a pool has in a zone. */
+/* Returns a pool's numbers of VMs in a zone. */
 struct flt_tally *flt_at_zone(const struct flt_pool *p, int zone)
 {
 	return &g_array_index(p->by_zone, struct flt_tally, zone);
 }
 
-/* Index of the VM of that name, or -1. */
+/* Returns the index of the VM of that name, or -1. */
 int flt_find_vm(const struct flt *f, struct lstr name)
 {
 	return flt_find(f->vms, sizeof(struct flt_vm), name);
 }
 
-/* Index of the pool of that name, or -1. */
+/* Returns the index of the pool of that name, or -1. */
 int flt_find_pool(const struct flt *f, struct lstr name)
 {
 	return flt_find(f->pools, sizeof(struct flt_pool), name);
 }
 
-/* Fewest VMs that must serve in a pool at any time. */
+/* Returns the least number of VMs that must serve in a pool at any time. */
 int flt_floor(const struct flt_pool *p)
 {
 	return MAX(0, p->budget.wanted - p->budget.missing);
 }
 
-/* Serving VMs that the largest single failure the pool declared would take. */
+/*
+ * Returns the number of serving VMs that the largest failure the pool declared
+ * would take.
+ */
 int flt_largest_loss(const struct flt_pool *p)
 {
 	if (!p->budget.survive_zone)
 		return p->worst_sw;
-	return MAX(p->worst_sw, flt_most(p->by_zone));
+	return MAX(p->worst_sw, flt_max_serving(p->by_zone));
 }
 
 /*
- * How many VMs the pool has above its floor once its largest declared
- * failure has happened. Negative: that failure would break the budget, so
- * nothing may be taken from the pool.
+ * Returns how many serving VMs the pool has above its floor after its largest
+ * declared failure. If negative, that failure would break the budget, so no VM
+ * may be taken from the pool.
  */
 int flt_margin(const struct flt_pool *p)
 {
@@ -266,26 +274,28 @@
 }
 
 /*
- * Whether the pool keeps its budget, without this VM, through the largest
- * failure it declared. Made for waves and moves that run beside failures: a
- * check against the present count alone lets a rack that is lost one minute
- * later break the budget, and by then the taken VMs are rebooting.
+ * Returns whether a VM's pool keeps its budget without the VM through the
+ * largest failure it declared: FLT_OK, or the limit that would be exceeded.
+ * This is the check for waves and moves: with a check of the current counts
+ * alone, a rack lost a minute later would break the budget while the VMs taken
+ * out are already rebooting.
  */
 enum flt_why flt_can_lose(struct flt *f, int vm)
 {
 	enum flt_why why;
 
-	if (!flt_serves(f, vm))
+	if (!flt_is_serving(f, vm))
 		return FLT_OK;
-	flt_count(f, vm, 0, -1);
+	flt_add_count(f, vm, 0, -1);
 	why = flt_kept(f, vm);
-	flt_count(f, vm, 0, 1);
+	flt_add_count(f, vm, 0, 1);
 	return why;
 }
 
 /*
- * What of its budget the pool of a VM, with all that is out now, no longer
- * keeps through its declared failure; FLT_OK: nothing.
+ * Returns whether the pool of a VM, with all its VMs that are out now, keeps
+ * its budget through its declared failure: FLT_OK, or the limit that is
+ * exceeded.
  */
 enum flt_why flt_kept(const struct flt *f, int vm)
 {
@@ -304,7 +314,7 @@
 	return FLT_OK;
 }
 
-/* Whether a pool can use a VM at all. */
+/* Whether a pool can use a VM, by its kind and site. */
 bool flt_fits(const struct flt *f, int vm, int pool)
 {
 	const struct flt_budget *b = &flt_pool(f, pool)->budget;
@@ -316,26 +326,29 @@
 }
 
 /*
- * Something happened to a VM; the counts follow at once. False: the chart
- * rejects it in the state that the VM is in.
+ * Applies an event to a VM and updates the counts. Returns false if the state
+ * chart rejects the event in the VM's state.
  */
 bool flt_vm_event(struct flt *f, int vm, enum flt_event ev)
 {
 	struct flt_vm *v = flt_vm(f, vm);
-	bool served = flt_serves(f, vm);
+	bool was_serving = flt_is_serving(f, vm);
 	struct cht_step step;
 
 	if (!cht_step(flt_chart(), (int)v->state, (int)ev, &step))
 		return false;
 	v->state = (enum flt_state)step.next;
-	/* A hold outlives a failure: the operator's reason is still there. */
+	/*
+	 * A hold remains in force after a failure: the operator's reason still
+	 * applies.
+	 */
 	if (v->state == FLT_UP && v->hold)
 		v->state = FLT_HELD;
-	flt_count(f, vm, 0, (int)flt_serves(f, vm) - (int)served);
+	flt_add_count(f, vm, 0, (int)flt_is_serving(f, vm) - (int)was_serving);
 	return true;
 }
 
-/* Takes a VM for a wave if its pool can do without it. */
+/* Takes a VM out for a wave, to be drained, if its pool can do without it. */
 enum flt_why flt_take(struct flt *f, int vm, uint64_t wave)
 {
 	struct flt_vm *v = flt_vm(f, vm);
@@ -355,7 +368,9 @@
 	return FLT_OK;
 }
 
-/* An operator drains a VM; force goes before the budget, not the chart. */
+/*
+ * Drains a VM for an operator; force overrides the budget, not the state chart.
+ */
 enum flt_why flt_hold(struct flt *f, int vm, bool force)
 {
 	struct flt_vm *v = flt_vm(f, vm);
@@ -373,7 +388,7 @@
 	return FLT_OK;
 }
 
-/* An operator lets a drained VM serve again. */
+/* Ends an operator's hold: the VM serves again. */
 void flt_unhold(struct flt *f, int vm)
 {
 	struct flt_vm *v = flt_vm(f, vm);
@@ -384,8 +399,9 @@
 }
 
 /*
- * Moves a VM to another pool. Checked here again, not only while planning: a
- * VM may fail, be taken or be cut off between plan and act.
+ * Moves a VM to another pool. This is checked here again, not only while
+ * planning: between plan and move a VM may fail, be taken by a wave or be
+ * partitioned.
  */
 enum flt_why flt_move(struct flt *f, int vm, int to)
 {
@@ -408,21 +424,21 @@
 }
 
 /*
- * Changes a VM's pool without a check: for first assignments, and for a trial
- * copy that takes a move back.
+ * Changes a VM's pool without a check: for first assignments, and to apply and
+ * undo moves on a plan's copy.
  */
 void flt_put(struct flt *f, int vm, int to)
 {
 	struct flt_vm *v = flt_vm(f, vm);
-	int serving = flt_serves(f, vm);
+	int serving = flt_is_serving(f, vm);
 
-	flt_count(f, vm, -1, -serving);
+	flt_add_count(f, vm, -1, -serving);
 	v->pool = to;
 	v->epoch++;
-	flt_count(f, vm, 1, serving);
+	flt_add_count(f, vm, 1, serving);
 }
 
-/* A rack is lost: all of its VMs are down. */
+/* Fails all VMs of a rack. */
 void flt_fail_rack(struct flt *f, int rack)
 {
 	guint i;
@@ -432,7 +448,7 @@
 			flt_vm_event(f, (int)i, FLT_FAIL);
 }
 
-/* A zone is lost: all of its VMs are down. */
+/* Fails all VMs of a zone. */
 void flt_fail_zone(struct flt *f, int zone)
 {
 	guint i;
@@ -443,14 +459,14 @@
 }
 
 /*
- * A zone is cut off or can be reached again. What it holds counts as missing
- * meanwhile: whether it serves can't be known from here, and the reachable
- * part must not be taken down on the strength of it.
+ * Marks a zone as partitioned or reachable again. VMs of a partitioned zone
+ * count as missing: whether they serve is unknown, and no VM of the reachable
+ * zones may be taken down on the assumption that they do.
  */
 void flt_cut(struct flt *f, int zone, bool cut)
 {
 	struct flt_zone *z = flt_zone(f, zone);
-	bool served;
+	bool was_serving;
 	guint i;
 
 	if (z->cut == cut)
@@ -459,21 +475,22 @@
 		if (flt_rack_of(f, (int)i)->zone != zone)
 			continue;
 		z->cut = !cut;
-		served = flt_serves(f, (int)i);
+		was_serving = flt_is_serving(f, (int)i);
 		z->cut = cut;
-		flt_count(f, (int)i, 0,
-			  (int)flt_serves(f, (int)i) - (int)served);
+		flt_add_count(f, (int)i, 0,
+			      (int)flt_is_serving(f, (int)i) -
+				      (int)was_serving);
 	}
 	z->cut = cut;
 }
 
-/* The reason in words, for audit texts and operators. */
+/* Returns the reason as a text for audit entries and operators. */
 const char *flt_why_text(enum flt_why why)
 {
 	return flt_whys[why];
 }
 
-/* The state's name as in the chart. */
+/* Returns the state's name as in the chart. */
 const char *flt_state_name(enum flt_state state)
 {
 	return flt_states[state];
@@ -522,7 +539,7 @@
 	}
 }
 
-/* The fleet that flt_pack wrote, or NULL with ERR_CORRUPT. */
+/* Returns the fleet that flt_pack wrote, or NULL with ERR_CORRUPT. */
 struct flt *flt_unpack(struct lstr bytes, GError **err)
 {
 	struct flt *f = flt_new();
@@ -530,7 +547,7 @@
 	bool ok = pk_in_init(&in, bytes);
 
 	if (ok) {
-		ok = flt_unpack_places(f, &in) && flt_unpack_pools(f, &in) &&
+		ok = flt_unpack_topology(f, &in) && flt_unpack_pools(f, &in) &&
 		     flt_unpack_vms(f, &in);
 		pk_in_done(&in);
 	}
@@ -541,7 +558,7 @@
 	return NULL;
 }
 
-/* Read once; the table never changes after that. */
+/* Returns the VM state chart, loaded once; it never changes after that. */
 static const struct cht *flt_chart(void)
 {
 	static struct cht *chart;
@@ -557,12 +574,12 @@
 	return chart;
 }
 
-static bool flt_serves(const struct flt *f, int vm)
+static bool flt_is_serving(const struct flt *f, int vm)
 {
 	return flt_vm(f, vm)->state == FLT_UP && !flt_zone_of(f, vm)->cut;
 }
 
-static void flt_count(struct flt *f, int vm, int size, int serving)
+static void flt_add_count(struct flt *f, int vm, int size, int serving)
 {
 	struct flt_pool *p = flt_pool(f, flt_vm(f, vm)->pool);
 	const struct flt_rack *r = flt_rack_of(f, vm);
@@ -574,49 +591,56 @@
 	p->serving += serving;
 	zone->size = (uint16_t)(zone->size + size);
 	zone->serving = (uint16_t)(zone->serving + serving);
-	flt_count_sw(p, r->sw, size, serving);
+	flt_add_switch_count(p, r->sw, size, serving);
 }
 
-/* Counts of the serving behind each switch keep the largest in O(1). */
-static void flt_count_sw(struct flt_pool *p, int sw, int size, int serving)
+/*
+ * Updates a pool's counts behind a switch. The numbers of switches by serving
+ * VMs give the largest count in O(1).
+ */
+static void flt_add_switch_count(struct flt_pool *p, int sw, int size,
+				 int serving)
 {
 	struct flt_place place = {.sw = sw};
-	guint at = flt_place_at(p, sw);
+	guint at = flt_find_place(p, sw);
 	struct flt_tally *t;
 
-	if (at == p->places->len || flt_place(p, at)->sw != sw)
+	if (at == p->places->len || flt_get_place(p, at)->sw != sw)
 		g_array_insert_val(p->places, at, place);
-	t = &flt_place(p, at)->tally;
+	t = &flt_get_place(p, at)->tally;
 	t->size = (uint16_t)(t->size + size);
 	if (serving)
-		flt_count_serving(p, t, serving);
+		flt_add_serving(p, t, serving);
 	if (t->size == 0)
 		g_array_remove_index(p->places, at);
 }
 
-static void flt_count_serving(struct flt_pool *p, struct flt_tally *t,
-			      int serving)
+static void flt_add_serving(struct flt_pool *p, struct flt_tally *t,
+			    int serving)
 {
-	int *having;
+	int *n_switches_with;
 
 	if (p->sw_having->len < (guint)t->serving + 2)
 		g_array_set_size(p->sw_having, (guint)t->serving + 2);
-	having = (int *)(void *)p->sw_having->data;
-	having[t->serving]--;
+	n_switches_with = (int *)(void *)p->sw_having->data;
+	n_switches_with[t->serving]--;
 	t->serving = (uint16_t)(t->serving + serving);
-	having[t->serving]++;
+	n_switches_with[t->serving]++;
 	p->worst_sw = MAX(p->worst_sw, (int)t->serving);
-	while (p->worst_sw > 0 && having[p->worst_sw] == 0)
+	while (p->worst_sw > 0 && n_switches_with[p->worst_sw] == 0)
 		p->worst_sw--;
 }
 
-static struct flt_place *flt_place(const struct flt_pool *p, guint at)
+static struct flt_place *flt_get_place(const struct flt_pool *p, guint at)
 {
 	return &g_array_index(p->places, struct flt_place, at);
 }
 
-/* Where a switch stands in the pool's list, or where it would. */
-static guint flt_place_at(const struct flt_pool *p, int sw)
+/*
+ * Returns the position of a switch in the pool's list, or where it would be
+ * inserted.
+ */
+static guint flt_find_place(const struct flt_pool *p, int sw)
 {
 	guint low = 0;
 	guint high = p->places->len;
@@ -624,7 +648,7 @@
 
 	while (low < high) {
 		mid = (low + high) / 2;
-		if (flt_place(p, mid)->sw < sw)
+		if (flt_get_place(p, mid)->sw < sw)
 			low = mid + 1;
 		else
 			high = mid;
@@ -632,12 +656,12 @@
 	return low;
 }
 
-static void flt_pool_grow(const struct flt *f, struct flt_pool *p)
+static void flt_grow_pool(const struct flt *f, struct flt_pool *p)
 {
 	g_array_set_size(p->by_zone, f->zones->len);
 }
 
-static struct flt_pool flt_pool_copy(const struct flt_pool *p)
+static struct flt_pool flt_copy_pool(const struct flt_pool *p)
 {
 	struct flt_pool c = *p;
 
@@ -648,7 +672,7 @@
 	return c;
 }
 
-static void flt_pool_clear(struct flt_pool *p)
+static void flt_clear_pool(struct flt_pool *p)
 {
 	g_free(p->name);
 	g_array_free(p->places, TRUE);
@@ -656,7 +680,7 @@
 	g_array_free(p->sw_having, TRUE);
 }
 
-static int flt_most(const GArray *tallies)
+static int flt_max_serving(const GArray *tallies)
 {
 	int most = 0;
 	guint i;
@@ -697,12 +721,12 @@
 	return b;
 }
 
-static bool flt_unpack_places(struct flt *f, struct pk_in *in)
+static bool flt_unpack_topology(struct flt *f, struct pk_in *in)
 {
 	struct pk_in zones = pk_get_arr(in);
 	struct pk_in racks = pk_get_arr(in);
 	struct lstr name;
-	int place;
+	int zone;
 	int at;
 
 	while (pk_in_ok(&zones) && pk_in_left(&zones)) {
@@ -713,13 +737,16 @@
 	}
 	while (pk_in_ok(&racks) && pk_in_left(&racks)) {
 		name = pk_get_str(&racks);
-		place = (int)pk_get_i(&racks);
+		zone = (int)pk_get_i(&racks);
 		at = (int)pk_get_i(&racks);
-		/* Switches are numbered densely, so a larger one is damage. */
-		if (place < 0 || place >= (int)f->zones->len || at < 0 ||
+		/*
+		 * Switches are numbered densely, so a larger number means
+		 * corrupt data.
+		 */
+		if (zone < 0 || zone >= (int)f->zones->len || at < 0 ||
 		    at > UINT16_MAX)
 			return false;
-		flt_add_rack(f, name, place, at);
+		flt_add_rack(f, name, zone, at);
 	}
 	return pk_in_ok(&zones) && pk_in_ok(&racks);
 }
@@ -763,13 +790,16 @@
 			return false;
 		}
 		g_array_append_val(f->vms, v);
-		flt_count(f, (int)f->vms->len - 1, 1,
-			  flt_serves(f, (int)f->vms->len - 1));
+		flt_add_count(f, (int)f->vms->len - 1, 1,
+			      flt_is_serving(f, (int)f->vms->len - 1));
 	}
 	return pk_in_ok(&vms);
 }
 
-/* Every named thing of the fleet begins with its name. */
+/*
+ * Returns the index of the element of that name, or -1. Each element type
+ * begins with its name.
+ */
 static int flt_find(const GArray *a, size_t stride, struct lstr name)
 {
 	char *const *at;
--- a/src/flt.h
+++ b/src/flt.h
@@ -1,6 +1,8 @@
 #ifndef FLT_H
 #define FLT_H
 
+/* Fleet model: VMs, racks, zones and pools with availability budgets. */
+
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -9,13 +11,14 @@
 #include "pk.h"
 
 /*
- * The fleet model that planner, waves and jobs share: VMs in racks in zones
- * in sites, and the pools with their availability budgets. No clock, file or
- * socket; things are named by their index. Fields are read freely and changed
- * only through the functions below, which keep the counts right.
+ * The fleet model that the planner, waves and jobs share: VMs in racks in zones
+ * in sites, and pools with their availability budgets. It uses no clock, file
+ * or socket. All objects are identified by index. Fields may be read directly;
+ * they are changed only by the functions below, which keep the counts
+ * consistent.
  */
 
-/* In the order of the names that charts/vm.chart uses. */
+/* In the order of the state names in charts/vm.chart. */
 enum flt_state {
 	FLT_UP,
 	FLT_DRAINING,
@@ -37,20 +40,20 @@
 	FLT_EVENTS
 };
 
-/* Why an act of ours is not done now. */
+/* Why an operation on a VM is refused now. */
 enum flt_why {
 	FLT_OK,
 	FLT_NOT_UP,
 	FLT_CUT_OFF,
-	FLT_TAKEN, /* by another wave */
-	FLT_BUDGET,
-	FLT_RACK_BUDGET,
-	FLT_ZONE_BUDGET,
-	FLT_UNFIT, /* kind or site that the pool can't use */
+	FLT_TAKEN, /* the VM belongs to another wave */
+	FLT_BUDGET, /* the budget would not survive the declared failure */
+	FLT_RACK_BUDGET, /* too many VMs missing behind one switch */
+	FLT_ZONE_BUDGET, /* too many VMs missing in one zone */
+	FLT_UNFIT, /* the pool cannot use the VM's kind or site */
 	FLT_WHYS
 };
 
-/* The pool of every VM that no other pool has. */
+/* The pool of all VMs that are in no other pool. */
 #define FLT_SPARE 0
 #define FLT_ANY_SITE (-1)
 #define FLT_NO_WAVE 0
@@ -58,10 +61,10 @@
 struct flt_zone {
 	char *name;
 	int site;
-	bool cut; /* the control side can't reach it */
+	bool cut; /* the zone is partitioned from the control daemons */
 };
 
-/* A rack hangs on one switch; racks of one switch are lost together. */
+/* A rack is connected to one switch; racks of one switch fail together. */
 struct flt_rack {
 	char *name;
 	int zone;
@@ -71,33 +74,44 @@
 struct flt_vm {
 	char *name;
 	int rack;
-	int kind; /* of machine: a pool takes VMs of its kind */
+	int kind; /* kind of machine; a pool uses VMs of its kind */
 	int pool;
 	enum flt_state state;
-	bool hold; /* an operator wants it drained, also after a failure */
-	uint64_t wave; /* that took it; FLT_NO_WAVE: none */
-	uint64_t epoch; /* of its membership; grows with each move */
+	bool hold; /* an operator has drained it; remains after a failure */
+	uint64_t wave; /* wave that maintains it; FLT_NO_WAVE: none */
+	uint64_t epoch; /* epoch of its pool membership; grows with each move */
 	int64_t maintained_ms;
 };
 
-/* What an operator declares of a pool; counts are VMs. */
+/* What an operator declares for a pool; numbers are VMs. */
 struct flt_budget {
-	int kind;
-	int site;
-	int wanted;
-	int missing; /* of wanted, at most, after the declared failure too */
-	int missing_rack; /* in the racks of one switch; 0: no own limit */
-	int missing_zone; /* in one zone; 0: no own limit */
-	bool survive_zone; /* declared failure: any zone, not any switch */
-	int priority; /* larger gets spare VMs first */
+	int kind; /* of its VMs */
+	int site; /* or FLT_ANY_SITE */
+	int wanted; /* VMs that the pool should have */
+	/*
+	 * most of wanted that may be missing, also after the declared failure
+	 */
+	int missing;
+	/* most that may be missing behind one switch; 0: no limit of its own */
+	int missing_rack;
+	/* most that may be missing in one zone; 0: no limit of its own */
+	int missing_zone;
+	/*
+	 * the declared failure is the loss of any zone, otherwise of any switch
+	 */
+	bool survive_zone;
+	int priority; /* pools of higher priority get spare VMs first */
 };
 
+/* Numbers of VMs. */
 struct flt_tally {
-	uint16_t size;
-	uint16_t serving;
+	uint16_t size; /* all VMs */
+	uint16_t serving; /* VMs that are up and reachable */
 };
 
-/* What a pool has behind one switch; most pools are behind few of them. */
+/*
+ * The VMs of a pool behind one switch; most pools have VMs behind few switches.
+ */
 struct flt_place {
 	int sw;
 	struct flt_tally tally;
@@ -108,10 +122,12 @@
 	struct flt_budget budget;
 	int size;
 	int serving;
-	GArray *places; /* struct flt_place, those with VMs, by switch */
+	/* struct flt_place, switches with VMs of the pool, sorted by switch */
+	GArray *places;
 	GArray *by_zone; /* struct flt_tally by zone */
-	GArray *sw_having; /* int: switches that have N serving, by N */
-	int worst_sw; /* most serving behind one switch */
+	/* int: number of switches with N serving VMs, by N */
+	GArray *sw_having;
+	int worst_sw; /* most serving VMs behind one switch */
 };
 
 struct flt {
