--- a/src/evd.c
+++ b/src/evd.c
@@ -36,8 +36,8 @@
 }
 
 /*
- * Whether the evidence proves that the worker process has ended for good, not
- * only that its leases have expired.
+ * Whether the evidence proves that the worker process has ended permanently,
+ * not only that its leases have expired.
  */
 bool evd_for_good(const struct evd *e)
 {
--- a/src/gcm.c
+++ b/src/gcm.c
@@ -15,7 +15,7 @@
  */
 #define GCM_MIN_MS 5
 #define GCM_MAX_MS 50
-/* The newest batch has a weight of one in this many in the moving mean. */
+/* Weight of the newest batch in the moving mean: 1 in GCM_MEAN_WEIGHT. */
 #define GCM_MEAN_WEIGHT 8
 
 /* Returns how long the next batch has to wait, ms; 0: it may be sent now. */
