--- a/src/hld.c
+++ b/src/hld.c
@@ -81,7 +81,7 @@
 struct hld_scan {
 	const struct hld_view *v;
 	struct hld_sum *sum;
-	hld_tell tell;
+	hld_tell report;
 	void *arg;
 	GHashTable *pools; /* struct hld_pool */
 	int evaluated; /* reasons evaluated, without those cached */
@@ -115,19 +115,19 @@
 static void hld_pool_free(gpointer arg);
 static void hld_count_unreachable(const struct hld_view *v,
 				  struct hld_sum *sum);
-static void hld_scan_job(struct hld_scan *l, struct jtb_job *job);
-static enum hld_reason hld_scan_step(struct hld_scan *l, struct jtb_job *job,
+static void hld_scan_job(struct hld_scan *scan, struct jtb_job *job);
+static enum hld_reason hld_scan_step(struct hld_scan *scan, struct jtb_job *job,
 				     uint32_t turn, uint32_t step);
-static void hld_scan_long_running(struct hld_scan *l, struct jtb_job *job,
+static void hld_scan_long_running(struct hld_scan *scan, struct jtb_job *job,
 				  uint32_t turn, uint32_t step);
 static struct jtb_held *hld_job_records(struct jtb_job *job);
-static enum hld_reason hld_cached_reason(struct hld_scan *l,
+static enum hld_reason hld_cached_reason(struct hld_scan *scan,
 					 struct jtb_job *job, uint32_t turn,
 					 uint32_t step);
 static bool hld_same_size(const struct jtb_step *a, const struct jtb_step *b);
-static struct hld_pool *hld_get_pool(struct hld_scan *l,
+static struct hld_pool *hld_get_pool(struct hld_scan *scan,
 				     const struct jtb_job *job);
-static void hld_record(struct hld_scan *l, const struct jtb_job *job,
+static void hld_record(struct hld_scan *scan, const struct jtb_job *job,
 		       const struct jtb_name *n, struct jtb_held *h,
 		       enum hld_reason why);
 
@@ -295,8 +295,9 @@
 		return HLD_NO_CAPACITY;
 	if (hld_is_reserved(v, job, w))
 		return HLD_RESERVED;
-	return sch_is_trial_reserved(&p->sch, w, job) ? HLD_RESERVED_FOR_RETRY
-						      : HLD_NONE;
+	return sch_is_reserved_for_retry(&p->sch, w, job)
+		       ? HLD_RESERVED_FOR_RETRY
+		       : HLD_NONE;
 }
 
 /* Returns why a worker may not be assigned work. */
@@ -351,22 +352,23 @@
  * step share the reason given by their pool; long-running tasks are evaluated
  * one by one, as each of them should run at any time.
  */
-void hld_look(const struct hld_view *v, struct hld_sum *sum, hld_tell tell,
+void hld_look(const struct hld_view *v, struct hld_sum *sum, hld_tell report,
 	      void *arg)
 {
-	struct hld_scan l = {.v = v, .sum = sum, .tell = tell, .arg = arg};
+	struct hld_scan scan = {
+		.v = v, .sum = sum, .report = report, .arg = arg};
 	GPtrArray *live = jtb_live(v->sch->jtb);
 	guint i;
 
 	memset(sum->tasks, 0, sizeof(sum->tasks));
 	sum->longest_ms = 0;
-	l.pools = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					hld_pool_free);
+	scan.pools = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+					   hld_pool_free);
 	for (i = 0; i < live->len; i++)
-		hld_scan_job(&l, g_ptr_array_index(live, (sum->next_job + i) %
-								 live->len));
+		hld_scan_job(&scan, g_ptr_array_index(live, (sum->next_job +
+							     i) % live->len));
 	sum->next_job += HLD_EVAL_MAX;
-	g_hash_table_destroy(l.pools);
+	g_hash_table_destroy(scan.pools);
 	hld_count_unreachable(v, sum);
 }
 
@@ -435,9 +437,9 @@
  * Scans one job. The job as a whole is pending while some of it is due and none
  * of it runs or is being started.
  */
-static void hld_scan_job(struct hld_scan *l, struct jtb_job *job)
+static void hld_scan_job(struct hld_scan *scan, struct jtb_job *job)
 {
-	enum hld_reason first = HLD_OVER;
+	enum hld_reason job_why = HLD_OVER;
 	bool active = job->n_runs > 0;
 	uint32_t t;
 	uint32_t s;
@@ -445,41 +447,41 @@
 	if (jtb_ended(job))
 		return;
 	for (t = 0;
-	     t < job->n_turns && l->v->sch->wall_ms >= jtb_turn_due(job, t);
+	     t < job->n_turns && scan->v->sch->wall_ms >= jtb_turn_due(job, t);
 	     t++) {
 		for (s = 0; s < job->spec.n_steps; s++) {
 			const struct jtb_part *part = jtb_part(job, t, s);
 			enum hld_reason why;
 
 			if (job->spec.steps[s].flags & JTB_LASTS) {
-				hld_scan_long_running(l, job, t, s);
+				hld_scan_long_running(scan, job, t, s);
 				continue;
 			}
 			active = active || (part && part->n_planned);
-			why = hld_scan_step(l, job, t, s);
-			if (!hld_is_owed(first))
-				first = why;
+			why = hld_scan_step(scan, job, t, s);
+			if (!hld_is_owed(job_why))
+				job_why = why;
 		}
 	}
 	if (active)
-		first = HLD_RUNS;
-	if (job->held || hld_is_owed(first))
-		hld_record(l, job, NULL, hld_job_records(job), first);
+		job_why = HLD_RUNS;
+	if (job->held || hld_is_owed(job_why))
+		hld_record(scan, job, NULL, hld_job_records(job), job_why);
 }
 
 /* Adds the waiting tasks of a step to the sum and returns their reason. */
-static enum hld_reason hld_scan_step(struct hld_scan *l, struct jtb_job *job,
+static enum hld_reason hld_scan_step(struct hld_scan *scan, struct jtb_job *job,
 				     uint32_t turn, uint32_t step)
 {
 	const struct jtb_part *part = jtb_part(job, turn, step);
 	uint32_t waiting = job->spec.steps[step].count;
-	enum hld_reason why = hld_step_reason(l->v, job, turn, step);
+	enum hld_reason why = hld_step_reason(scan->v, job, turn, step);
 
 	if (part) {
 		uint32_t occupied =
 			part->n_done + part->n_runs + part->n_planned;
 
-		l->sum->tasks[HLD_PROPOSED] += part->n_planned;
+		scan->sum->tasks[HLD_PROPOSED] += part->n_planned;
 		waiting -= MIN(waiting, occupied);
 		if (waiting && why == HLD_NONE && occupied &&
 		    job->spec.steps[step].flags & JTB_GANG)
@@ -488,20 +490,20 @@
 	if (!waiting)
 		return HLD_OVER;
 	if (why == HLD_NONE)
-		why = hld_cached_reason(l, job, turn, step);
+		why = hld_cached_reason(scan, job, turn, step);
 	if (why == HLD_NONE && job->suspects && job->suspects->len)
 		why = HLD_ISOLATED_RETRY;
-	l->sum->tasks[why] += waiting;
+	scan->sum->tasks[why] += waiting;
 	return why;
 }
 
 /* Scans each task of a long-running step. */
-static void hld_scan_long_running(struct hld_scan *l, struct jtb_job *job,
+static void hld_scan_long_running(struct hld_scan *scan, struct jtb_job *job,
 				  uint32_t turn, uint32_t step)
 {
 	struct jtb_held *records = hld_job_records(job) + 1;
 	struct jtb_name n = {.turn = turn, .step = step};
-	enum hld_reason common = hld_step_reason(l->v, job, turn, step);
+	enum hld_reason common = hld_step_reason(scan->v, job, turn, step);
 	enum hld_reason pool_why = HLD_OVER;
 	uint32_t s;
 
@@ -510,14 +512,14 @@
 			records += job->spec.steps[s].count;
 	g_strlcpy(n.id, job->spec.id, sizeof(n.id));
 	for (; n.index < job->spec.steps[step].count; n.index++) {
-		enum hld_reason why = hld_task_reason(l->v, job, &n, common);
+		enum hld_reason why = hld_task_reason(scan->v, job, &n, common);
 
 		if (why == HLD_NONE && pool_why == HLD_OVER)
-			pool_why = hld_cached_reason(l, job, turn, step);
+			pool_why = hld_cached_reason(scan, job, turn, step);
 		why = why == HLD_NONE ? hld_check_suspect(pool_why, job, &n)
 				      : why;
-		l->sum->tasks[why] += hld_is_owed(why);
-		hld_record(l, job, &n, &records[n.index], why);
+		scan->sum->tasks[why] += hld_is_owed(why);
+		hld_record(scan, job, &n, &records[n.index], why);
 	}
 }
 
@@ -543,14 +545,14 @@
  * label share the cached reason, unless they have a limit of tasks per worker,
  * are a gang or may have a worker reserved for them.
  */
-static enum hld_reason hld_cached_reason(struct hld_scan *l,
+static enum hld_reason hld_cached_reason(struct hld_scan *scan,
 					 struct jtb_job *job, uint32_t turn,
 					 uint32_t step)
 {
 	const struct jtb_step *s = &job->spec.steps[step];
-	struct hld_pool *p = hld_get_pool(l, job);
+	struct hld_pool *p = hld_get_pool(scan, job);
 	const struct jtb_queue *q =
-		jtb_queue(jtb_config(l->v->sch->jtb), job->spec.queue);
+		jtb_queue(jtb_config(scan->v->sch->jtb), job->spec.queue);
 	/* Tickets and the capacity for a whole gang differ for each step. */
 	bool uncacheable = s->flags & (JTB_GANG | JTB_LASTS) || q->advised;
 	guint slot = (s->cpu * 31 + s->mem_mb * 17 + s->gpus * 7 +
@@ -562,12 +564,12 @@
 	if (!uncacheable && !s->per_worker && p->cache[slot].step &&
 	    hld_same_size(p->cache[slot].step, s))
 		return p->cache[slot].why;
-	if (!(s->flags & JTB_LASTS) && l->evaluated >= HLD_EVAL_MAX)
+	if (!(s->flags & JTB_LASTS) && scan->evaluated >= HLD_EVAL_MAX)
 		return job->held && hld_is_owed(job->held->why)
 			       ? job->held->why
 			       : HLD_NO_CAPACITY;
-	l->evaluated++;
-	why = hld_pool_reason(l->v, p, job, turn, step);
+	scan->evaluated++;
+	why = hld_pool_reason(scan->v, p, job, turn, step);
 	if (!uncacheable && !s->per_worker) {
 		p->cache[slot].step = s;
 		p->cache[slot].why = why;
@@ -588,27 +590,27 @@
  * Returns the state of the pool of a job, created for its first job in the
  * scan. The job's queue must exist.
  */
-static struct hld_pool *hld_get_pool(struct hld_scan *l,
+static struct hld_pool *hld_get_pool(struct hld_scan *scan,
 				     const struct jtb_job *job)
 {
-	const char *name = jtb_pool_of(l->v->sch->jtb, job);
-	struct hld_pool *p = g_hash_table_lookup(l->pools, name);
+	const char *name = jtb_pool_of(scan->v->sch->jtb, job);
+	struct hld_pool *p = g_hash_table_lookup(scan->pools, name);
 
 	if (p)
 		return p;
-	p = hld_pool_new(l->v, name);
-	g_hash_table_insert(l->pools, (gpointer)name, p);
+	p = hld_pool_new(scan->v, name);
+	g_hash_table_insert(scan->pools, (gpointer)name, p);
 	return p;
 }
 
 /*
  * Records the current reason of a task or job, and reports it if that is due.
  */
-static void hld_record(struct hld_scan *l, const struct jtb_job *job,
+static void hld_record(struct hld_scan *scan, const struct jtb_job *job,
 		       const struct jtb_name *n, struct jtb_held *h,
 		       enum hld_reason why)
 {
-	int64_t now = l->v->sch->now_ms;
+	int64_t now = scan->v->sch->now_ms;
 
 	if (!hld_is_owed(why)) {
 		*h = (struct jtb_held){0};
@@ -621,10 +623,11 @@
 		h->told_ms = 0;
 	}
 	h->why = (uint8_t)why;
-	l->sum->longest_ms = MAX(l->sum->longest_ms, now - h->owed_ms);
+	scan->sum->longest_ms = MAX(scan->sum->longest_ms, now - h->owed_ms);
 	if (now - h->owed_ms < HLD_REPORT_MS ||
 	    (h->told_ms && now - h->told_ms < HLD_REPORT_AGAIN_MS))
 		return;
 	h->told_ms = now;
-	l->tell(l->arg, job, n, why, now - h->since_ms, now - h->owed_ms);
+	scan->report(scan->arg, job, n, why, now - h->since_ms,
+		     now - h->owed_ms);
 }
--- a/src/hld.h
+++ b/src/hld.h
@@ -86,18 +86,18 @@
 
 /*
  * Reports a task, or a job if n is NULL, that has been pending for long: for
- * why_ms for the reason why, and for owed_ms altogether.
+ * why_ms for the reason why, and for pending_ms altogether.
  */
 typedef void (*hld_tell)(void *arg, const struct jtb_job *job,
 			 const struct jtb_name *n, enum hld_reason why,
-			 int64_t why_ms, int64_t owed_ms);
+			 int64_t why_ms, int64_t pending_ms);
 
 enum hld_reason hld_task(const struct hld_view *v, struct jtb_job *job,
 			 const struct jtb_name *n);
 bool hld_is_owed(enum hld_reason why);
 const char *hld_name(enum hld_reason why);
 int64_t hld_most_ms(enum hld_reason why);
-void hld_look(const struct hld_view *v, struct hld_sum *sum, hld_tell tell,
+void hld_look(const struct hld_view *v, struct hld_sum *sum, hld_tell report,
 	      void *arg);
 void hld_forget(const struct jtb *t);
 void hld_text(const struct hld_sum *sum, GString *out);
--- a/src/sch.c
+++ b/src/sch.c
@@ -131,7 +131,7 @@
 /*
  * Sets the rank of a job, and its value within the rank, for bursts of several
  * times the pool's capacity. Long-running tasks go first, as any time without a
- * run is lost for good. Next come started jobs that can still meet their
+ * run is lost permanently. Next come started jobs that can still meet their
  * objective, so that few jobs stay half done; then new jobs that can meet it,
  * newest first: these have the most time left to absorb wrong estimates, and
  * large and small jobs fare alike, whereas cheapest first would shut out large
@@ -229,8 +229,8 @@
 			     p->v->now_ms - task->free_ms < SCH_RETRY_DELAY_MS))
 			continue;
 		if (sch_suspected(job, step, n.index)) {
-			w = sch_trial_place(p, job, &job->spec.steps[step],
-					    task && task->fails);
+			w = sch_place_isolated(p, job, &job->spec.steps[step],
+					       task && task->fails);
 			/*
 			 * A suspect task that waits for its isolated retry does
 			 * not show that the pool is full.
@@ -284,7 +284,7 @@
 	if (!sch_apply_tickets(p, job, turn, step))
 		return;
 	if (suspected)
-		sch_trial_exclude_busy(p, job);
+		sch_exclude_busy(p, job);
 	places = g_ptr_array_new();
 	placed = sch_place_on_one_rack(p, job, turn, step, places);
 	if (!placed && sch_waits_for_rack(p, job, step)) {
@@ -297,7 +297,7 @@
 	for (n.index = 0; placed && n.index < count; n.index++) {
 		w = g_ptr_array_index(places, n.index);
 		if (suspected)
-			sch_trial_start(p, w, job);
+			sch_start_isolated(p, w, job);
 		p->started++;
 		p->v->start(p->v->arg, job, &n, attempt + 1, w);
 	}
--- a/src/sch_int.h
+++ b/src/sch_int.h
@@ -46,16 +46,17 @@
 	uint32_t started;
 };
 
-void sch_trial_update(const struct sch_pool *p, struct jtb_worker *w);
-bool sch_is_trial_reserved(const struct sch_pool *p, const struct jtb_worker *w,
-			   const struct jtb_job *job);
-struct jtb_worker *sch_trial_place(struct sch_pool *p,
-				   const struct jtb_job *job,
-				   const struct jtb_step *s,
-				   bool failed_before);
-void sch_trial_exclude_busy(struct sch_pool *p, const struct jtb_job *job);
-void sch_trial_start(const struct sch_pool *p, struct jtb_worker *w,
-		     const struct jtb_job *job);
+void sch_update_isolation(const struct sch_pool *p, struct jtb_worker *w);
+bool sch_is_reserved_for_retry(const struct sch_pool *p,
+			       const struct jtb_worker *w,
+			       const struct jtb_job *job);
+struct jtb_worker *sch_place_isolated(struct sch_pool *p,
+				      const struct jtb_job *job,
+				      const struct jtb_step *s,
+				      bool failed_before);
+void sch_exclude_busy(struct sch_pool *p, const struct jtb_job *job);
+void sch_start_isolated(const struct sch_pool *p, struct jtb_worker *w,
+			const struct jtb_job *job);
 void sch_pool_init(struct sch_pool *p, const struct sch_view *v,
 		   const char *name);
 void sch_pool_clear(struct sch_pool *p);
--- a/src/sch_place.c
+++ b/src/sch_place.c
@@ -45,7 +45,7 @@
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w))
 		if (strcmp(w->info.pool, p->name) == 0 && sch_usable(p->v, w)) {
 			w->barred = false;
-			sch_trial_update(p, w);
+			sch_update_isolation(p, w);
 			g_ptr_array_add(p->workers, w);
 		}
 	sch_update_suspects(p);
@@ -128,7 +128,8 @@
 
 		if (!sch_fits(w, s) || !sch_allowed(w, s) ||
 		    sch_is_backed_off(p, w, s, failed_before) ||
-		    sch_is_reserved(p, w) || sch_is_trial_reserved(p, w, job) ||
+		    sch_is_reserved(p, w) ||
+		    sch_is_reserved_for_retry(p, w, job) ||
 		    (p->rack && g_strcmp0(sch_rack_of(w), p->rack) != 0))
 			continue;
 		score = sch_score(p, w, s);
@@ -199,7 +200,7 @@
 
 		if (!sch_fits_beside_long_running(w, s) || !sch_allowed(w, s) ||
 		    sch_is_backed_off(p, w, s, true) || sch_is_reserved(p, w) ||
-		    sch_is_trial_reserved(p, w, job))
+		    sch_is_reserved_for_retry(p, w, job))
 			continue;
 		if (w->kept_for == job->seq + 1)
 			free_cpu += w->info.cpu;
--- a/src/sch_trial.c
+++ b/src/sch_trial.c
@@ -12,19 +12,19 @@
  * How long a worker stays reserved for an isolated retry after the last plan
  * that asked for it, ms.
  */
-#define SCH_TRIAL_RESERVE_MS 500
+#define SCH_RETRY_RESERVE_MS 500
 
 /*
  * At most one in this many workers of a pool is reserved for isolated retries.
  */
-#define SCH_TRIAL_WORKERS_SHARE 4
+#define SCH_RETRY_WORKERS_SHARE 4
 
 static bool sch_just_started(const struct jtb_run *run);
 static guint sch_count_just_started(const struct jtb_worker *w,
 				    const struct jtb_job *job);
 static bool sch_is_quiet(const struct jtb_worker *w, const struct jtb_job *job);
-static void sch_trial_reserve(struct sch_pool *p, const struct jtb_job *job,
-			      const struct jtb_step *s, bool failed_before);
+static void sch_reserve_for_retry(struct sch_pool *p, const struct jtb_job *job,
+				  const struct jtb_step *s, bool failed_before);
 
 /*
  * Whether a task is suspected of having crashed a worker; for a gang, whether
@@ -104,7 +104,7 @@
  * Continues or ends an isolated retry on a worker: it ends once all runs of the
  * job there are over or have been observed running for long enough.
  */
-void sch_trial_update(const struct sch_pool *p, struct jtb_worker *w)
+void sch_update_isolation(const struct sch_pool *p, struct jtb_worker *w)
 {
 	bool active = w->plan_cpu || w->plan_mem || w->plan_gpus;
 	guint i;
@@ -124,11 +124,12 @@
 }
 
 /* Whether a worker is reserved for an isolated retry of another job. */
-bool sch_is_trial_reserved(const struct sch_pool *p, const struct jtb_worker *w,
-			   const struct jtb_job *job)
+bool sch_is_reserved_for_retry(const struct sch_pool *p,
+			       const struct jtb_worker *w,
+			       const struct jtb_job *job)
 {
 	return w->trial_for && w->trial_for != job->seq + 1 &&
-	       p->v->now_ms - w->trial_ms < SCH_TRIAL_RESERVE_MS;
+	       p->v->now_ms - w->trial_ms < SCH_RETRY_RESERVE_MS;
 }
 
 /*
@@ -137,9 +138,10 @@
  * worker is then reserved until its recent starts have been observed running.
  * failed_before: an earlier attempt of the task failed.
  */
-struct jtb_worker *sch_trial_place(struct sch_pool *p,
-				   const struct jtb_job *job,
-				   const struct jtb_step *s, bool failed_before)
+struct jtb_worker *sch_place_isolated(struct sch_pool *p,
+				      const struct jtb_job *job,
+				      const struct jtb_step *s,
+				      bool failed_before)
 {
 	struct jtb_worker *best = NULL;
 	double best_score = 0;
@@ -151,7 +153,8 @@
 
 		if (!sch_fits(w, s) || !sch_allowed(w, s) ||
 		    sch_is_backed_off(p, w, s, failed_before) ||
-		    sch_is_reserved(p, w) || sch_is_trial_reserved(p, w, job) ||
+		    sch_is_reserved(p, w) ||
+		    sch_is_reserved_for_retry(p, w, job) ||
 		    !sch_is_quiet(w, job))
 			continue;
 		if (sch_has_lasting(w))
@@ -164,9 +167,9 @@
 		best_score = score;
 	}
 	if (best)
-		sch_trial_start(p, best, job);
+		sch_start_isolated(p, best, job);
 	else
-		sch_trial_reserve(p, job, s, failed_before);
+		sch_reserve_for_retry(p, job, s, failed_before);
 	return best;
 }
 
@@ -174,8 +177,8 @@
  * Marks a worker as reserved for the isolated retry of a job that starts there
  * now.
  */
-void sch_trial_start(const struct sch_pool *p, struct jtb_worker *w,
-		     const struct jtb_job *job)
+void sch_start_isolated(const struct sch_pool *p, struct jtb_worker *w,
+			const struct jtb_job *job)
 {
 	w->trial_for = job->seq + 1;
 	w->trial_ms = p->v->now_ms;
@@ -186,7 +189,7 @@
  * Excludes the workers with recent starts of other jobs, for the isolated retry
  * of a gang.
  */
-void sch_trial_exclude_busy(struct sch_pool *p, const struct jtb_job *job)
+void sch_exclude_busy(struct sch_pool *p, const struct jtb_job *job)
 {
 	guint i;
 
@@ -203,8 +206,8 @@
  * Reserves the worker with the fewest recent starts, so that no more are added:
  * at full load new tasks would otherwise start on every worker all the time.
  */
-static void sch_trial_reserve(struct sch_pool *p, const struct jtb_job *job,
-			      const struct jtb_step *s, bool failed_before)
+static void sch_reserve_for_retry(struct sch_pool *p, const struct jtb_job *job,
+				  const struct jtb_step *s, bool failed_before)
 {
 	struct jtb_worker *best = NULL;
 	guint best_starts = 0;
@@ -215,7 +218,7 @@
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 		guint starts = sch_count_just_started(w, job);
 
-		if (sch_is_trial_reserved(p, w, job)) {
+		if (sch_is_reserved_for_retry(p, w, job)) {
 			reserved++;
 			continue;
 		}
@@ -233,7 +236,7 @@
 		best_starts = starts;
 	}
 	if (!best ||
-	    reserved >= MAX(1, p->workers->len / SCH_TRIAL_WORKERS_SHARE))
+	    reserved >= MAX(1, p->workers->len / SCH_RETRY_WORKERS_SHARE))
 		return;
 	best->trial_for = job->seq + 1;
 	best->trial_ms = p->v->now_ms;
--- a/src/wkr.c
+++ b/src/wkr.c
@@ -124,7 +124,7 @@
 	}
 	if (w->cleared != s->cleared)
 		s->abandoned = false;
-	if (!s->known)
+	if (!s->polled)
 		wkr_send_hold(s);
 }
 
@@ -224,7 +224,7 @@
 
 	if (w->info.draining)
 		return WKR_DRAINS;
-	if (!s || !s->known || s->state.failed_since || s->abandoned ||
+	if (!s || !s->polled || s->state.failed_since || s->abandoned ||
 	    s->stale->len)
 		return WKR_UNHEARD;
 	/*
@@ -259,7 +259,7 @@
 {
 	const struct wkr_session *s = wkr_session_of(w);
 
-	return s && s->known && !s->state.failed_since;
+	return s && s->polled && !s->state.failed_since;
 }
 
 /*
@@ -411,7 +411,7 @@
  */
 static const char *wkr_relay_of(const struct wkr_session *s)
 {
-	return s->k->config.rly ? s->k->ops->carrier(s->k->arg, s->w, s->turn)
+	return s->k->config.rly ? s->k->ops->carrier(s->k->arg, s->w, s->n_lost)
 				: NULL;
 }
 
@@ -478,8 +478,8 @@
  */
 void wkr_next_route(struct wkr_session *s)
 {
-	s->turn++;
-	s->turn_ms = tmr_now(s->k->config.tmr);
+	s->n_lost++;
+	s->lost_ms = tmr_now(s->k->config.tmr);
 }
 
 /*
@@ -516,8 +516,8 @@
 	 * used again: otherwise each failure would leave more calls to the
 	 * leader permanently.
 	 */
-	if (now - s->turn_ms > s->k->lease_ms)
-		s->turn = 0;
+	if (now - s->lost_ms > s->k->lease_ms)
+		s->n_lost = 0;
 	s->retry_ms = WKR_RETRY_MIN_MS;
 	evd_heard(&s->state, clock_ms, now);
 }
@@ -583,7 +583,7 @@
 			k->ops->gone(k->arg, s->w, &e);
 		} else if (!s->hold && !s->hold_timer && !s->await_end_no &&
 			   (s->w->runs->len || s->stale->len ||
-			    s->state.failed_since || !s->known)) {
+			    s->state.failed_since || !s->polled)) {
 			wkr_send_hold(s);
 		}
 	}
--- a/src/wkr.h
+++ b/src/wkr.h
@@ -144,10 +144,10 @@
 	int64_t (*sure)(void *arg);
 	/*
 	 * Returns the replica that relays the calls to w, or NULL if the leader
-	 * makes them itself. turn grows with each call to w that was lost.
+	 * makes them itself. n_lost grows with each call to w that was lost.
 	 */
 	const char *(*carrier)(void *arg, const struct jtb_worker *w,
-			       uint32_t turn);
+			       uint32_t n_lost);
 };
 
 struct wkr_config {
--- a/src/wkr_int.h
+++ b/src/wkr_int.h
@@ -79,7 +79,7 @@
 struct wkr_session {
 	struct wkr *k;
 	struct jtb_worker *w;
-	bool known; /* it has listed its runs since this leader's term began */
+	bool polled; /* it has listed its runs since this leader's term began */
 	struct wkr_call *hold;
 	uint64_t hold_timer;
 	uint64_t order_timer;
@@ -92,8 +92,8 @@
 	 * number of calls lost or not answered, by which the next route is
 	 * selected
 	 */
-	uint32_t turn;
-	int64_t turn_ms; /* when turn last grew */
+	uint32_t n_lost;
+	int64_t lost_ms; /* when n_lost last grew */
 	/* end that must be committed before the next hold; 0: none */
 	uint64_t await_end_no;
 	/*
--- a/src/wkr_list.c
+++ b/src/wkr_list.c
@@ -37,7 +37,7 @@
 	if (s->w->runs->len && !s->state.failed_since && !s->abandoned &&
 	    !s->stale->len) {
 		o.until_ms = wkr_lease_end(s);
-		o.wait_ms = s->known ? wkr_hold_wait_ms(s) : 0;
+		o.wait_ms = s->polled ? wkr_hold_wait_ms(s) : 0;
 	}
 	s->hold = g_new0(struct wkr_call, 1);
 	wkr_send_call(s, s->hold, &o, o.wait_ms + WKR_HOLD_TIMEOUT_MS);
@@ -121,7 +121,7 @@
 				now);
 	if (!r->partial)
 		wkr_process_missing(s, r, sent_ms);
-	s->known = true;
+	s->polled = true;
 	for (i = 0; i < r->ends->len; i++)
 		last = MAX(last, g_array_index(r->ends, struct wkr_end, i).no);
 	if (last > s->w->end_no) {
--- a/src/wkr_order.c
+++ b/src/wkr_order.c
@@ -25,7 +25,8 @@
 	enum wkr_order_kind kind;
 	guint i;
 
-	if (!s->known || s->state.failed_since || s->abandoned || s->stale->len)
+	if (!s->polled || s->state.failed_since || s->abandoned ||
+	    s->stale->len)
 		return;
 	for (i = 0; i < s->w->runs->len && s->calls->len < window; i++) {
 		struct jtb_run *run = g_ptr_array_index(s->w->runs, i);
--- a/tests/prop/sch_prop.cc
+++ b/tests/prop/sch_prop.cc
@@ -130,7 +130,7 @@
 		struct jtb_step s[3] = {};
 		std::string id = "j" + std::to_string(nextId++);
 		uint32_t n = (uint32_t)randomInt(1, 4);
-		bool lasts = fits && randomInt(0, 8) == 0;
+		bool longRunningJob = fits && randomInt(0, 8) == 0;
 		static char absentLabel[] = "absent-label";
 
 		for (uint32_t i = 0; i < n; i++) {
@@ -139,7 +139,7 @@
 			s[i].mem_mb = 100;
 			s[i].guess_ms = (uint32_t)randomInt(1, 20) * 100;
 			s[i].after = i && randomInt(0, 2) ? 1ULL << (i - 1) : 0;
-			if (lasts)
+			if (longRunningJob)
 				s[i].flags = JTB_LASTS;
 			else if (randomInt(0, 6) == 0)
 				makeGang(&s[i]);
@@ -152,9 +152,9 @@
 		accepted.insert(id);
 		if (!fits)
 			unplaceable.insert(id);
-		if (lasts)
+		if (longRunningJob)
 			longRunning.insert(id);
-		if (fits && !lasts && randomInt(0, 15) == 0)
+		if (fits && !longRunningJob && randomInt(0, 15) == 0)
 			failingJobs.insert(id);
 	}
 
--- a/tests/prop/wkr_prop.cc
+++ b/tests/prop/wkr_prop.cc
@@ -257,7 +257,7 @@
 	struct jtb_watch watch = {};
 	struct wkr_codec codec = {};
 	struct wkr_ops ops = {};
-	struct rly_ops carrier = {};
+	struct rly_ops relay_ops = {};
 
 	Simulation(uint64_t seed, const Faults &t) : rand(seed), faults(t)
 	{
@@ -267,7 +267,7 @@
 		the_simulation = this;
 		set_tables();
 		jtb = jtb_new(&watch, this);
-		rly = rly_new(tmr, &carrier, this);
+		rly = rly_new(tmr, &relay_ops, this);
 		c.base = base;
 		c.tmr = tmr;
 		c.codec = &codec;
@@ -319,7 +319,7 @@
 		codec.answer = codec_answer;
 		codec.report = codec_report;
 		codec.report_done = codec_report_done;
-		carrier.send = [](void *, const char *, struct lstr payload) {
+		relay_ops.send = [](void *, const char *, struct lstr payload) {
 			the_simulation->relay(payload);
 			return true;
 		};
@@ -351,7 +351,7 @@
 		ops.ticket_refused = [](void *, const struct jtb_run *) {};
 		ops.sure = [](void *) { return the_simulation->now(); };
 		ops.carrier = [](void *, const struct jtb_worker *, uint32_t) {
-			return "carrier:1";
+			return "relay:1";
 		};
 	}
 
@@ -856,9 +856,9 @@
 	/* Stops the leader; some of its proposed commands are lost. */
 	void change_leader()
 	{
-		size_t keep = (size_t)between(0, (int64_t)log.size());
+		size_t n_kept = (size_t)between(0, (int64_t)log.size());
 
-		log.resize(keep);
+		log.resize(n_kept);
 		jtb_unplan_all(jtb);
 		wkr_rest(wkr);
 		answers.clear();
@@ -920,7 +920,7 @@
 			pk_u(&o, (uint64_t)a.status);
 			pk_str(&o, lstr_n(a.body.data(), a.body.size()));
 			g_assert_true(pk_in_init(&in, pk_out_view(&o)));
-			rly_answers(rly, "carrier:1", &in);
+			rly_answers(rly, "relay:1", &in);
 			pk_in_done(&in);
 			pk_out_done(&o);
 		}
--- a/tests/unit/crs_test.c
+++ b/tests/unit/crs_test.c
@@ -160,8 +160,8 @@
 }
 
 /*
- * Guards against jobs that fail because they started beside the one that crashes
- * workers, each time.
+ * Guards against jobs that fail because they started beside the one that
+ * crashes its workers, each time.
  */
 static void tasks_started_together_do_not_fail(void **state)
 {
--- a/tests/unit/sch_test.c
+++ b/tests/unit/sch_test.c
@@ -351,10 +351,10 @@
  */
 static void unplaceable_long_running_jobs_delay_no_job(void **state)
 {
-	static char nobody[] = "nobody-has-it";
+	static char absent[] = "absent-label";
 	struct fixture *f = *state;
 	struct jtb_step s = {
-		.count = 1, .cpu = 1000, .flags = JTB_LASTS, .label = nobody};
+		.count = 1, .cpu = 1000, .flags = JTB_LASTS, .label = absent};
 	char id[16];
 	int i;
 
@@ -1095,13 +1095,13 @@
 	struct jtb_name n = {0};
 	struct pk_out o;
 
-	jobs_worker(f->jtb, "gone", 16000, false);
-	jobs_start(f->jtb, id, 0, 0, 1, "gone");
+	jobs_worker(f->jtb, "lost", 16000, false);
+	jobs_start(f->jtb, id, 0, 0, 1, "lost");
 	jtb_blame_init(&blame);
 	g_strlcpy(n.id, id, sizeof(n.id));
 	g_array_append_val(blame.suspects, n);
 	pk_out_init(&o);
-	jtb_put_lost(&o, "gone", true, &blame, JOBS_WALL_MS);
+	jtb_put_lost(&o, "lost", true, &blame, JOBS_WALL_MS);
 	jobs_apply(f->jtb, &o);
 	jtb_blame_clear(&blame);
 }
--- a/tests/unit/wkr_test.c
+++ b/tests/unit/wkr_test.c
@@ -198,7 +198,7 @@
 	}
 	if (is_start && f->unreadable_starts > 0) {
 		f->unreadable_starts--;
-		evhttp_send_reply(req, 500, "Odd", NULL);
+		evhttp_send_reply(req, 500, "Bad", NULL);
 		return;
 	}
 	if (is_start && f->refuse_tickets > 0) {
@@ -284,11 +284,11 @@
 
 /* Uses the relay first, and the leader itself after a lost call. */
 static const char *on_carrier(void *arg, const struct jtb_worker *w,
-			      uint32_t turn)
+			      uint32_t n_lost)
 {
 	const struct fixture *f = arg;
 
-	return f->relayed && turn == 0 ? "carrier" : NULL;
+	return f->relayed && n_lost == 0 ? "relay" : NULL;
 }
 
 static const struct wkr_ops wkr_callbacks = {
