--- a/src/est.c
+++ b/src/est.c
@@ -65,23 +65,23 @@
 void est_learn(struct est *e, const char *queue, uint32_t guess_ms,
 	       int64_t took_ms)
 {
-	struct est_regression *l = g_hash_table_lookup(e->regressions, queue);
+	struct est_regression *r = g_hash_table_lookup(e->regressions, queue);
 	double x;
 	double y;
 
 	if (!guess_ms || took_ms <= 0)
 		return;
-	if (!l) {
-		l = g_new0(struct est_regression, 1);
-		g_hash_table_insert(e->regressions, g_strdup(queue), l);
+	if (!r) {
+		r = g_new0(struct est_regression, 1);
+		g_hash_table_insert(e->regressions, g_strdup(queue), r);
 	}
 	x = log(guess_ms);
 	y = log((double)took_ms);
-	l->n = l->n * (1 - EST_DECAY) + 1;
-	l->x = l->x * (1 - EST_DECAY) + x;
-	l->y = l->y * (1 - EST_DECAY) + y;
-	l->xx = l->xx * (1 - EST_DECAY) + x * x;
-	l->xy = l->xy * (1 - EST_DECAY) + x * y;
+	r->n = r->n * (1 - EST_DECAY) + 1;
+	r->x = r->x * (1 - EST_DECAY) + x;
+	r->y = r->y * (1 - EST_DECAY) + y;
+	r->xx = r->xx * (1 - EST_DECAY) + x * x;
+	r->xy = r->xy * (1 - EST_DECAY) + x * y;
 }
 
 /*
@@ -90,7 +90,7 @@
  */
 double est_scale(const struct est *e, const char *queue, uint32_t guess_ms)
 {
-	const struct est_regression *l =
+	const struct est_regression *r =
 		g_hash_table_lookup(e->regressions, queue);
 	double mean_x;
 	double mean_y;
@@ -98,13 +98,13 @@
 	double slope = 1;
 	double x;
 
-	if (!l || l->n < EST_MIN_TASKS || !guess_ms)
+	if (!r || r->n < EST_MIN_TASKS || !guess_ms)
 		return 1;
-	mean_x = l->x / l->n;
-	mean_y = l->y / l->n;
-	variance = l->xx / l->n - mean_x * mean_x;
+	mean_x = r->x / r->n;
+	mean_y = r->y / r->n;
+	variance = r->xx / r->n - mean_x * mean_x;
 	if (variance > EST_MIN_VARIANCE)
-		slope = CLAMP((l->xy / l->n - mean_x * mean_y) / variance, 0,
+		slope = CLAMP((r->xy / r->n - mean_x * mean_y) / variance, 0,
 			      1);
 	x = log(guess_ms);
 	return CLAMP(exp(mean_y + slope * (x - mean_x) - x), 1 / EST_SCALE_MAX,
