--- a/src/hub.h
+++ b/src/hub.h
@@ -17,8 +17,8 @@
 
 /*
  * Each replica holds the job table; only the leading replica decides. The
- * protocol layer (struct hub_face) translates the messages of callers, workers
- * and operators.
+ * protocol layer (struct hub_face) translates the messages of callers,
+ * workers and operators.
  */
 struct hub;
 struct hub_call;
@@ -26,7 +26,7 @@
 /* How a call reached the daemon. */
 enum hub_door {
 	HUB_CALLERS, /* relayed by an entry daemon */
-	HUB_CONTROL, /* sent by an operator or worker to the control address */
+	HUB_CONTROL, /* from an operator or worker, at the control address */
 };
 
 /* An answer to a call. */
