--- a/src/hub.h
+++ b/src/hub.h
@@ -26,7 +26,7 @@
 /* How a call reached the daemon. */
 enum hub_door {
 	HUB_CALLERS, /* relayed by an entry daemon */
-	HUB_CONTROL, /* from an operator or worker, at the control address */
+	HUB_CONTROL, /* sent to the control address */
 };
 
 /* An answer to a call. */
