--- a/src/adv_line.c
+++ b/src/adv_line.c
@@ -39,7 +39,7 @@
 	struct ups_call *call; /* call in progress; or NULL */
 	struct evbuffer *body; /* of the call */
 	struct adv_ask query; /* query of the call */
-	int64_t sent_ms;
+	int64_t sent_ms; /* when the call was sent */
 	int64_t not_before_ms; /* earliest time of the next call */
 	int64_t backoff_ms;
 	uint32_t timeouts; /* consecutive calls without an answer */
@@ -69,8 +69,8 @@
 };
 
 /*
- * Returns a connection that stays idle until adv_line_lead; its parts must
- * outlive it.
+ * Returns a connection to the advice service, idle until adv_line_lead. The
+ * parts of config, adv and ops must outlive it.
  */
 struct adv_line *adv_line_new(const struct adv_config *config, struct adv *adv,
 			      const struct adv_ops *ops, void *arg)
@@ -172,7 +172,10 @@
 	return &l->stats;
 }
 
-/* Sends the query. */
+/*
+ * Sends the query. The timeout grows with the number of calls in a row without
+ * an answer.
+ */
 static void adv_send_query(struct adv_line *l)
 {
 	const struct adv_codec *codec = l->config.codec;
--- a/src/hub.c
+++ b/src/hub.c
@@ -6,7 +6,7 @@
 #include "msg.h"
 #include "proto.h"
 
-/* Interval of the periodic checks of runs and pools. */
+/* Interval of the periodic checks of runs and pools, ms. */
 #define HUB_TICK_MS 200
 /*
  * Longest wait at a planned stop until another replica takes over leadership.
--- a/src/hub_call.c
+++ b/src/hub_call.c
@@ -37,7 +37,10 @@
 	g_free(c);
 }
 
-/* Marks a call's client as disconnected. */
+/*
+ * Detaches a call from its client. A call that is not answered yet ends without
+ * an answer.
+ */
 void hub_call_disconnect(struct hub_call *c)
 {
 	c->conn = NULL;
--- a/tests/unit/adv_line_test.c
+++ b/tests/unit/adv_line_test.c
@@ -242,8 +242,7 @@
 
 /*
  * Guards against accepted work that never runs because the call for its ticket
- * got no valid answer: the call must be repeated, after a
- * growing delay.
+ * got no valid answer: the call must be repeated, after a growing delay.
  */
 static void failed_call_is_retried(void **state)
 {
