--- a/src/flo.h
+++ b/src/flo.h
@@ -56,9 +56,9 @@
 	guint vms_at_once; /* most VMs that one of its steps needs at once */
 	/* struct flo_candidate of this tick, the cheapest last */
 	GArray *candidates;
-	guint vms;
-	guint coming;
-	guint going;
+	guint vms; /* VMs of the pool and those being moved to it */
+	guint coming; /* VMs being moved to it */
+	guint going; /* VMs being moved away */
 };
 
 struct flo *flo_new(struct jtb *jtb, const struct vms *vms,
--- a/src/flo_int.h
+++ b/src/flo_int.h
@@ -98,14 +98,14 @@
 /* A move of a VM from one pool to another. */
 struct flo_move {
 	char *vm;
-	char *worker;
-	char *from;
-	char *to;
-	int64_t from_ms;
-	int64_t ordered_ms; /* 0: not yet */
-	int64_t accepted_ms; /* 0: not yet */
+	char *worker; /* id of the worker that the move ends */
+	char *from; /* pool */
+	char *to; /* pool */
+	int64_t from_ms; /* when draining began */
+	int64_t ordered_ms; /* when the order was last sent; 0: not yet */
+	int64_t accepted_ms; /* when the order was accepted; 0: not yet */
 	bool urgent; /* the target pool is short of VMs */
-	bool finished;
+	bool finished; /* done or abandoned; removed by the next advance */
 };
 
 /* A VM that may be moved from its pool. */
@@ -123,7 +123,7 @@
 	GPtrArray *moves; /* struct flo_move */
 	GHashTable *by_vm; /* the same moves, by VM name */
 	GPtrArray *pools; /* struct flo_pool */
-	int64_t ticked_ms;
+	int64_t ticked_ms; /* time of the last flo_tick() */
 	/* all jobs with lower sequence numbers are in the rates */
 	uint64_t next_seq;
 };
--- a/src/flt.c
+++ b/src/flt.c
@@ -574,11 +574,13 @@
 	return chart;
 }
 
+/* Whether a VM is up and its zone is reachable. */
 static bool flt_is_serving(const struct flt *f, int vm)
 {
 	return flt_vm(f, vm)->state == FLT_UP && !flt_zone_of(f, vm)->cut;
 }
 
+/* Adds to the counts of a VM's pool, in total, by zone and by switch. */
 static void flt_add_count(struct flt *f, int vm, int size, int serving)
 {
 	struct flt_pool *p = flt_pool(f, flt_vm(f, vm)->pool);
@@ -615,6 +617,7 @@
 		g_array_remove_index(p->places, at);
 }
 
+/* Adds to the serving VMs behind a switch and keeps the maximum up to date. */
 static void flt_add_serving(struct flt_pool *p, struct flt_tally *t,
 			    int serving)
 {
--- a/src/flt.h
+++ b/src/flt.h
@@ -80,7 +80,7 @@
 	bool hold; /* an operator has drained it; remains after a failure */
 	uint64_t wave; /* wave that maintains it; FLT_NO_WAVE: none */
 	uint64_t epoch; /* epoch of its pool membership; grows with each move */
-	int64_t maintained_ms;
+	int64_t maintained_ms; /* when its last maintenance ended; 0: never */
 };
 
 /* What an operator declares for a pool; numbers are VMs. */
@@ -120,8 +120,8 @@
 struct flt_pool {
 	char *name;
 	struct flt_budget budget;
-	int size;
-	int serving;
+	int size; /* all VMs */
+	int serving; /* VMs that are up and reachable */
 	/* struct flt_place, switches with VMs of the pool, sorted by switch */
 	GArray *places;
 	GArray *by_zone; /* struct flt_tally by zone */
@@ -135,7 +135,7 @@
 	GArray *racks; /* struct flt_rack */
 	GArray *vms; /* struct flt_vm */
 	GArray *pools; /* struct flt_pool */
-	int n_switches;
+	int n_switches; /* switches are numbered from 0 */
 };
 
 struct flt *flt_new(void);
--- a/src/pln.c
+++ b/src/pln.c
@@ -413,6 +413,7 @@
 	return more ? more : pa - pb;
 }
 
+/* Returns the slack of a pool, with the VMs lent to it. */
 static int pln_slack(const struct pln *p, int pool)
 {
 	return p->config.slack + p->lend[pool];
--- a/src/wav.c
+++ b/src/wav.c
@@ -410,6 +410,7 @@
 	wav_set_step(t, WAV_RETURN, now_ms);
 }
 
+/* Handles a VM that gets work again: its probation begins. */
 static void wav_on_returned(struct wav *w, struct flt *f, struct wav_target *t,
 			    int64_t now_ms, struct wav_out *out)
 {
@@ -422,6 +423,10 @@
 	t->probation_end_ms = now_ms + w->config.probation_ms;
 }
 
+/*
+ * Handles a VM that returned to service before its reboot. The wave gives up on
+ * the VM after drains_max drains that timed out.
+ */
 static void wav_on_given_back(struct wav *w, struct flt *f,
 			      struct wav_target *t, int64_t now_ms,
 			      struct wav_out *out)
@@ -546,6 +551,7 @@
 	w->failures = MAX(0, w->failures - 1);
 }
 
+/* Ends a step that has exceeded its timeout. */
 static void wav_check_timeouts(struct wav *w, struct flt *f,
 			       struct wav_target *t, int64_t now_ms,
 			       struct wav_out *out)
@@ -622,6 +628,7 @@
 	return false;
 }
 
+/* Marks a VM as failed during its maintenance. */
 static void wav_fail_target(struct wav *w, struct flt *f, struct wav_target *t,
 			    const char *how, struct wav_out *out)
 {
@@ -631,6 +638,7 @@
 	wav_count_failure(w, f, t->vm, how, out);
 }
 
+/* Counts a failure; halts the wave if there have been halt_after. */
 static void wav_count_failure(struct wav *w, const struct flt *f, int vm,
 			      const char *how, struct wav_out *out)
 {
@@ -756,6 +764,7 @@
 	return false;
 }
 
+/* Whether a VM is in a failure domain where its pool has most serving VMs. */
 static bool wav_is_in_largest_domain(const struct flt *f, int vm)
 {
 	const struct flt_rack *r = flt_rack_of(f, vm);
@@ -824,6 +833,7 @@
 	return w->state == WAV_HALTED || w->state == WAV_ABORTING;
 }
 
+/* Adds an audit text, prefixed with the wave. */
 static void wav_audit(const struct wav *w, struct wav_out *out, const char *fmt,
 		      ...)
 {
--- a/src/wav.h
+++ b/src/wav.h
@@ -74,6 +74,7 @@
 	int widen;
 	/* drains that time out before the wave gives up on a VM */
 	int drains_max;
+	/* timeouts of the steps */
 	int64_t drain_ms;
 	int64_t reboot_ms;
 	int64_t check_ms;
--- a/tests/prop/flo_prop.cc
+++ b/tests/prop/flo_prop.cc
@@ -251,7 +251,7 @@
 			}
 	}
 
-	void submit(bool lasts)
+	void submit(bool longRunning)
 	{
 		struct jtb_step s = {};
 		struct jtb_spec spec = {};
@@ -264,9 +264,11 @@
 		s.cpu = (uint32_t)randomInt(1, 4) * 1000;
 		s.mem_mb = 100;
 		s.guess_ms = (uint32_t)randomInt(1, 30) * 100;
-		s.flags = lasts ? JTB_LASTS : randomInt(0, 2) ? JTB_SAVES : 0;
-		s.per_worker = lasts ? (uint32_t)randomInt(0, 3) : 0;
-		if (lasts)
+		s.flags = longRunning	    ? JTB_LASTS
+			  : randomInt(0, 2) ? JTB_SAVES
+					    : 0;
+		s.per_worker = longRunning ? (uint32_t)randomInt(0, 3) : 0;
+		if (longRunning)
 			s.count = (uint32_t)randomInt(1, 4);
 		spec.queue = (char *)queue.c_str();
 		spec.text = (char *)"t";
--- a/tests/prop/upk_prop.cc
+++ b/tests/prop/upk_prop.cc
@@ -312,7 +312,7 @@
 		m.upAt = now + steps * STEP_MS;
 	}
 
-	void submit(bool lasts)
+	void submit(bool longRunning)
 	{
 		struct jtb_step s = {};
 		std::string id = "j" + std::to_string(nextId++);
@@ -320,8 +320,8 @@
 		s.count = (uint32_t)randomInt(1, 5);
 		s.cpu = 100;
 		s.guess_ms = 500;
-		s.may_miss = lasts ? (uint32_t)randomInt(0, 3) : 0;
-		s.flags = lasts ? JTB_LASTS : 0;
+		s.may_miss = longRunning ? (uint32_t)randomInt(0, 3) : 0;
+		s.flags = longRunning ? JTB_LASTS : 0;
 		jobs_job(jtb, id.c_str(), &s, 1, JOBS_WALL_MS);
 	}
 
