--- a/src/jtb.c
+++ b/src/jtb.c
@@ -290,11 +290,11 @@
 	uint32_t i;
 
 	for (t = 0; t < job->n_turns; t++) {
-		const struct jtb_part *parts = job->turns[t].parts;
+		const struct jtb_part *states = job->turns[t].parts;
 
-		for (s = 0; parts && s < job->spec.n_steps; s++)
+		for (s = 0; states && s < job->spec.n_steps; s++)
 			for (i = 0; i < job->spec.steps[s].count; i++)
-				again += MAX(parts[s].tasks[i].attempt, 1) - 1;
+				again += MAX(states[s].tasks[i].attempt, 1) - 1;
 	}
 	return again;
 }
--- a/src/jtb.h
+++ b/src/jtb.h
@@ -366,7 +366,7 @@
 		  uint32_t attempt, const char *worker);
 void jtb_put_end(struct pk_out *o, const char *worker, uint64_t no,
 		 const struct jtb_name *name, uint32_t attempt,
-		 enum jtb_end how, struct lstr saved, int64_t wall_ms);
+		 enum jtb_end how, struct lstr checkpoint, int64_t wall_ms);
 void jtb_put_worker(struct pk_out *o, const struct jtb_worker_info *i);
 void jtb_put_gone(struct pk_out *o, const char *worker, bool permanent);
 void jtb_put_left(struct pk_out *o, const char *worker);
--- a/src/jtb_cmd.c
+++ b/src/jtb_cmd.c
@@ -62,12 +62,12 @@
 
 /*
  * Appends a command that ends a run. no is its number in the worker's list of
- * ends, 0 if the worker didn't report it; saved is a checkpoint or empty;
+ * ends, 0 if the worker didn't report it; checkpoint may be empty;
  * wall_ms is ms since 1970.
  */
 void jtb_put_end(struct pk_out *o, const char *worker, uint64_t no,
 		 const struct jtb_name *name, uint32_t attempt,
-		 enum jtb_end how, struct lstr saved, int64_t wall_ms)
+		 enum jtb_end how, struct lstr checkpoint, int64_t wall_ms)
 {
 	pk_arr(o, 8);
 	pk_u(o, JTB_CMD_END);
@@ -76,7 +76,7 @@
 	jtb_pack_name(o, name);
 	pk_u(o, attempt);
 	pk_u(o, how);
-	pk_str(o, saved);
+	pk_str(o, checkpoint);
 	pk_i(o, wall_ms);
 }
 
--- a/src/jtb_do.c
+++ b/src/jtb_do.c
@@ -250,13 +250,13 @@
 static bool jtb_may_stop(const struct jtb_run *run)
 {
 	const struct jtb_step *step = &run->job->spec.steps[run->step];
-	const struct jtb_part *part =
+	const struct jtb_part *state =
 		&run->job->turns[run->turn].parts[run->step];
 	uint32_t unavailable = 0;
 	uint32_t i;
 
 	for (i = 0; i < step->count; i++) {
-		const struct jtb_run *other = part->tasks[i].run;
+		const struct jtb_run *other = state->tasks[i].run;
 
 		unavailable += other != run && (!other || other->stopping);
 	}
@@ -274,14 +274,14 @@
 	struct jtb_task *task;
 	uint32_t attempt = 0;
 	uint64_t how = 0;
-	struct lstr saved = {0};
+	struct lstr checkpoint = {0};
 	int64_t wall_ms = 0;
 	bool known = false;
 	bool ok = jtb_unpack_name(in, &n);
 
 	attempt = (uint32_t)pk_get_u(in);
 	how = pk_get_u(in);
-	saved = pk_get_str(in);
+	checkpoint = pk_get_str(in);
 	wall_ms = pk_get_i(in);
 	ok = ok && pk_in_ok(in) && how < JTB_ENDS;
 	/* the worker reported an end that was applied before */
@@ -297,9 +297,9 @@
 	if (!run)
 		return ok;
 	task = jtb_task_at(run->job, &n, false);
-	if (saved.len) {
+	if (checkpoint.len) {
 		g_free(task->saved);
-		task->saved = lstr_dup(saved);
+		task->saved = lstr_dup(checkpoint);
 	}
 	jtb_end_run(t, run, (enum jtb_end)how, wall_ms);
 	return true;
@@ -340,13 +340,13 @@
 				const struct jtb_name *n)
 {
 	const struct jtb_step *step = &job->spec.steps[n->step];
-	struct jtb_part *part = &job->turns[n->turn].parts[n->step];
+	struct jtb_part *state = &job->turns[n->turn].parts[n->step];
 	uint32_t i;
 
 	for (i = 0; i < step->count; i++) {
-		struct jtb_run *run = part->tasks[i].run;
+		struct jtb_run *run = state->tasks[i].run;
 
-		if (!run || run->stopping || !part->tasks[i].done ||
+		if (!run || run->stopping || !state->tasks[i].done ||
 		    (i != n->index && !(step->flags & JTB_GANG)))
 			continue;
 		run->stopping = true;
@@ -653,13 +653,16 @@
 	}
 }
 
-/* Marks a task as done; for a gang, all tasks of the step. */
+/*
+ * Marks a task as done; for a gang, all tasks of the step. Completes the step,
+ * the turn and the job with their last task.
+ */
 static void jtb_finish_task(struct jtb *t, struct jtb_job *job,
 			    const struct jtb_name *n, int64_t wall_ms)
 {
 	const struct jtb_step *step = &job->spec.steps[n->step];
 	struct jtb_turn *turn = &job->turns[n->turn];
-	struct jtb_part *part = &turn->parts[n->step];
+	struct jtb_part *state = &turn->parts[n->step];
 	uint64_t all_steps = job->spec.n_steps == JTB_STEPS_MAX
 				     ? UINT64_MAX
 				     : (1ULL << job->spec.n_steps) - 1;
@@ -668,11 +671,11 @@
 	for (i = 0; i < step->count; i++) {
 		if (i != n->index && !(step->flags & JTB_GANG))
 			continue;
-		if (!part->tasks[i].done)
-			part->n_done++;
-		part->tasks[i].done = true;
+		if (!state->tasks[i].done)
+			state->n_done++;
+		state->tasks[i].done = true;
 	}
-	if (part->n_done < step->count)
+	if (state->n_done < step->count)
 		return;
 	if (turn->done & (1ULL << n->step))
 		return;
--- a/src/jtb_plan.c
+++ b/src/jtb_plan.c
@@ -7,14 +7,14 @@
  */
 
 /* Called for each task with a proposed start. */
-typedef void (*jtb_proposal_fn)(struct jtb_part *part, struct jtb_task *task,
+typedef void (*jtb_proposal_fn)(struct jtb_part *state, struct jtb_task *task,
 				const struct jtb_worker *w);
 
 static void jtb_each_proposal(struct jtb_job *job, jtb_proposal_fn fn,
 			      const struct jtb_worker *w);
-static void jtb_drop_proposal(struct jtb_part *part, struct jtb_task *task,
+static void jtb_drop_proposal(struct jtb_part *state, struct jtb_task *task,
 			      const struct jtb_worker *w);
-static void jtb_clear_proposal_worker(struct jtb_part *part,
+static void jtb_clear_proposal_worker(struct jtb_part *state,
 				      struct jtb_task *task,
 				      const struct jtb_worker *w);
 
@@ -104,27 +104,27 @@
 
 	for (t = 0; t < job->n_turns; t++) {
 		for (s = 0; job->turns[t].parts && s < job->spec.n_steps; s++) {
-			struct jtb_part *part = &job->turns[t].parts[s];
+			struct jtb_part *state = &job->turns[t].parts[s];
 
 			for (i = 0;
-			     part->n_planned && i < job->spec.steps[s].count;
+			     state->n_planned && i < job->spec.steps[s].count;
 			     i++)
-				if (part->tasks[i].planned)
-					fn(part, &part->tasks[i], w);
+				if (state->tasks[i].planned)
+					fn(state, &state->tasks[i], w);
 		}
 	}
 }
 
 /* Drops the proposed start of a task. */
-static void jtb_drop_proposal(struct jtb_part *part, struct jtb_task *task,
+static void jtb_drop_proposal(struct jtb_part *state, struct jtb_task *task,
 			      const struct jtb_worker *w)
 {
 	task->planned = false;
-	part->n_planned--;
+	state->n_planned--;
 }
 
 /* Clears the worker of a proposed start. */
-static void jtb_clear_proposal_worker(struct jtb_part *part,
+static void jtb_clear_proposal_worker(struct jtb_part *state,
 				      struct jtb_task *task,
 				      const struct jtb_worker *w)
 {
--- a/src/jtb_snap.c
+++ b/src/jtb_snap.c
@@ -134,11 +134,11 @@
 	pk_arr(o, 1 + job->spec.n_steps);
 	pk_u(o, turn->done);
 	for (s = 0; s < job->spec.n_steps; s++) {
-		const struct jtb_part *part = &turn->parts[s];
+		const struct jtb_part *state = &turn->parts[s];
 
 		pk_arr(o, job->spec.steps[s].count);
 		for (i = 0; i < job->spec.steps[s].count; i++) {
-			const struct jtb_task *task = &part->tasks[i];
+			const struct jtb_task *task = &state->tasks[i];
 
 			pk_arr(o, 6);
 			pk_bool(o, task->done);
@@ -274,22 +274,22 @@
 	turn->done = pk_get_u(&at);
 	turn->parts = g_new0(struct jtb_part, job->spec.n_steps);
 	for (n.step = 0; n.step < job->spec.n_steps; n.step++) {
-		struct jtb_part *part = &turn->parts[n.step];
+		struct jtb_part *state = &turn->parts[n.step];
 
-		part->tasks =
+		state->tasks =
 			g_new0(struct jtb_task, job->spec.steps[n.step].count);
 	}
 	for (n.step = 0; ok && n.step < job->spec.n_steps; n.step++) {
-		struct jtb_part *part = &turn->parts[n.step];
+		struct jtb_part *state = &turn->parts[n.step];
 		struct pk_in rows = pk_get_arr(&at);
 
-		g_assert(part->tasks);
+		g_assert(state->tasks);
 		for (n.index = 0; ok && n.index < job->spec.steps[n.step].count;
 		     n.index++) {
-			struct jtb_task *task = &part->tasks[n.index];
+			struct jtb_task *task = &state->tasks[n.index];
 
 			ok = jtb_unpack_task(t, job, &n, task, &rows);
-			part->n_done += task->done;
+			state->n_done += task->done;
 		}
 	}
 	job->turns_done += turn->done == all_steps;
@@ -302,7 +302,7 @@
 			    struct pk_in *in)
 {
 	struct pk_in at = pk_get_arr(in);
-	struct lstr saved;
+	struct lstr checkpoint;
 	bool stopping;
 	char *id;
 	struct jtb_worker *w;
@@ -310,8 +310,8 @@
 	task->done = pk_get_bool(&at);
 	task->attempt = (uint32_t)pk_get_u(&at);
 	task->fails = (uint32_t)pk_get_u(&at);
-	saved = pk_get_str(&at);
-	task->saved = saved.len ? lstr_dup(saved) : NULL;
+	checkpoint = pk_get_str(&at);
+	task->saved = checkpoint.len ? lstr_dup(checkpoint) : NULL;
 	id = lstr_dup(pk_get_str(&at));
 	w = *id ? jtb_worker(t, id) : NULL;
 	g_free(id);
--- a/src/jtb_type.c
+++ b/src/jtb_type.c
@@ -234,11 +234,11 @@
 
 	for (t = 0; t < job->n_turns; t++) {
 		for (s = 0; job->turns[t].parts && s < job->spec.n_steps; s++) {
-			struct jtb_part *part = &job->turns[t].parts[s];
+			struct jtb_part *state = &job->turns[t].parts[s];
 
 			for (i = 0; i < job->spec.steps[s].count; i++)
-				g_free(part->tasks[i].saved);
-			g_free(part->tasks);
+				g_free(state->tasks[i].saved);
+			g_free(state->tasks);
 		}
 		g_free(job->turns[t].parts);
 	}
--- a/tests/unit/jtb_test.c
+++ b/tests/unit/jtb_test.c
@@ -187,19 +187,19 @@
 static void late_end_stops_newer_run(void **state)
 {
 	struct jtb *t = *state;
-	const struct jtb_part *part;
+	const struct jtb_part *step_state;
 
 	two_steps(t, "a");
 	jobs_start(t, "a", 0, 0, 1, "w1");
 	jobs_gone(t, "w1", false);
 	jobs_start(t, "a", 0, 0, 2, "w2");
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_DONE);
-	part = &jtb_job(t, "a")->turns[0].parts[0];
-	assert_int_equal(part->n_done, 1);
-	assert_true(part->tasks[0].run->stopping);
+	step_state = &jtb_job(t, "a")->turns[0].parts[0];
+	assert_int_equal(step_state->n_done, 1);
+	assert_true(step_state->tasks[0].run->stopping);
 	jobs_end(t, "a", 0, 0, 2, "w2", JTB_FAILED_RUN);
-	assert_int_equal(part->n_done, 1);
-	assert_int_equal(part->tasks[0].fails, 1);
+	assert_int_equal(step_state->n_done, 1);
+	assert_int_equal(step_state->tasks[0].fails, 1);
 	assert_int_equal(jtb_job(t, "a")->state, JTB_RUNNING);
 	assert_int_equal(jtb_job(t, "a")->n_runs, 0);
 }
