--- a/bench/hld_bench.c
+++ b/bench/hld_bench.c
@@ -32,7 +32,7 @@
 static void start(void *arg, struct jtb_job *job, const struct jtb_name *n,
 		  uint32_t attempt, struct jtb_worker *w)
 {
-	jtb_plan(job, n, w);
+	jtb_propose_start(job, n, w);
 }
 
 static enum hld_reason bar(void *arg, const struct jtb_worker *w)
@@ -114,7 +114,7 @@
 		struct jtb_step step = {.count = each,
 					.cpu = 1000 + i % sizes,
 					.mem_mb = 100,
-					.guess_ms = 3000,
+					.estimate_ms = 3000,
 					.flags = flags};
 		char queue[24];
 		struct jtb_spec s = {.queue = queue,
@@ -140,15 +140,15 @@
 		.wall_ms = WALL_MS,
 		.now_ms = WALL_MS,
 		.usable = usable,
-		.leaving = leaving,
+		.upkeep_due = leaving,
 		.start = start,
-		.starved = starved,
+		.unschedulable = starved,
 	};
 	struct hld_view v = {
 		.sch = &sch,
 		.moving = none,
 		.upkeep = none,
-		.bar = bar,
+		.worker_reason = bar,
 		.run = run,
 	};
 	struct hld_sum sum = {0};
@@ -166,7 +166,7 @@
 	from = bench_now_ms();
 	for (i = 0; i < LOOKS; i++) {
 		sch.now_ms += 1000;
-		hld_look(&v, &sum, tell, NULL);
+		hld_scan_all(&v, &sum, tell, NULL);
 	}
 	printf("hld/%d/%s\t%.3f\tms\t%.1f\n", WORKERS, what,
 	       (bench_now_ms() - from) / LOOKS, STEP_MS);
@@ -179,6 +179,6 @@
 	measure("look-wide", 400, 1, 0);
 	measure("look-narrow", 10, 1, 0);
 	measure("look-sizes", 10, TASKS, 0);
-	measure("look-lasting", 400, 1, JTB_LASTS);
+	measure("look-lasting", 400, 1, JTB_LONG_RUNNING);
 	return 0;
 }
--- a/src/flo_load.c
+++ b/src/flo_load.c
@@ -78,13 +78,14 @@
 
 		if (w)
 			flo_get_pool(f, vm->pool)->used +=
-				(w->used_cpu + w->plan_cpu) / 1000.0;
+				(w->used_cpu + w->proposed_cpu) / 1000.0;
 		if (m && !m->finished)
 			flo_get_pool(f, m->from)->going++;
 		/*
 		 * a VM in upkeep or being drained for it provides no capacity
 		 */
-		if (vm->state == VMS_DOWN || f->ops->held(f->arg, vm->name))
+		if (vm->state == VMS_DOWN ||
+		    f->ops->is_pinned(f->arg, vm->name))
 			continue;
 		p->vms++;
 		p->cores += vm->cpu / 1000.0;
@@ -106,16 +107,17 @@
 		struct flo_pool *p;
 		double cores;
 
-		if (!q || jtb_ended(job))
+		if (!q || jtb_job_ended(job))
 			continue;
 		p = flo_get_pool(f, q->pool);
 		p->jobs++;
 		p->due += flo_has_due_task(job, wall);
-		p->vms_at_once = MAX(p->vms_at_once, sch_apart(job, wall));
+		p->vms_at_once =
+			MAX(p->vms_at_once, sch_min_workers(job, wall));
 		p->vms_at_once = MAX(p->vms_at_once,
 				     flo_count_gang_vms(f, p, job, wall));
 		cores = flo_job_cores(p, q, job, wall);
-		if (sch_lasts(job))
+		if (sch_is_long_running(job))
 			p->long_running += cores;
 		p->load += cores;
 	}
@@ -138,10 +140,10 @@
 	double runs;
 	double left_ms;
 
-	if (sch_lasts(job) || usable <= 0)
+	if (sch_is_long_running(job) || usable <= 0)
 		return usable;
 	runs = MIN(usable, flo_running_cores(job));
-	left_ms = sch_undone(job, wall) / usable * 1000;
+	left_ms = sch_remaining_work(job, wall) / usable * 1000;
 	return (usable - runs) * flo_job_weight(q, job, wall) +
 	       runs * MIN(1, left_ms / FLO_FETCH_MS);
 }
@@ -156,12 +158,13 @@
 	uint32_t s;
 
 	for (t = 0; t < job->n_turns; t++)
-		for (s = 0; job->turns[t].parts && s < job->spec.n_steps; s++) {
+		for (s = 0; job->turns[t].steps && s < job->spec.n_steps; s++) {
 			const struct jtb_step *step = &job->spec.steps[s];
-			const struct jtb_part *part = &job->turns[t].parts[s];
+			const struct jtb_step_state *part =
+				&job->turns[t].steps[s];
 
-			if (!(step->flags & JTB_FILLS))
-				cores += (part->n_runs + part->n_planned) *
+			if (!(step->flags & JTB_BEST_EFFORT))
+				cores += (part->n_runs + part->n_proposed) *
 					 (step->cpu / 1000.0);
 		}
 	return cores;
@@ -203,7 +206,7 @@
 {
 	double each = step->count;
 
-	if (step->cpu && !(step->flags & JTB_FILLS))
+	if (step->cpu && !(step->flags & JTB_BEST_EFFORT))
 		each = MIN(each, p->cores * 1000 / p->vms / step->cpu);
 	if (step->mem_mb)
 		each = MIN(each, p->mem_mb / p->vms / step->mem_mb);
@@ -235,10 +238,10 @@
 	static const double weights[] = {
 		[SCH_IN_TIME] = 1,
 		[SCH_LATE] = FLO_LATE_WEIGHT,
-		[SCH_HOPELESS] = 0,
+		[SCH_WORTHLESS] = 0,
 	};
 
-	if (sch_lasts(job) || job->spec.repeats)
+	if (sch_is_long_running(job) || job->spec.repeats)
 		return 1;
 	return weights[sch_chance(q, job, wall)];
 }
@@ -268,11 +271,11 @@
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 	int64_t left;
 
-	if (!run->began_ms)
-		return s->guess_ms;
+	if (!run->first_running_ms)
+		return s->estimate_ms;
 	if (run->percent < FLO_MIN_PROGRESS_PERCENT)
-		return s->guess_ms - (now - run->began_ms);
-	left = (run->moved_ms - run->began_ms) * (100 - run->percent) /
-	       run->percent;
-	return left - (now - run->moved_ms);
+		return s->estimate_ms - (now - run->first_running_ms);
+	left = (run->progress_ms - run->first_running_ms) *
+	       (100 - run->percent) / run->percent;
+	return left - (now - run->progress_ms);
 }
--- a/src/flo_pick.c
+++ b/src/flo_pick.c
@@ -34,7 +34,7 @@
 		struct flo_candidate candidate = {.vm = vm, .index = i};
 
 		if (vm->state != VMS_UP || flo_find_move(f, vm->name) ||
-		    f->ops->held(f->arg, vm->name))
+		    f->ops->is_pinned(f->arg, vm->name))
 			continue;
 		candidate.cost = flo_move_cost(f, vm);
 		if (candidate.cost >= 0)
@@ -75,16 +75,16 @@
 
 	if (!w)
 		return *vm->worker ? -1 : 0;
-	if (w->kept_ms && f->ticked_ms - w->kept_ms < FLO_RESERVED_MS)
+	if (w->reserved_ms && f->ticked_ms - w->reserved_ms < FLO_RESERVED_MS)
 		return -1;
 	for (i = 0; i < w->runs->len; i++) {
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *s = &run->job->spec.steps[run->step];
 
 		/* Long-running work stays where it is. */
-		if (s->flags & JTB_LASTS)
+		if (s->flags & JTB_LONG_RUNNING)
 			return -1;
-		if (!(s->flags & JTB_SAVES))
+		if (!(s->flags & JTB_CHECKPOINTS))
 			empty_ms = MAX(empty_ms, flo_estimate_remaining_ms(
 							 run, f->ticked_ms));
 		cost += 1;
--- a/src/flo_rate.c
+++ b/src/flo_rate.c
@@ -57,12 +57,13 @@
 	struct flo_pool *p;
 
 	/* For a new leader all jobs are new, also those accepted long ago. */
-	if (!q || sch_lasts(job) || wall - job->accepted_ms > FLO_RATE_MS)
+	if (!q || sch_is_long_running(job) ||
+	    wall - job->accepted_ms > FLO_RATE_MS)
 		return;
 	p = flo_get_pool(f, q->pool);
-	p->rate += job->work * 1000 / FLO_RATE_MS;
+	p->rate += job->core_seconds * 1000 / FLO_RATE_MS;
 	p->rate_jobs += 1;
-	p->chain_ms += (job->chain_ms - p->chain_ms) * FLO_CHAIN_SHARE;
+	p->chain_ms += (job->critical_path_ms - p->chain_ms) * FLO_CHAIN_SHARE;
 }
 
 /*
--- a/src/hld.c
+++ b/src/hld.c
@@ -45,7 +45,7 @@
 	[HLD_PROPOSED] = {"start-not-stored", 1000},
 	[HLD_ORDERED] = {"ordered", 2000},
 	[HLD_STOPPING] = {"being-stopped", 2000},
-	[HLD_SILENT] = {"lease-not-over", 12000},
+	[HLD_LEASE_VALID] = {"lease-not-over", 12000},
 	[HLD_ENDING] = {"end-not-stored", 3000},
 	[HLD_GANG] = {"rest-of-gang", 0},
 	[HLD_JUST_ENDED] = {"just-ended", 400},
@@ -54,8 +54,8 @@
 	[HLD_NO_LABEL] = {"no-label", 0},
 	[HLD_TOO_LARGE] = {"too-large", 0},
 	[HLD_DRAINING] = {"draining", 0},
-	[HLD_UNREACHED] = {"unreached", 0},
-	[HLD_SHUNNED] = {"shunned", 16000},
+	[HLD_UNREACHABLE] = {"unreached", 0},
+	[HLD_BACKED_OFF] = {"shunned", 16000},
 	[HLD_MOVING] = {"closed-for-move", 5000},
 	[HLD_UPKEEP] = {"closed-for-upkeep", 5000},
 	[HLD_NO_TICKET] = {"needs-ticket", 0},
@@ -81,7 +81,7 @@
 struct hld_scan {
 	const struct hld_view *v;
 	struct hld_sum *sum;
-	hld_tell report;
+	hld_report_fn report;
 	void *arg;
 	GHashTable *pools; /* struct hld_pool */
 	int evaluated; /* reasons evaluated, without those cached */
@@ -120,7 +120,7 @@
 				     uint32_t turn, uint32_t step);
 static void hld_scan_long_running(struct hld_scan *scan, struct jtb_job *job,
 				  uint32_t turn, uint32_t step);
-static struct jtb_held *hld_job_records(struct jtb_job *job);
+static struct jtb_pending_reason *hld_job_records(struct jtb_job *job);
 static enum hld_reason hld_cached_reason(struct hld_scan *scan,
 					 struct jtb_job *job, uint32_t turn,
 					 uint32_t step);
@@ -128,7 +128,7 @@
 static struct hld_pool *hld_get_pool(struct hld_scan *scan,
 				     const struct jtb_job *job);
 static void hld_record(struct hld_scan *scan, const struct jtb_job *job,
-		       const struct jtb_name *n, struct jtb_held *h,
+		       const struct jtb_name *n, struct jtb_pending_reason *h,
 		       enum hld_reason why);
 
 /* Returns the name of a reason in logs and metrics. */
@@ -141,7 +141,7 @@
  * Returns the longest time that a reason may keep a task pending while capacity
  * is free, ms; 0: any time.
  */
-int64_t hld_most_ms(enum hld_reason why)
+int64_t hld_limit_ms(enum hld_reason why)
 {
 	return hld_defs[why].limit_ms;
 }
@@ -149,7 +149,7 @@
 /*
  * Whether a task with this reason is pending, that is, due and without a run.
  */
-bool hld_is_owed(enum hld_reason why)
+bool hld_is_pending(enum hld_reason why)
 {
 	return why != HLD_OVER && why != HLD_RUNS && why != HLD_NOT_DUE &&
 	       why != HLD_EARLIER_STEP;
@@ -182,7 +182,7 @@
 					 const struct jtb_job *job,
 					 const struct jtb_name *n)
 {
-	bool suspected = sch_suspected(job, n->step, n->index);
+	bool suspected = sch_is_suspect_task(job, n->step, n->index);
 
 	return suspected && (why == HLD_NONE || why >= HLD_NO_CAPACITY)
 		       ? HLD_ISOLATED_RETRY
@@ -199,7 +199,8 @@
 				       enum hld_reason step)
 {
 	const struct jtb_step *s = &job->spec.steps[n->step];
-	const struct jtb_part *part = jtb_part(job, n->turn, n->step);
+	const struct jtb_step_state *part =
+		jtb_step_state(job, n->turn, n->step);
 	const struct jtb_task *task = part ? &part->tasks[n->index] : NULL;
 
 	if (task && task->done)
@@ -208,12 +209,12 @@
 		return v->run(v->sch->arg, task->run);
 	if (step != HLD_NONE)
 		return step;
-	if (task && task->planned)
+	if (task && task->start_proposed)
 		return HLD_PROPOSED;
 	if (s->flags & JTB_GANG && part &&
-	    part->n_runs + part->n_planned + part->n_done)
+	    part->n_runs + part->n_proposed + part->n_done)
 		return HLD_GANG;
-	if (task && v->sch->now_ms - task->free_ms < SCH_RETRY_DELAY_MS)
+	if (task && v->sch->now_ms - task->last_end_ms < SCH_RETRY_DELAY_MS)
 		return HLD_JUST_ENDED;
 	return HLD_NONE;
 }
@@ -229,7 +230,7 @@
 	const struct jtb_queue *q =
 		jtb_queue(jtb_config(v->sch->jtb), job->spec.queue);
 
-	if (jtb_ended(job) || job->turns[turn].done & 1ULL << step)
+	if (jtb_job_ended(job) || job->turns[turn].done & 1ULL << step)
 		return HLD_OVER;
 	if (v->sch->wall_ms < jtb_turn_due(job, turn))
 		return HLD_NOT_DUE;
@@ -265,7 +266,7 @@
 	places = g_ptr_array_new();
 	if (!sch_place_gang(&p->sch, job, turn, step, NULL, places))
 		best = HLD_NO_GANG_CAPACITY;
-	else if (s->flags & JTB_ONE_RACK && job->rack_ms)
+	else if (s->flags & JTB_RACK_SENSITIVE && job->rack_wait_since_ms)
 		best = HLD_WAITS_FOR_RACK;
 	g_ptr_array_free(places, TRUE);
 	return best;
@@ -280,14 +281,14 @@
 {
 	if (s->label && !sch_has_label(w, s->label))
 		return HLD_NO_LABEL;
-	if ((!(s->flags & JTB_FILLS) && w->info.cpu < s->cpu) ||
+	if ((!(s->flags & JTB_BEST_EFFORT) && w->info.cpu < s->cpu) ||
 	    w->info.mem_mb < s->mem_mb || w->info.gpus < s->gpus)
 		return HLD_TOO_LARGE;
 	if (!sch_usable(v->sch, w))
 		return hld_closed_reason(v, w);
 	if (sch_is_backed_off(&p->sch, w, s, false))
-		return HLD_SHUNNED;
-	if (w->barred)
+		return HLD_BACKED_OFF;
+	if (w->excluded)
 		return HLD_NO_TICKET;
 	if (!sch_allowed(w, s))
 		return HLD_WORKER_LIMIT;
@@ -304,7 +305,7 @@
 static enum hld_reason hld_closed_reason(const struct hld_view *v,
 					 const struct jtb_worker *w)
 {
-	enum hld_reason why = v->bar(v->sch->arg, w);
+	enum hld_reason why = v->worker_reason(v->sch->arg, w);
 
 	if (why != HLD_NONE)
 		return why;
@@ -316,8 +317,8 @@
 static bool hld_is_reserved(const struct hld_view *v, const struct jtb_job *job,
 			    const struct jtb_worker *w)
 {
-	return w->kept_for && w->kept_for != job->seq + 1 &&
-	       v->sch->now_ms - w->kept_ms <= HLD_RESERVED_MS;
+	return w->reserved_for && w->reserved_for != job->seq + 1 &&
+	       v->sch->now_ms - w->reserved_ms <= HLD_RESERVED_MS;
 }
 
 /* Returns the state of a pool with its workers. */
@@ -352,8 +353,8 @@
  * step share the reason given by their pool; long-running tasks are evaluated
  * one by one, as each of them should run at any time.
  */
-void hld_look(const struct hld_view *v, struct hld_sum *sum, hld_tell report,
-	      void *arg)
+void hld_scan_all(const struct hld_view *v, struct hld_sum *sum,
+		  hld_report_fn report, void *arg)
 {
 	struct hld_scan scan = {
 		.v = v, .sum = sum, .report = report, .arg = arg};
@@ -383,19 +384,21 @@
 
 	g_hash_table_iter_init(&it, jtb_workers(v->sch->jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w)) {
-		if (!w->runs->len || v->bar(v->sch->arg, w) != HLD_UNREACHED)
+		if (!w->runs->len ||
+		    v->worker_reason(v->sch->arg, w) != HLD_UNREACHABLE)
 			continue;
 		for (i = 0; i < w->runs->len; i++) {
 			const struct jtb_run *r = g_ptr_array_index(w->runs, i);
 
-			sum->tasks[HLD_SILENT] += !(
-				r->job->spec.steps[r->step].flags & JTB_LASTS);
+			sum->tasks[HLD_LEASE_VALID] +=
+				!(r->job->spec.steps[r->step].flags &
+				  JTB_LONG_RUNNING);
 		}
 	}
 }
 
 /* Appends the metrics of pending tasks in the text format for monitoring. */
-void hld_text(const struct hld_sum *sum, GString *out)
+void hld_append_metrics(const struct hld_sum *sum, GString *out)
 {
 	int i;
 
@@ -420,7 +423,7 @@
 /*
  * Drops all pending times, so that a new leader counts from its own first scan.
  */
-void hld_forget(const struct jtb *t)
+void hld_clear(const struct jtb *t)
 {
 	GPtrArray *live = jtb_live(t);
 	guint i;
@@ -428,8 +431,8 @@
 	for (i = 0; i < live->len; i++) {
 		struct jtb_job *job = g_ptr_array_index(live, i);
 
-		g_free(job->held);
-		job->held = NULL;
+		g_free(job->pending_reasons);
+		job->pending_reasons = NULL;
 	}
 }
 
@@ -439,49 +442,50 @@
  */
 static void hld_scan_job(struct hld_scan *scan, struct jtb_job *job)
 {
-	enum hld_reason job_why = HLD_OVER;
+	enum hld_reason job_reason = HLD_OVER;
 	bool active = job->n_runs > 0;
 	uint32_t t;
 	uint32_t s;
 
-	if (jtb_ended(job))
+	if (jtb_job_ended(job))
 		return;
 	for (t = 0;
 	     t < job->n_turns && scan->v->sch->wall_ms >= jtb_turn_due(job, t);
 	     t++) {
 		for (s = 0; s < job->spec.n_steps; s++) {
-			const struct jtb_part *part = jtb_part(job, t, s);
+			const struct jtb_step_state *part =
+				jtb_step_state(job, t, s);
 			enum hld_reason why;
 
-			if (job->spec.steps[s].flags & JTB_LASTS) {
+			if (job->spec.steps[s].flags & JTB_LONG_RUNNING) {
 				hld_scan_long_running(scan, job, t, s);
 				continue;
 			}
-			active = active || (part && part->n_planned);
+			active = active || (part && part->n_proposed);
 			why = hld_scan_step(scan, job, t, s);
-			if (!hld_is_owed(job_why))
-				job_why = why;
+			if (!hld_is_pending(job_reason))
+				job_reason = why;
 		}
 	}
 	if (active)
-		job_why = HLD_RUNS;
-	if (job->held || hld_is_owed(job_why))
-		hld_record(scan, job, NULL, hld_job_records(job), job_why);
+		job_reason = HLD_RUNS;
+	if (job->pending_reasons || hld_is_pending(job_reason))
+		hld_record(scan, job, NULL, hld_job_records(job), job_reason);
 }
 
 /* Adds the waiting tasks of a step to the sum and returns their reason. */
 static enum hld_reason hld_scan_step(struct hld_scan *scan, struct jtb_job *job,
 				     uint32_t turn, uint32_t step)
 {
-	const struct jtb_part *part = jtb_part(job, turn, step);
+	const struct jtb_step_state *part = jtb_step_state(job, turn, step);
 	uint32_t waiting = job->spec.steps[step].count;
 	enum hld_reason why = hld_step_reason(scan->v, job, turn, step);
 
 	if (part) {
 		uint32_t occupied =
-			part->n_done + part->n_runs + part->n_planned;
+			part->n_done + part->n_runs + part->n_proposed;
 
-		scan->sum->tasks[HLD_PROPOSED] += part->n_planned;
+		scan->sum->tasks[HLD_PROPOSED] += part->n_proposed;
 		waiting -= MIN(waiting, occupied);
 		if (waiting && why == HLD_NONE && occupied &&
 		    job->spec.steps[step].flags & JTB_GANG)
@@ -501,14 +505,14 @@
 static void hld_scan_long_running(struct hld_scan *scan, struct jtb_job *job,
 				  uint32_t turn, uint32_t step)
 {
-	struct jtb_held *records = hld_job_records(job) + 1;
+	struct jtb_pending_reason *records = hld_job_records(job) + 1;
 	struct jtb_name n = {.turn = turn, .step = step};
 	enum hld_reason common = hld_step_reason(scan->v, job, turn, step);
 	enum hld_reason pool_why = HLD_OVER;
 	uint32_t s;
 
 	for (s = 0; s < step; s++)
-		if (job->spec.steps[s].flags & JTB_LASTS)
+		if (job->spec.steps[s].flags & JTB_LONG_RUNNING)
 			records += job->spec.steps[s].count;
 	g_strlcpy(n.id, job->spec.id, sizeof(n.id));
 	for (; n.index < job->spec.steps[step].count; n.index++) {
@@ -518,7 +522,7 @@
 			pool_why = hld_cached_reason(scan, job, turn, step);
 		why = why == HLD_NONE ? hld_check_suspect(pool_why, job, &n)
 				      : why;
-		scan->sum->tasks[why] += hld_is_owed(why);
+		scan->sum->tasks[why] += hld_is_pending(why);
 		hld_record(scan, job, &n, &records[n.index], why);
 	}
 }
@@ -527,17 +531,17 @@
  * Returns the records of a job, allocated on first use: one of the whole job,
  * then one of each long-running task.
  */
-static struct jtb_held *hld_job_records(struct jtb_job *job)
+static struct jtb_pending_reason *hld_job_records(struct jtb_job *job)
 {
 	uint32_t n = 1;
 	uint32_t s;
 
-	for (s = 0; s < job->spec.n_steps && !job->held; s++)
-		if (job->spec.steps[s].flags & JTB_LASTS)
+	for (s = 0; s < job->spec.n_steps && !job->pending_reasons; s++)
+		if (job->spec.steps[s].flags & JTB_LONG_RUNNING)
 			n += job->spec.steps[s].count;
-	if (!job->held)
-		job->held = g_new0(struct jtb_held, n);
-	return job->held;
+	if (!job->pending_reasons)
+		job->pending_reasons = g_new0(struct jtb_pending_reason, n);
+	return job->pending_reasons;
 }
 
 /*
@@ -554,23 +558,26 @@
 	const struct jtb_queue *q =
 		jtb_queue(jtb_config(scan->v->sch->jtb), job->spec.queue);
 	/* Tickets and the capacity for a whole gang differ for each step. */
-	bool uncacheable = s->flags & (JTB_GANG | JTB_LASTS) || q->advised;
+	bool uncacheable =
+		s->flags & (JTB_GANG | JTB_LONG_RUNNING) || q->advised;
 	guint slot = (s->cpu * 31 + s->mem_mb * 17 + s->gpus * 7 +
 		      (s->label ? g_str_hash(s->label) : 0) +
-		      (s->flags & JTB_FILLS)) %
+		      (s->flags & JTB_BEST_EFFORT)) %
 		     HLD_CACHE_SIZE;
 	enum hld_reason why;
 
-	if (!uncacheable && !s->per_worker && p->cache[slot].step &&
+	if (!uncacheable && !s->max_per_worker && p->cache[slot].step &&
 	    hld_same_size(p->cache[slot].step, s))
 		return p->cache[slot].why;
-	if (!(s->flags & JTB_LASTS) && scan->evaluated >= HLD_EVAL_MAX)
-		return job->held && hld_is_owed(job->held->why)
-			       ? job->held->why
+	if (!(s->flags & JTB_LONG_RUNNING) && scan->evaluated >= HLD_EVAL_MAX)
+		return job->pending_reasons &&
+				       hld_is_pending(
+					       job->pending_reasons->reason)
+			       ? job->pending_reasons->reason
 			       : HLD_NO_CAPACITY;
 	scan->evaluated++;
 	why = hld_pool_reason(scan->v, p, job, turn, step);
-	if (!uncacheable && !s->per_worker) {
+	if (!uncacheable && !s->max_per_worker) {
 		p->cache[slot].step = s;
 		p->cache[slot].why = why;
 	}
@@ -582,7 +589,7 @@
 {
 	return a->cpu == b->cpu && a->mem_mb == b->mem_mb &&
 	       a->gpus == b->gpus &&
-	       (a->flags & JTB_FILLS) == (b->flags & JTB_FILLS) &&
+	       (a->flags & JTB_BEST_EFFORT) == (b->flags & JTB_BEST_EFFORT) &&
 	       g_strcmp0(a->label, b->label) == 0;
 }
 
@@ -607,27 +614,28 @@
  * Records the current reason of a task or job, and reports it if that is due.
  */
 static void hld_record(struct hld_scan *scan, const struct jtb_job *job,
-		       const struct jtb_name *n, struct jtb_held *h,
+		       const struct jtb_name *n, struct jtb_pending_reason *h,
 		       enum hld_reason why)
 {
 	int64_t now = scan->v->sch->now_ms;
 
-	if (!hld_is_owed(why)) {
-		*h = (struct jtb_held){0};
+	if (!hld_is_pending(why)) {
+		*h = (struct jtb_pending_reason){0};
 		return;
 	}
-	if (!h->owed_ms)
-		h->owed_ms = now;
-	if (h->why != why || !h->since_ms) {
-		h->since_ms = now;
-		h->told_ms = 0;
+	if (!h->pending_since_ms)
+		h->pending_since_ms = now;
+	if (h->reason != why || !h->reason_since_ms) {
+		h->reason_since_ms = now;
+		h->logged_ms = 0;
 	}
-	h->why = (uint8_t)why;
-	scan->sum->longest_ms = MAX(scan->sum->longest_ms, now - h->owed_ms);
-	if (now - h->owed_ms < HLD_REPORT_MS ||
-	    (h->told_ms && now - h->told_ms < HLD_REPORT_AGAIN_MS))
+	h->reason = (uint8_t)why;
+	scan->sum->longest_ms =
+		MAX(scan->sum->longest_ms, now - h->pending_since_ms);
+	if (now - h->pending_since_ms < HLD_REPORT_MS ||
+	    (h->logged_ms && now - h->logged_ms < HLD_REPORT_AGAIN_MS))
 		return;
-	h->told_ms = now;
-	scan->report(scan->arg, job, n, why, now - h->since_ms,
-		     now - h->owed_ms);
+	h->logged_ms = now;
+	scan->report(scan->arg, job, n, why, now - h->reason_since_ms,
+		     now - h->pending_since_ms);
 }
--- a/src/hub_held.c
+++ b/src/hub_held.c
@@ -21,7 +21,7 @@
  */
 void hub_pending_reset(struct hub *h)
 {
-	hld_forget(h->jtb);
+	hld_clear(h->jtb);
 	h->pending = (struct hld_sum){0};
 	h->pending_checked_ms = tmr_now(h->tmr);
 }
@@ -34,7 +34,7 @@
 	struct sch_view plan;
 	struct hld_view v = {
 		.sch = &plan,
-		.bar = hub_pending_worker_reason,
+		.worker_reason = hub_pending_worker_reason,
 		.run = hub_pending_run_reason,
 	};
 
@@ -45,12 +45,12 @@
 	closed = g_hash_table_new(g_str_hash, g_str_equal);
 	v.moving = g_hash_table_new(g_str_hash, g_str_equal);
 	v.upkeep = g_hash_table_new(g_str_hash, g_str_equal);
-	upk_closed(h->upk, v.upkeep);
-	flo_closed(h->flo, v.moving);
-	upk_closed(h->upk, closed);
-	flo_closed(h->flo, closed);
+	upk_add_closed(h->upk, v.upkeep);
+	flo_add_closed(h->flo, v.moving);
+	upk_add_closed(h->upk, closed);
+	flo_add_closed(h->flo, closed);
 	hub_init_sch_view(h, closed, &plan);
-	hld_look(&v, &h->pending, hub_pending_log, h);
+	hld_scan_all(&v, &h->pending, hub_pending_log, h);
 	g_hash_table_destroy(closed);
 	g_hash_table_destroy(v.moving);
 	g_hash_table_destroy(v.upkeep);
@@ -65,14 +65,14 @@
 						 const struct jtb_worker *w)
 {
 	static const enum hld_reason reasons[] = {
-		[WKR_FREE] = HLD_NONE,
-		[WKR_DRAINS] = HLD_DRAINING,
-		[WKR_UNHEARD] = HLD_UNREACHED,
-		[WKR_SHUNNED] = HLD_SHUNNED,
+		[WKR_AVAILABLE] = HLD_NONE,
+		[WKR_DRAINING] = HLD_DRAINING,
+		[WKR_UNREACHABLE] = HLD_UNREACHABLE,
+		[WKR_BACKED_OFF] = HLD_BACKED_OFF,
 	};
 	const struct hub *h = arg;
 
-	return reasons[wkr_bar(h->wkr, w)];
+	return reasons[wkr_availability(h->wkr, w)];
 }
 
 /*
@@ -84,7 +84,7 @@
 {
 	static const enum hld_reason reasons[] = {
 		[WKR_NEW] = HLD_ORDERED,    [WKR_SENT] = HLD_ORDERED,
-		[WKR_ON] = HLD_RUNS,	    [WKR_OVER] = HLD_ENDING,
+		[WKR_ACCEPTED] = HLD_RUNS,  [WKR_OVER] = HLD_ENDING,
 		[WKR_DROPPED] = HLD_ENDING,
 	};
 	const struct hub *h = arg;
@@ -92,9 +92,9 @@
 
 	if (why == HLD_ENDING)
 		return why;
-	if (!wkr_reached(h->wkr, run->worker))
-		return HLD_SILENT;
-	return jtb_leaves(run) ? HLD_STOPPING : why;
+	if (!wkr_is_reachable(h->wkr, run->worker))
+		return HLD_LEASE_VALID;
+	return jtb_run_is_stopping(run) ? HLD_STOPPING : why;
 }
 
 /*
@@ -110,7 +110,7 @@
 	char task[JTB_ID_MAX + 40] = "all";
 
 	if (n)
-		jtb_name_text(n, task, sizeof(task));
+		jtb_name_format(n, task, sizeof(task));
 	msg_job_at(__FILE__, __LINE__, MSG_HUB_HELD, job->spec.id,
 		   n ? MSG_FAILURE : MSG_SAMPLED,
 		   "job=%s task=%s queue=%s pool=%s why=%s why_ms=%" PRId64
--- a/src/hub_lost.c
+++ b/src/hub_lost.c
@@ -18,8 +18,8 @@
 			     const struct jtb_blame *b);
 
 const struct crs_ops hub_crs_ops = {
-	.seen_ms = hub_run_seen_ms,
-	.rack_silent = hub_rack_unreachable,
+	.observed_ms = hub_run_seen_ms,
+	.rack_unreachable = hub_rack_unreachable,
 	.alive = hub_worker_vm_up,
 };
 
@@ -31,29 +31,31 @@
 void hub_remove_lost_worker(struct hub *h, struct jtb_worker *w,
 			    const struct evd *e)
 {
-	bool for_good = evd_for_good(e);
+	bool for_good = evd_is_permanent(e);
 	struct jtb_blame b;
 
 	/* several kinds of evidence may show the same loss */
-	if (w->lost)
+	if (w->removal_proposed)
 		return;
-	w->lost = for_good;
-	w->over = *e;
+	w->removal_proposed = for_good;
+	w->removal_evidence = *e;
 	if (w->info.draining) {
 		hub_log_left(w);
-		jtb_put_gone(hub_put(h), w->info.id, for_good);
+		jtb_put_worker_lost(hub_append_command(h), w->info.id,
+				    for_good);
 		return;
 	}
-	crs_lost(h->crs, w, for_good, tmr_now(h->tmr), &b);
+	crs_record_loss(h->crs, w, for_good, tmr_now(h->tmr), &b);
 	h->counts[HUB_CRASHES] += for_good;
 	msg(MSG_HUB_CRASH,
 	    "worker=%s addr=%s runs=%u suspects=%u shared=%d alone=%d "
 	    "for_good=%d why=%s as_of_ms=%" PRId64 " lag_ms=%" PRId64,
-	    w->info.id, w->info.addr, w->runs->len, b.suspects->len, b.shared,
-	    jtb_blame_alone(&b), for_good, evd_name(e->why),
+	    w->info.id, w->info.addr, w->runs->len, b.suspects->len,
+	    b.correlated, jtb_blame_single_job(&b), for_good, evd_name(e->why),
 	    e->at_ms - e->as_of_ms, e->lag_ms);
 	hub_log_suspects(w, &b);
-	jtb_put_lost(hub_put(h), w->info.id, for_good, &b, hub_wall_ms());
+	jtb_put_worker_crashed(hub_append_command(h), w->info.id, for_good, &b,
+			       hub_wall_ms());
 	jtb_blame_clear(&b);
 }
 
@@ -63,9 +65,9 @@
 {
 	struct evd_moment m = hub_evd_moment(h);
 
-	evd_of(why, as_of_ms, &m, &w->over);
+	evd_set(why, as_of_ms, &m, &w->removal_evidence);
 	hub_log_left(w);
-	jtb_put_gone(hub_put(h), w->info.id, true);
+	jtb_put_worker_lost(hub_append_command(h), w->info.id, true);
 }
 
 /*
@@ -76,10 +78,10 @@
 {
 	struct evd_moment m = hub_evd_moment(h);
 
-	w->leaves = true;
-	evd_of(EVD_LEFT, m.now_ms, &m, &w->over);
+	w->leaving = true;
+	evd_set(EVD_LEFT, m.now_ms, &m, &w->removal_evidence);
 	hub_log_left(w);
-	jtb_put_left(hub_put(h), w->info.id);
+	jtb_put_worker_leaving(hub_append_command(h), w->info.id);
 }
 
 /* Logs the evidence that a worker is over which was not lost unexpectedly. */
@@ -88,8 +90,10 @@
 	msg(MSG_HUB_LEFT,
 	    "worker=%s addr=%s runs=%u why=%s as_of_ms=%" PRId64
 	    " lag_ms=%" PRId64,
-	    w->info.id, w->info.addr, w->runs->len, evd_name(w->over.why),
-	    w->over.at_ms - w->over.as_of_ms, w->over.lag_ms);
+	    w->info.id, w->info.addr, w->runs->len,
+	    evd_name(w->removal_evidence.why),
+	    w->removal_evidence.at_ms - w->removal_evidence.as_of_ms,
+	    w->removal_evidence.lag_ms);
 }
 
 /* Returns the moment by which evidence found now is judged. */
@@ -110,7 +114,7 @@
 {
 	const struct hub *h = arg;
 
-	return wkr_seen_ms(h->wkr, run);
+	return wkr_observed_ms(h->wkr, run);
 }
 
 /*
@@ -121,7 +125,7 @@
 {
 	const struct hub *h = arg;
 	const char *rack = sch_rack_of(w);
-	int64_t since = tmr_now(h->tmr) - CRS_NEAR_MS;
+	int64_t since = tmr_now(h->tmr) - CRS_WINDOW_MS;
 	GHashTableIter it;
 	const struct jtb_worker *other;
 
@@ -130,7 +134,7 @@
 	g_hash_table_iter_init(&it, jtb_workers(h->jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&other))
 		if (other != w && g_strcmp0(sch_rack_of(other), rack) == 0 &&
-		    (wkr_silent_since(h->wkr, other) > since ||
+		    (wkr_unreachable_since(h->wkr, other) > since ||
 		     hub_worker_vm_down(h, other)))
 			return true;
 	return false;
@@ -146,7 +150,7 @@
 	const struct vms_vm *vm = vms_of_worker(h->vms, w->info.id);
 
 	return vm && vm->state == VMS_UP &&
-	       vms_listed_ms(h->vms) > wkr_silent_since(h->wkr, w);
+	       vms_listed_ms(h->vms) > wkr_unreachable_since(h->wkr, w);
 }
 
 /* Whether the newest list of VMs shows a worker's VM as down. */
@@ -172,11 +176,11 @@
 		guint j;
 
 		jtb_name_of(run, &n);
-		jtb_name_text(&n, text, sizeof(text));
+		jtb_name_format(&n, text, sizeof(text));
 		for (j = 0; j < b->suspects->len; j++)
-			if (jtb_name_same(&n,
-					  &g_array_index(b->suspects,
-							 struct jtb_name, j)))
+			if (jtb_name_equal(&n,
+					   &g_array_index(b->suspects,
+							  struct jtb_name, j)))
 				msg_job(MSG_HUB_SUSPECTED, n.id,
 					"task=%s attempt=%u worker=%s "
 					"crashes=%u",
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -79,7 +79,7 @@
 	.late_end = hub_on_late_end,
 	.job_changed = hub_on_job_change,
 	.worker_changed = hub_on_worker_change,
-	.worker_gone = hub_on_worker_removed,
+	.worker_removed = hub_on_worker_removed,
 	.config_changed = hub_on_config_change,
 };
 
@@ -94,13 +94,14 @@
 	.seen = hub_on_worker_listed,
 	.ticket = hub_get_ticket,
 	.ticket_refused = hub_on_ticket_refused,
-	.sure = hub_lead_confirmed_ms,
-	.carrier = hub_relay_addr,
+	.confirmed_ms = hub_lead_confirmed_ms,
+	.relay = hub_relay_addr,
 };
 
 static const char *const hub_phase_names[] = {
-	[WKR_NEW] = "unsent",	[WKR_SENT] = "sent",	   [WKR_ON] = "there",
-	[WKR_OVER] = "stopped", [WKR_DROPPED] = "dropped",
+	[WKR_NEW] = "unsent",	   [WKR_SENT] = "sent",
+	[WKR_ACCEPTED] = "there",  [WKR_OVER] = "stopped",
+	[WKR_DROPPED] = "dropped",
 };
 
 const struct adv_ops hub_adv_ops = {
@@ -120,7 +121,7 @@
 	h->leading = true;
 	h->lead_since_ms = tmr_now(h->tmr);
 	h->counts[HUB_LEADS]++;
-	jtb_unplan_all(h->jtb);
+	jtb_drop_proposals(h->jtb);
 	est_clear(h->est);
 	crs_clear(h->crs);
 	adv_line_lead(h->advice);
@@ -131,10 +132,10 @@
 	for (i = 0; i < live->len; i++) {
 		struct jtb_job *job = g_ptr_array_index(live, i);
 
-		if (jtb_ended(job))
+		if (jtb_job_ended(job))
 			hub_stop_job_runs(h, job);
-		job->begun_ms = job->started ? HUB_START_UNKNOWN : 0;
-		job->unseen = false;
+		job->first_start_ms = job->started ? HUB_START_UNKNOWN : 0;
+		job->start_unconfirmed = false;
 	}
 	msg(MSG_HUB_LEAD,
 	    "term=%" PRIu64 " config=%" PRIu64 " workers=%u live=%u", term,
@@ -148,11 +149,11 @@
 {
 	h->leading = false;
 	h->pending = (struct hld_sum){0};
-	wkr_rest(h->wkr);
+	wkr_stop_leading(h->wkr);
 	rly_rest(h->rly);
 	adv_line_step_down(h->advice);
 	hub_vm_step_down(h);
-	jtb_unplan_all(h->jtb);
+	jtb_drop_proposals(h->jtb);
 	g_hash_table_remove_all(h->dirty_pools);
 	g_hash_table_remove_all(h->report_seqs);
 	msg(MSG_HUB_REST, "term=%" PRIu64, rep_term(h->rep));
@@ -175,7 +176,7 @@
 		 * the runs that the worker still had when it announced its end
 		 * are over
 		 */
-		if (w->leaves && w->info.draining && !w->runs->len)
+		if (w->leaving && w->info.draining && !w->runs->len)
 			hub_record_leave(h, w);
 	}
 	hub_scale_estimates(h);
@@ -211,19 +212,20 @@
 		return;
 	h->counts[HUB_STARTS]++;
 	run->ordered_ms = tmr_now(h->tmr);
-	if (!run->job->begun_ms) {
-		run->job->begun_ms = hub_wall_ms();
-		run->job->unseen = true;
+	if (!run->job->first_start_ms) {
+		run->job->first_start_ms = hub_wall_ms();
+		run->job->start_unconfirmed = true;
 		hub_record_time(h, HUB_FIRST_START,
-				run->job->begun_ms - run->job->accepted_ms);
+				run->job->first_start_ms -
+					run->job->accepted_ms);
 	}
 	jtb_name_of(run, &n);
-	jtb_name_text(&n, task, sizeof(task));
+	jtb_name_format(&n, task, sizeof(task));
 	msg_job(MSG_HUB_START, run->job->spec.id,
 		"task=%s attempt=%u worker=%s used_cpu=%u", task, run->attempt,
 		run->worker->info.id, run->worker->used_cpu);
-	wkr_run(h->wkr, run);
-	if (jtb_ended(run->job))
+	wkr_add_run(h->wkr, run);
+	if (jtb_job_ended(run->job))
 		hub_stop_run(h, run, "job is over");
 }
 
@@ -237,14 +239,14 @@
 		return;
 	h->counts[HUB_ENDS]++;
 	h->counts[HUB_FAILED_RUNS] += how == JTB_FAILED_RUN;
-	h->counts[HUB_LOST_RUNS] += how == JTB_LOST || how == JTB_LAPSED;
-	turn->parts[run->step].tasks[run->index].free_ms = tmr_now(h->tmr);
+	h->counts[HUB_LOST_RUNS] += how == JTB_LOST || how == JTB_LEASE_EXPIRED;
+	turn->steps[run->step].tasks[run->index].last_end_ms = tmr_now(h->tmr);
 	if (how == JTB_DONE)
 		hub_record_time(h, HUB_RUN, tmr_now(h->tmr) - run->ordered_ms);
 	else
 		hub_log_run_end(h, run, how);
 	hub_record_run_time(h, run, how);
-	wkr_run_over(h->wkr, run);
+	wkr_remove_run(h->wkr, run);
 	hub_mark_pool(h, run->worker->info.pool);
 	hub_mark_job_pool(h, run->job);
 }
@@ -257,14 +259,16 @@
 static void hub_log_run_end(const struct hub *h, const struct jtb_run *run,
 			    enum jtb_end how)
 {
-	const struct evd *e = run->over.why ? &run->over : &run->worker->over;
+	const struct evd *e = run->end_evidence.why
+				      ? &run->end_evidence
+				      : &run->worker->removal_evidence;
 	int64_t now = tmr_now(h->tmr);
 	char task[JTB_ID_MAX + 40];
 	char why[160] = " why=worker-told";
 	struct jtb_name n;
 
 	jtb_name_of(run, &n);
-	jtb_name_text(&n, task, sizeof(task));
+	jtb_name_format(&n, task, sizeof(task));
 	if (how == JTB_LOST)
 		g_snprintf(why, sizeof(why),
 			   " why=%s as_of_ms=%" PRId64 " concluded_ms=%" PRId64
@@ -276,9 +280,9 @@
 		" percent=%d asked=%d seen_ms=%" PRId64
 		" phase=%s sends=%u unanswered=%u%s",
 		task, run->attempt, run->worker->info.id, jtb_end_name(how),
-		now - run->ordered_ms, run->percent, jtb_leaves(run),
-		wkr_seen_ms(h->wkr, run), hub_phase_names[run->phase],
-		run->sends, run->unanswered, why);
+		now - run->ordered_ms, run->percent, jtb_run_is_stopping(run),
+		wkr_observed_ms(h->wkr, run), hub_phase_names[run->phase],
+		run->orders_sent, run->orders_unanswered, why);
 }
 
 /* A stop is stored: sends the order to its worker. */
@@ -287,7 +291,7 @@
 	struct hub *h = arg;
 
 	if (h->leading)
-		wkr_stop(h->wkr, run);
+		wkr_stop_run(h->wkr, run);
 }
 
 /*
@@ -303,7 +307,7 @@
 	if (!h->leading)
 		return;
 	h->counts[HUB_LATE_ENDS]++;
-	jtb_name_text(n, task, sizeof(task));
+	jtb_name_format(n, task, sizeof(task));
 	msg_job(MSG_HUB_LATE_END, n->id, "task=%s attempt=%u worker=%s how=%s",
 		task, attempt, w->info.id, jtb_end_name(how));
 }
@@ -315,7 +319,7 @@
 
 	if (!h->leading)
 		return;
-	if (jtb_ended(job)) {
+	if (jtb_job_ended(job)) {
 		hub_record_job_end(h, job);
 		hub_stop_job_runs(h, job);
 	}
@@ -327,11 +331,12 @@
 {
 	int64_t objective = hub_objective_ms(h, job);
 	int64_t took = job->ended_ms - job->accepted_ms;
-	int64_t waited =
-		job->begun_ms > 0 ? job->begun_ms - job->accepted_ms : -1;
+	int64_t waited = job->first_start_ms > 0
+				 ? job->first_start_ms - job->accepted_ms
+				 : -1;
 	/* without its queue, a job has no deadline to miss */
 	int64_t late = objective ? MAX(0, took - objective) : 0;
-	uint32_t crashes = jtb_crashes(job);
+	uint32_t crashes = jtb_max_crashes(job);
 	bool fails = job->state == JTB_FAILED ||
 		     (job->state == JTB_COMPLETED && late > 0);
 
@@ -346,8 +351,8 @@
 		   " after_ms=%" PRId64 " chain_ms=%u objective_ms=%" PRId64
 		   " again=%u crashes=%u",
 		   job->spec.id, job->spec.queue, jtb_state_name(job->state),
-		   waited, took, job->chain_ms, objective, jtb_runs_again(job),
-		   crashes);
+		   waited, took, job->critical_path_ms, objective,
+		   jtb_count_reruns(job), crashes);
 }
 
 /* A worker is new or reported changed properties. */
@@ -360,7 +365,7 @@
 	msg(MSG_HUB_WORKER, "worker=%s pool=%s addr=%s draining=%d runs=%u",
 	    w->info.id, w->info.pool, w->info.addr, w->info.draining,
 	    w->runs->len);
-	wkr_worker(h->wkr, w);
+	wkr_update_worker(h->wkr, w);
 	hub_mark_pool(h, w->info.pool);
 }
 
@@ -372,7 +377,7 @@
 	if (!h->leading)
 		return;
 	msg(MSG_HUB_WORKER_GONE, "worker=%s addr=%s", w->info.id, w->info.addr);
-	wkr_forget(h->wkr, w);
+	wkr_remove_worker(h->wkr, w);
 	g_hash_table_remove(h->report_seqs, w->info.id);
 	vms_forget_worker(h->vms, w->info.id);
 	hub_mark_pool(h, w->info.pool);
@@ -401,9 +406,9 @@
 	size_t i;
 
 	for (i = 0; i < n; i++)
-		jtb_put_end(hub_put(h), w->info.id, e[i].no, &e[i].name,
-			    e[i].known ? e[i].attempt : 0, e[i].how, e[i].saved,
-			    wall);
+		jtb_put_end(hub_append_command(h), w->info.id, e[i].no,
+			    &e[i].name, e[i].known ? e[i].attempt : 0, e[i].how,
+			    e[i].saved, wall);
 }
 
 /* A run is over although its worker did not report its end. */
@@ -412,11 +417,12 @@
 	struct hub *h = arg;
 	struct jtb_name n;
 
-	run->over = *e;
+	run->end_evidence = *e;
 	jtb_name_of(run, &n);
-	jtb_put_end(hub_put(h), run->worker->info.id, 0, &n, run->attempt,
-		    JTB_LOST, lstr_n("", 0), hub_wall_ms());
-	if (run->job->spec.steps[run->step].flags & JTB_GANG && !run->began_ms)
+	jtb_put_end(hub_append_command(h), run->worker->info.id, 0, &n,
+		    run->attempt, JTB_LOST, lstr_n("", 0), hub_wall_ms());
+	if (run->job->spec.steps[run->step].flags & JTB_GANG &&
+	    !run->first_running_ms)
 		hub_stop_gang(h, run);
 }
 
@@ -426,7 +432,8 @@
  */
 static void hub_stop_gang(struct hub *h, const struct jtb_run *run)
 {
-	const struct jtb_part *part = jtb_part(run->job, run->turn, run->step);
+	const struct jtb_step_state *part =
+		jtb_step_state(run->job, run->turn, run->step);
 	uint32_t i;
 
 	for (i = 0; i < run->job->spec.steps[run->step].count; i++) {
@@ -454,7 +461,7 @@
 
 	hub_mark_pool(h, w->info.pool);
 	hub_check_runs(h, w, tmr_now(h->tmr));
-	pac_look(w, tmr_now(h->tmr), &hub_pac_ops, h);
+	pac_update(w, tmr_now(h->tmr), &hub_pac_ops, h);
 }
 
 /*
@@ -477,7 +484,7 @@
 		"job=%s step=%u index=%u worker=%s percent=%d",
 		run->job->spec.id, run->step, run->index, run->worker->info.id,
 		percent);
-	wkr_pace(h->wkr, run, percent);
+	wkr_set_pace(h->wkr, run, percent);
 }
 
 /* Marks a pool for the next plan, and schedules that plan. */
@@ -531,8 +538,8 @@
 	GHashTableIter it;
 	char *pool;
 
-	upk_closed(h->upk, closed);
-	flo_closed(h->flo, closed);
+	upk_add_closed(h->upk, closed);
+	flo_add_closed(h->flo, closed);
 	hub_init_sch_view(h, closed, &v);
 	g_hash_table_iter_init(&it, h->dirty_pools);
 	while (g_hash_table_iter_next(&it, (gpointer *)&pool, NULL))
@@ -562,10 +569,10 @@
 		.wall_ms = hub_wall_ms(),
 		.arg = h,
 		.usable = hub_worker_usable,
-		.leaving = hub_worker_leaving,
-		.ticketed = hub_has_ticket,
+		.upkeep_due = hub_worker_leaving,
+		.has_ticket = hub_has_ticket,
 		.start = hub_start_task,
-		.starved = hub_on_unschedulable,
+		.unschedulable = hub_on_unschedulable,
 	};
 }
 
@@ -593,7 +600,7 @@
 {
 	const struct hub *h = arg;
 
-	return adv_ticketed(h->adv, job, turn, step, w, tmr_now(h->tmr));
+	return adv_has_ticket(h->adv, job, turn, step, w, tmr_now(h->tmr));
 }
 
 /*
@@ -642,8 +649,8 @@
 	GHashTable *closed = g_hash_table_new(g_str_hash, g_str_equal);
 	struct sch_view v;
 
-	upk_closed(h->upk, closed);
-	flo_closed(h->flo, closed);
+	upk_add_closed(h->upk, closed);
+	flo_add_closed(h->flo, closed);
 	hub_init_sch_view(h, closed, &v);
 	adv_line_poll(h->advice, &v);
 	g_hash_table_destroy(closed);
@@ -672,7 +679,7 @@
 {
 	struct hub *h = arg;
 
-	flo_starved(h->flo, pool, tmr_now(h->tmr));
+	flo_report_unschedulable(h->flo, pool, tmr_now(h->tmr));
 }
 
 /* Puts the start of a task on a worker into the log. */
@@ -682,8 +689,8 @@
 {
 	struct hub *h = arg;
 
-	jtb_plan(job, n, w);
-	jtb_put_start(hub_put(h), n, attempt, w->info.id);
+	jtb_propose_start(job, n, w);
+	jtb_put_start(hub_append_command(h), n, attempt, w->info.id);
 }
 
 /*
@@ -696,10 +703,11 @@
 {
 	struct hub *h = arg;
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
-	bool log_first = s->flags & JTB_LASTS && !jtb_ended(run->job);
+	bool log_first =
+		s->flags & JTB_LONG_RUNNING && !jtb_job_ended(run->job);
 	struct jtb_name n;
 
-	if (run->stop || (log_first && jtb_leaves(run)))
+	if (run->stop_wanted || (log_first && jtb_run_is_stopping(run)))
 		return;
 	h->counts[HUB_STOPS]++;
 	msg_job(MSG_HUB_STOP, run->job->spec.id,
@@ -707,15 +715,17 @@
 		"worker=%s percent=%d away=%u may_miss=%u why=\"%s\"",
 		run->job->spec.id, run->turn, run->step, run->index,
 		run->attempt, run->worker->info.id, run->percent,
-		s->flags & JTB_LASTS ? upk_away(h->upk, run) : 0, s->may_miss,
-		why);
+		s->flags & JTB_LONG_RUNNING ? upk_count_unavailable(h->upk, run)
+					    : 0,
+		s->may_miss, why);
 	if (!log_first) {
-		wkr_stop(h->wkr, run);
+		wkr_stop_run(h->wkr, run);
 		return;
 	}
-	run->stop_planned = true;
+	run->stop_proposed = true;
 	jtb_name_of(run, &n);
-	jtb_put_stop(hub_put(h), &n, run->attempt, run->worker->info.id);
+	jtb_put_stop(hub_append_command(h), &n, run->attempt,
+		     run->worker->info.id);
 }
 
 /* Stops all runs of a job that is over. */
@@ -728,8 +738,8 @@
 	if (!job->n_runs)
 		return;
 	for (t = 0; t < job->n_turns; t++) {
-		for (s = 0; job->turns[t].parts && s < job->spec.n_steps; s++) {
-			struct jtb_part *part = &job->turns[t].parts[s];
+		for (s = 0; job->turns[t].steps && s < job->spec.n_steps; s++) {
+			struct jtb_step_state *part = &job->turns[t].steps[s];
 
 			for (i = 0; i < job->spec.steps[s].count; i++)
 				if (part->tasks[i].run)
@@ -747,15 +757,15 @@
 {
 	guint i;
 
-	if (sch_suspect(w, now) != w->suspect) {
-		w->suspect = !w->suspect;
+	if (sch_is_suspect_worker(w, now) != w->suspect_logged) {
+		w->suspect_logged = !w->suspect_logged;
 		msg(MSG_HUB_SUSPECT, "worker=%s suspect=%d failed=%u",
-		    w->info.id, w->suspect, w->fails);
+		    w->info.id, w->suspect_logged, w->failed_jobs);
 	}
 	for (i = 0; i < w->runs->len; i++) {
 		struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-		if (!run->stop && hub_run_hung(run, now))
+		if (!run->stop_wanted && hub_run_hung(run, now))
 			hub_stop_run(h, run, "it stands still");
 	}
 }
@@ -766,8 +776,8 @@
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 
-	if (sch_tells_time(run, how, h->lead_since_ms))
-		est_learn(h->est, run->job->spec.queue, s->guess_ms,
+	if (sch_is_time_sample(run, how, h->lead_since_ms))
+		est_learn(h->est, run->job->spec.queue, s->estimate_ms,
 			  tmr_now(h->tmr) - run->ordered_ms);
 }
 
@@ -789,13 +799,13 @@
 		for (s = 0; s < job->spec.n_steps; s++) {
 			const struct jtb_step *step = &job->spec.steps[s];
 			double work = (double)step->count * step->cpu *
-				      step->guess_ms;
+				      step->estimate_ms;
 
 			guessed += work;
 			scaled += work * est_scale(h->est, job->spec.queue,
-						   step->guess_ms);
+						   step->estimate_ms);
 		}
-		job->scale = guessed > 0 ? scaled / guessed : 1;
+		job->estimate_ratio = guessed > 0 ? scaled / guessed : 1;
 	}
 }
 
@@ -804,12 +814,12 @@
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 	int64_t timeout_ms =
-		MAX(HUB_HUNG_MIN_MS, (int64_t)s->guess_ms * HUB_HUNG_FACTOR);
+		MAX(HUB_HUNG_MIN_MS, (int64_t)s->estimate_ms * HUB_HUNG_FACTOR);
 
-	if (s->flags & (JTB_LASTS | JTB_GANG | JTB_FILLS) || !run->began_ms ||
-	    run->percent >= 100 || run->pace < 100)
+	if (s->flags & (JTB_LONG_RUNNING | JTB_GANG | JTB_BEST_EFFORT) ||
+	    !run->first_running_ms || run->percent >= 100 || run->pace < 100)
 		return false;
-	return now - run->moved_ms > timeout_ms;
+	return now - run->progress_ms > timeout_ms;
 }
 
 /*
@@ -843,7 +853,7 @@
 	       g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
 		if (!jtb_may_forget(job, now, keep_ms))
 			continue;
-		jtb_put_forget(hub_put(h), job->spec.id);
+		jtb_put_forget(hub_append_command(h), job->spec.id);
 		n++;
 	}
 }
--- a/src/hub_take.c
+++ b/src/hub_take.c
@@ -34,7 +34,7 @@
 		"job=%s queue=%s steps=%u config=%" PRIu64 " live=%u", spec->id,
 		spec->queue, spec->n_steps, jtb_config(h->jtb)->version,
 		jtb_live(h->jtb)->len);
-	jtb_put_job(hub_put(h), spec, hub_wall_ms());
+	jtb_put_job(hub_append_command(h), spec, hub_wall_ms());
 	hub_commit(h, c, resume);
 }
 
@@ -47,7 +47,7 @@
 {
 	h->counts[HUB_CANCELS]++;
 	msg_job(MSG_HUB_CANCEL, id, "job=%s", id);
-	jtb_put_cancel(hub_put(h), id, hub_wall_ms());
+	jtb_put_cancel(hub_append_command(h), id, hub_wall_ms());
 	hub_commit(h, c, resume);
 }
 
@@ -56,13 +56,13 @@
  * a worker leaves must be stored before the report is acknowledged, since the
  * next leader must give it no work either.
  */
-void hub_told_worker(struct hub *h, struct hub_call *c,
-		     const struct jtb_worker_info *info, uint64_t sequence,
-		     int64_t clock_ms, hub_resume_fn resume)
+void hub_accept_report(struct hub *h, struct hub_call *c,
+		       const struct jtb_worker_info *info, uint64_t sequence,
+		       int64_t clock_ms, hub_resume_fn resume)
 {
 	struct jtb_worker *w = jtb_worker(h->jtb, info->id);
 
-	if (jtb_was_removed(h->jtb, info->id)) {
+	if (jtb_worker_was_removed(h->jtb, info->id)) {
 		msg(MSG_HUB_ODD,
 		    "what=\"word of a worker that is over\" worker=%s addr=%s "
 		    "sequence=%" PRIu64,
@@ -75,15 +75,15 @@
 		return;
 	}
 	if (w)
-		wkr_clock(h->wkr, w, clock_ms);
+		wkr_set_clock(h->wkr, w, clock_ms);
 	else
 		hub_probe_addr(h, info);
-	if (w && jtb_worker_known(&w->info, info)) {
+	if (w && jtb_worker_info_is_current(&w->info, info)) {
 		h->counts[HUB_REPORTS]++;
 		resume(h, c);
 		return;
 	}
-	jtb_put_worker(hub_put(h), info);
+	jtb_put_worker(hub_append_command(h), info);
 	hub_commit(h, c, resume);
 }
 
@@ -96,7 +96,7 @@
 {
 	const struct jtb_worker *w = jtb_worker(h->jtb, info->id);
 	char *leader = rep_leader_addr(h->rep);
-	bool knows = leader && w && jtb_worker_known(&w->info, info);
+	bool knows = leader && w && jtb_worker_info_is_current(&w->info, info);
 
 	g_free(leader);
 	h->counts[HUB_REPORTS] += knows;
@@ -107,15 +107,15 @@
  * Accepts a worker's announcement of its end; the worker may still run tasks
  * for a moment.
  */
-void hub_told_leave(struct hub *h, struct hub_call *c, const char *id,
-		    hub_resume_fn resume)
+void hub_accept_leave(struct hub *h, struct hub_call *c, const char *id,
+		      hub_resume_fn resume)
 {
 	struct jtb_worker *w = jtb_worker(h->jtb, id);
 
 	if (w) {
 		hub_record_leave(h, w);
 		if (w->runs->len)
-			wkr_ask(h->wkr, w);
+			wkr_poll(h->wkr, w);
 	}
 	hub_commit(h, c, resume);
 }
@@ -146,5 +146,5 @@
 	g_hash_table_iter_init(&it, jtb_workers(h->jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w))
 		if (strcmp(w->info.addr, info->addr) == 0)
-			wkr_ask(h->wkr, w);
+			wkr_poll(h->wkr, w);
 }
--- a/src/hub_tell.c
+++ b/src/hub_tell.c
@@ -88,7 +88,7 @@
 
 	cnt_text(out, hub_counters, h->counts, HUB_COUNTS, "");
 	hub_write_state(h, out);
-	hld_text(&h->pending, out);
+	hld_append_metrics(&h->pending, out);
 	for (i = 0; i < HUB_TIMES; i++)
 		cnt_times_text(out, hub_time_defs[i].name,
 			       hub_time_defs[i].help, &h->times[i]);
@@ -216,25 +216,25 @@
 		(uint64_t)q.leaderless_ms,
 		jtb_live(h->jtb)->len,
 		g_hash_table_size(jtb_workers(h->jtb)),
-		flo_moving(h->flo),
+		flo_count_moves(h->flo),
 		rep_syncs(h->rep),
 		(uint64_t)rep_sync_us(h->rep),
 		wkr_conns(h->wkr).connects,
 		s->unanswered,
-		s->untried,
+		s->not_sent,
 		r.calls,
 		r.lost,
 		rc.carried,
 		rc.dropped,
 		s->refused,
-		s->lapses,
+		s->expired,
 		adv_waiting(h->adv, tmr_now(h->tmr), hub_wall_ms()),
 		adv_step_count(h->adv),
 		a->calls,
 		a->failed,
 		a->named,
 		a->approved,
-		s->unticketed,
+		s->ticket_refusals,
 	};
 
 	G_STATIC_ASSERT(G_N_ELEMENTS(defs) == G_N_ELEMENTS(values));
--- a/src/hub_vm.c
+++ b/src/hub_vm.c
@@ -42,32 +42,32 @@
 static const struct vms_ops hub_vms_ops = {
 	.listed = hub_vm_on_list,
 	.answered = hub_vm_on_answer,
-	.sure = hub_vm_lead_confirmed_ms,
+	.confirmed_ms = hub_vm_lead_confirmed_ms,
 };
 
 static const struct upk_ops hub_upk_ops = {
 	.stop = hub_stop_run,
 	.order = hub_vm_order_upkeep,
 	.note = hub_vm_record_upkeep,
-	.held = hub_vm_moving,
-	.spared = hub_vm_is_spare,
-	.reached = hub_vm_worker_reachable,
+	.is_moving = hub_vm_moving,
+	.is_spare = hub_vm_is_spare,
+	.is_reachable = hub_vm_worker_reachable,
 };
 
 static const struct flo_ops hub_flo_ops = {
 	.order = hub_vm_order_move,
 	.stop = hub_stop_run,
 	.may_stop = hub_vm_may_stop_run,
-	.held = hub_vm_in_upkeep,
+	.is_pinned = hub_vm_in_upkeep,
 };
 
 static const char *const hub_vm_answer_names[] = {
-	[VMS_YES] = "yes",
+	[VMS_ACCEPTED] = "yes",
 	[VMS_FENCED] = "fenced",
 	[VMS_BUSY] = "busy",
 	[VMS_OTHER_WAVE] = "other-wave",
 	[VMS_NO_SUCH] = "no-such-vm",
-	[VMS_SLOW_DOWN] = "too-many-calls",
+	[VMS_RATE_LIMITED] = "too-many-calls",
 	[VMS_UNANSWERED] = "unanswered",
 };
 
@@ -81,7 +81,7 @@
 		&(struct vms_config){
 			.base = h->config.base,
 			.tmr = h->tmr,
-			.codec = h->config.face->vm_codec,
+			.codec = h->config.protocol->vm_codec,
 			.addr = h->config.vms,
 			.node = h->config.node,
 		},
@@ -102,9 +102,9 @@
 /* Becomes leader: orders carry term as their fence. */
 void hub_vm_lead(struct hub *h, uint64_t term)
 {
-	vms_lead(h->vms, term);
-	upk_lead(h->upk);
-	flo_lead(h->flo);
+	vms_start(h->vms, term);
+	upk_reset(h->upk);
+	flo_reset(h->flo);
 	/*
 	 * Two leaders must not send a VM orders by turns: a replica that leads
 	 * again soon after it lost leadership first waits until the other
@@ -139,7 +139,7 @@
 {
 	tmr_cancel(h->tmr, h->vm_timer);
 	h->vm_timer = 0;
-	vms_rest(h->vms);
+	vms_stop(h->vms);
 	h->lead_lost_ms = tmr_now(h->tmr);
 }
 
@@ -220,7 +220,7 @@
 
 	g_hash_table_iter_init(&it, jtb_workers(h->jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w)) {
-		int64_t since = wkr_silent_since(h->wkr, w);
+		int64_t since = wkr_unreachable_since(h->wkr, w);
 		struct evd_vm vm;
 		struct evd e;
 
@@ -242,14 +242,15 @@
 		current ? current : vms_last_of_worker(h->vms, w->info.id);
 	int64_t asked = vms_listed_ms(h->vms);
 
-	w->unlisted = vm || !since || since >= asked ? 0 : w->unlisted + 1;
+	w->unlisted_count =
+		vm || !since || since >= asked ? 0 : w->unlisted_count + 1;
 	*out = (struct evd_vm){
 		.asked_ms = asked,
 		.listed = vm != NULL,
 		.up = vm && vm->state == VMS_UP,
 		.other = vm && !current && *vm->worker,
-		.unread = vms_unread(h->vms),
-		.without = w->unlisted,
+		.worker_unknown = vms_has_unknown_worker(h->vms),
+		.without = w->unlisted_count,
 	};
 }
 
@@ -269,7 +270,7 @@
 		upk_answered(h->upk, vm, answer, tmr_now(h->tmr));
 	else
 		flo_answered(h->flo, vm, answer, tmr_now(h->tmr));
-	if (answer != VMS_YES)
+	if (answer != VMS_ACCEPTED)
 		return;
 	/* The lifetime of the worker on that VM is over, with all its runs. */
 	w = worker ? jtb_worker(h->jtb, worker) : NULL;
@@ -300,7 +301,7 @@
 	msg(MSG_HUB_WAVE, "wave=%" PRIu64 " vm=%s state=%s worker=%s", w->no,
 	    vm->vm, state == JTB_VM_DONE ? "done" : "begins",
 	    worker_before ? worker_before : "");
-	jtb_put_vm(hub_put(h), w->no, vm->vm, state, worker_before);
+	jtb_put_vm(hub_append_command(h), w->no, vm->vm, state, worker_before);
 }
 
 /* Whether a VM is spare now. */
@@ -308,7 +309,7 @@
 {
 	const struct hub *h = arg;
 
-	return flo_spared(h->flo, vm);
+	return flo_is_spare(h->flo, vm);
 }
 
 /* Whether a worker is reachable. */
@@ -316,7 +317,7 @@
 {
 	const struct hub *h = arg;
 
-	return wkr_reached(h->wkr, w);
+	return wkr_is_reachable(h->wkr, w);
 }
 
 /* Whether a VM is being moved to another pool. */
@@ -324,7 +325,7 @@
 {
 	const struct hub *h = arg;
 
-	return flo_holds(h->flo, vm);
+	return flo_is_moving(h->flo, vm);
 }
 
 /* Orders the move of a VM to a pool. */
@@ -349,5 +350,6 @@
 {
 	const struct hub *h = arg;
 
-	return upk_holds(h->upk, vm) || upk_urgent(h->upk, vm, hub_wall_ms());
+	return upk_is_in_upkeep(h->upk, vm) ||
+	       upk_urgent(h->upk, vm, hub_wall_ms());
 }
--- a/src/job_blame.c
+++ b/src/job_blame.c
@@ -5,7 +5,7 @@
  * job or a worker is at fault.
  */
 #define JOB_ATTEMPTS_MAX 5
-/* Turns of the oldest job without free capacity before others are held back. */
+/* Turns of the oldest job without free capacity before others wait for it. */
 #define JOB_HOLD_TURNS 8
 /* Largest number of a pool, team or worker. */
 #define JOB_NUMBER_MAX 100000
@@ -31,10 +31,10 @@
 	job_check_worker(j, b, out);
 	faulty = job_check_job(j, b, out) || b->failures >= JOB_ATTEMPTS_MAX;
 	if (begun && !b->spec.idempotent)
-		b->why = JOB_UNSURE;
+		b->reason = JOB_NOT_IDEMPOTENT;
 	else if (faulty)
-		b->why = JOB_BAD;
-	job_apply_event(j, b, b->why == JOB_OK ? JOB_FAIL : JOB_REFUSE, out);
+		b->reason = JOB_FAILED_REPEATEDLY;
+	job_apply_event(j, b, b->reason == JOB_OK ? JOB_FAIL : JOB_REFUSE, out);
 }
 
 /*
--- a/src/pac.c
+++ b/src/pac.c
@@ -28,8 +28,8 @@
  * for a while costs the users of the serving tasks, whereas slower best-effort
  * runs cost nobody.
  */
-void pac_look(struct jtb_worker *w, int64_t now_ms, const struct pac_ops *ops,
-	      void *arg)
+void pac_update(struct jtb_worker *w, int64_t now_ms, const struct pac_ops *ops,
+		void *arg)
 {
 	double worst = pac_worst_ratio(w);
 	guint i;
@@ -39,12 +39,12 @@
 		int pace;
 
 		if (!pac_is_best_effort(run) ||
-		    now_ms - run->paced_ms < PAC_INTERVAL_MS)
+		    now_ms - run->pace_changed_ms < PAC_INTERVAL_MS)
 			continue;
 		pace = pac_next_percent(run->pace, worst);
 		if (pace == run->pace)
 			continue;
-		run->paced_ms = now_ms;
+		run->pace_changed_ms = now_ms;
 		ops->pace(arg, run, pace);
 	}
 }
@@ -52,14 +52,15 @@
 /* Whether a run serves callers and reports its tail latency. */
 static bool pac_is_serving(const struct jtb_run *run)
 {
-	return run->job->spec.steps[run->step].tail_ms && run->figure >= 0 &&
-	       run->percent >= 100;
+	return run->job->spec.steps[run->step].slo_ms &&
+	       run->metric_value >= 0 && run->percent >= 100;
 }
 
 /* Whether a run is a best-effort one that is not being stopped. */
 static bool pac_is_best_effort(const struct jtb_run *run)
 {
-	return run->job->spec.steps[run->step].flags & JTB_FILLS && !run->stop;
+	return run->job->spec.steps[run->step].flags & JTB_BEST_EFFORT &&
+	       !run->stop_wanted;
 }
 
 /* Returns the highest ratio of tail latency to bound of any serving run. */
@@ -72,10 +73,10 @@
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
 		if (pac_is_serving(run))
-			ratio = MAX(ratio,
-				    (double)run->figure /
-					    run->job->spec.steps[run->step]
-						    .tail_ms);
+			ratio = MAX(
+				ratio,
+				(double)run->metric_value /
+					run->job->spec.steps[run->step].slo_ms);
 	}
 	return ratio;
 }
--- a/src/sch.c
+++ b/src/sch.c
@@ -76,10 +76,10 @@
 		const struct jtb_job *job = g_ptr_array_index(live, i);
 		const char *pool = jtb_pool_of(p->v->jtb, job);
 
-		if (jtb_ended(job) || !pool || strcmp(pool, p->name) != 0 ||
+		if (jtb_job_ended(job) || !pool || strcmp(pool, p->name) != 0 ||
 		    !sch_long_running_waits(job, p->v->wall_ms))
 			continue;
-		p->v->starved(p->v->arg, p->name);
+		p->v->unschedulable(p->v->arg, p->name);
 		return;
 	}
 }
@@ -95,11 +95,12 @@
 
 	for (t = 0; t < job->n_turns && wall_ms >= jtb_turn_due(job, t); t++)
 		for (s = 0; s < job->spec.n_steps; s++) {
-			const struct jtb_part *part = jtb_part(job, t, s);
+			const struct jtb_step_state *part =
+				jtb_step_state(job, t, s);
 
-			if (job->spec.steps[s].flags & JTB_LASTS &&
+			if (job->spec.steps[s].flags & JTB_LONG_RUNNING &&
 			    jtb_step_due(job, t, s, wall_ms) &&
-			    (!part || part->n_runs + part->n_planned <
+			    (!part || part->n_runs + part->n_proposed <
 					      job->spec.steps[s].count))
 				return true;
 		}
@@ -117,7 +118,7 @@
 	for (i = 0; i < live->len; i++) {
 		struct sch_candidate c = {.job = g_ptr_array_index(live, i)};
 
-		if (jtb_ended(c.job))
+		if (jtb_job_ended(c.job))
 			continue;
 		c.queue = jtb_queue(config, c.job->spec.queue);
 		if (!c.queue || strcmp(c.queue->pool, p->name) != 0)
@@ -143,7 +144,7 @@
 	const struct jtb_job *job = c->job;
 	enum sch_chance chance = sch_chance(c->queue, job, wall_ms);
 
-	if (sch_lasts(job))
+	if (sch_is_long_running(job))
 		c->rank = SCH_RANK_LONG_RUNNING;
 	else if (job->spec.repeats || chance == SCH_IN_TIME)
 		c->rank = job->started ? SCH_RANK_STARTED : SCH_RANK_NEW;
@@ -192,8 +193,8 @@
 			if (job->turns[t].done & (1ULL << s) ||
 			    !jtb_step_due(job, t, s, p->v->wall_ms))
 				continue;
-			if (!(job->spec.steps[s].flags & JTB_LASTS) &&
-			    !jtb_crashes(job) &&
+			if (!(job->spec.steps[s].flags & JTB_LONG_RUNNING) &&
+			    !jtb_max_crashes(job) &&
 			    sch_is_no_fit(p, &job->spec.steps[s]))
 				continue;
 			if (job->spec.steps[s].flags & JTB_GANG)
@@ -208,12 +209,12 @@
 static void sch_plan_step(struct sch_pool *p, struct jtb_job *job,
 			  uint32_t turn, uint32_t step)
 {
-	const struct jtb_part *part = jtb_part(job, turn, step);
+	const struct jtb_step_state *part = jtb_step_state(job, turn, step);
 	uint32_t count = job->spec.steps[step].count;
 	struct jtb_name n = {.turn = turn, .step = step};
 	struct jtb_worker *w;
 
-	if (part && part->n_done + part->n_runs + part->n_planned >= count)
+	if (part && part->n_done + part->n_runs + part->n_proposed >= count)
 		return;
 	if (!sch_apply_tickets(p, job, turn, step))
 		return;
@@ -222,29 +223,31 @@
 	for (n.index = 0; n.index < count; n.index++) {
 		const struct jtb_task *task = NULL;
 
-		part = jtb_part(job, turn, step);
+		part = jtb_step_state(job, turn, step);
 		if (part)
 			task = &part->tasks[n.index];
-		if (task && (task->done || task->run || task->planned ||
-			     p->v->now_ms - task->free_ms < SCH_RETRY_DELAY_MS))
+		if (task &&
+		    (task->done || task->run || task->start_proposed ||
+		     p->v->now_ms - task->last_end_ms < SCH_RETRY_DELAY_MS))
 			continue;
-		if (sch_suspected(job, step, n.index)) {
+		if (sch_is_suspect_task(job, step, n.index)) {
 			w = sch_place_isolated(p, job, &job->spec.steps[step],
-					       task && task->fails);
+					       task && task->failures);
 			/*
 			 * A suspect task that waits for its isolated retry does
 			 * not show that the pool is full.
 			 */
 			if (!w) {
-				if (job->spec.steps[step].flags & JTB_LASTS)
-					p->v->starved(p->v->arg, p->name);
+				if (job->spec.steps[step].flags &
+				    JTB_LONG_RUNNING)
+					p->v->unschedulable(p->v->arg, p->name);
 				continue;
 			}
 		} else {
-			w = sch_place(p, job, step, task && task->fails);
+			w = sch_place(p, job, step, task && task->failures);
 		}
-		if (!w && job->spec.steps[step].flags & JTB_LASTS) {
-			p->v->starved(p->v->arg, p->name);
+		if (!w && job->spec.steps[step].flags & JTB_LONG_RUNNING) {
+			p->v->unschedulable(p->v->arg, p->name);
 			sch_reserve_worker(p, job, step);
 		}
 		if (!w) {
@@ -252,7 +255,7 @@
 			return;
 		}
 		p->started++;
-		w->same_step++;
+		w->tasks_of_step++;
 		p->v->start(p->v->arg, job, &n, task ? task->attempt + 1 : 1,
 			    w);
 	}
@@ -264,21 +267,22 @@
 static void sch_plan_gang(struct sch_pool *p, struct jtb_job *job,
 			  uint32_t turn, uint32_t step)
 {
-	const struct jtb_part *part = jtb_part(job, turn, step);
+	const struct jtb_step_state *part = jtb_step_state(job, turn, step);
 	uint32_t count = job->spec.steps[step].count;
 	struct jtb_name n = {.turn = turn, .step = step};
-	bool suspected = sch_suspected(job, step, 0);
+	bool suspected = sch_is_suspect_task(job, step, 0);
 	struct jtb_worker *w;
 	GPtrArray *places;
 	uint32_t attempt = 0;
 	bool placed;
 	uint32_t i;
 
-	if (part && part->n_runs + part->n_planned + part->n_done)
+	if (part && part->n_runs + part->n_proposed + part->n_done)
 		return;
 	for (i = 0; part && i < count; i++) {
 		attempt = MAX(attempt, part->tasks[i].attempt);
-		if (p->v->now_ms - part->tasks[i].free_ms < SCH_RETRY_DELAY_MS)
+		if (p->v->now_ms - part->tasks[i].last_end_ms <
+		    SCH_RETRY_DELAY_MS)
 			return;
 	}
 	if (!sch_apply_tickets(p, job, turn, step))
@@ -302,11 +306,11 @@
 		p->v->start(p->v->arg, job, &n, attempt + 1, w);
 	}
 	if (placed)
-		job->rack_ms = 0;
+		job->rack_wait_since_ms = 0;
 	g_ptr_array_free(places, TRUE);
 	if (placed || suspected)
 		return;
-	if (job->spec.steps[step].flags & JTB_LASTS)
-		p->v->starved(p->v->arg, p->name);
+	if (job->spec.steps[step].flags & JTB_LONG_RUNNING)
+		p->v->unschedulable(p->v->arg, p->name);
 	sch_record_no_fit(p, &job->spec.steps[step]);
 }
--- a/src/sch_place.c
+++ b/src/sch_place.c
@@ -44,7 +44,7 @@
 	g_hash_table_iter_init(&it, jtb_workers(p->v->jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w))
 		if (strcmp(w->info.pool, p->name) == 0 && sch_usable(p->v, w)) {
-			w->barred = false;
+			w->excluded = false;
 			sch_update_isolation(p, w);
 			g_ptr_array_add(p->workers, w);
 		}
@@ -66,10 +66,10 @@
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		if (w->fails != w->fails_seen)
-			w->failed_ms = p->v->now_ms;
-		w->fails_seen = w->fails;
-		n += sch_suspect(w, p->v->now_ms);
+		if (w->failed_jobs != w->failed_jobs_seen)
+			w->failed_jobs_changed_ms = p->v->now_ms;
+		w->failed_jobs_seen = w->failed_jobs;
+		n += sch_is_suspect_worker(w, p->v->now_ms);
 	}
 	p->avoid_suspects = n && 2 * n < p->workers->len;
 }
@@ -78,10 +78,10 @@
  * Whether several different jobs failed on a worker recently and none has
  * completed there since.
  */
-bool sch_suspect(const struct jtb_worker *w, int64_t now_ms)
+bool sch_is_suspect_worker(const struct jtb_worker *w, int64_t now_ms)
 {
-	return w->fails >= SCH_SUSPECT_FAILS &&
-	       now_ms - w->failed_ms < SCH_SUSPECT_EXPIRE_MS;
+	return w->failed_jobs >= SCH_SUSPECT_FAILS &&
+	       now_ms - w->failed_jobs_changed_ms < SCH_SUSPECT_EXPIRE_MS;
 }
 
 /*
@@ -94,13 +94,14 @@
 bool sch_is_backed_off(const struct sch_pool *p, const struct jtb_worker *w,
 		       const struct jtb_step *s, bool failed_before)
 {
-	bool in_pause = p->v->now_ms - w->failed_ms < SCH_SUSPECT_RETRY_MS;
+	bool in_pause =
+		p->v->now_ms - w->failed_jobs_changed_ms < SCH_SUSPECT_RETRY_MS;
 
-	if (!p->avoid_suspects || !sch_suspect(w, p->v->now_ms))
+	if (!p->avoid_suspects || !sch_is_suspect_worker(w, p->v->now_ms))
 		return false;
-	if (s->flags & JTB_LASTS)
+	if (s->flags & JTB_LONG_RUNNING)
 		return in_pause;
-	return failed_before || in_pause || w->runs->len || w->plan_cpu;
+	return failed_before || in_pause || w->runs->len || w->proposed_cpu;
 }
 
 /* Whether new work may be assigned to a worker. */
@@ -133,7 +134,7 @@
 		    (p->rack && g_strcmp0(sch_rack_of(w), p->rack) != 0))
 			continue;
 		score = sch_score(p, w, s);
-		if (w->kept_for == job->seq + 1)
+		if (w->reserved_for == job->seq + 1)
 			score += 20;
 		if (!best || score > best_score) {
 			best = w;
@@ -153,7 +154,7 @@
 		    GPtrArray *places)
 {
 	const struct jtb_step *s = &job->spec.steps[step];
-	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
+	uint32_t cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu;
 	struct jtb_worker *w = NULL;
 	guint i;
 
@@ -161,18 +162,18 @@
 	p->rack = rack;
 	sch_count_step_tasks(p, job, turn, step);
 	while (places->len < s->count && (w = sch_place(p, job, step, true))) {
-		w->plan_cpu += cpu;
-		w->plan_mem += s->mem_mb;
-		w->plan_gpus += s->gpus;
-		w->same_step++;
+		w->proposed_cpu += cpu;
+		w->proposed_mem += s->mem_mb;
+		w->proposed_gpus += s->gpus;
+		w->tasks_of_step++;
 		g_ptr_array_add(places, w);
 	}
 	p->rack = NULL;
 	for (i = 0; i < places->len; i++) {
 		w = g_ptr_array_index(places, i);
-		w->plan_cpu -= cpu;
-		w->plan_mem -= s->mem_mb;
-		w->plan_gpus -= s->gpus;
+		w->proposed_cpu -= cpu;
+		w->proposed_mem -= s->mem_mb;
+		w->proposed_gpus -= s->gpus;
 	}
 	return places->len == s->count;
 }
@@ -196,13 +197,13 @@
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 		double free_cpu =
-			(double)w->info.cpu - w->used_cpu - w->plan_cpu;
+			(double)w->info.cpu - w->used_cpu - w->proposed_cpu;
 
 		if (!sch_fits_beside_long_running(w, s) || !sch_allowed(w, s) ||
 		    sch_is_backed_off(p, w, s, true) || sch_is_reserved(p, w) ||
 		    sch_is_reserved_for_retry(p, w, job))
 			continue;
-		if (w->kept_for == job->seq + 1)
+		if (w->reserved_for == job->seq + 1)
 			free_cpu += w->info.cpu;
 		if (best && free_cpu <= best_free)
 			continue;
@@ -211,8 +212,8 @@
 	}
 	if (!best)
 		return;
-	best->kept_for = job->seq + 1;
-	best->kept_ms = p->v->now_ms;
+	best->reserved_for = job->seq + 1;
+	best->reserved_ms = p->v->now_ms;
 	g_ptr_array_add(p->reserved, best);
 }
 
@@ -231,7 +232,7 @@
 bool sch_apply_tickets(struct sch_pool *p, const struct jtb_job *job,
 		       uint32_t turn, uint32_t step)
 {
-	bool advised = p->queue->advised && p->v->ticketed;
+	bool advised = p->queue->advised && p->v->has_ticket;
 	bool any = !advised;
 	guint i;
 
@@ -240,9 +241,9 @@
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		w->barred = advised &&
-			    !p->v->ticketed(p->v->arg, job, turn, step, w);
-		any = any || !w->barred;
+		w->excluded = advised &&
+			      !p->v->has_ticket(p->v->arg, job, turn, step, w);
+		any = any || !w->excluded;
 	}
 	p->excluded = advised;
 	return any;
@@ -251,19 +252,19 @@
 /* Whether a worker may run a step, regardless of its free capacity. */
 bool sch_allowed(const struct jtb_worker *w, const struct jtb_step *s)
 {
-	if (w->barred || (s->label && !sch_has_label(w, s->label)))
+	if (w->excluded || (s->label && !sch_has_label(w, s->label)))
 		return false;
-	return !s->per_worker || w->same_step < s->per_worker;
+	return !s->max_per_worker || w->tasks_of_step < s->max_per_worker;
 }
 
 /* Whether a task fits into a worker's free capacity. */
 bool sch_fits(const struct jtb_worker *w, const struct jtb_step *s)
 {
-	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
+	uint32_t cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu;
 
-	return w->used_cpu + w->plan_cpu + cpu <= w->info.cpu &&
-	       w->used_mem + w->plan_mem + s->mem_mb <= w->info.mem_mb &&
-	       w->used_gpus + w->plan_gpus + s->gpus <= w->info.gpus;
+	return w->used_cpu + w->proposed_cpu + cpu <= w->info.cpu &&
+	       w->used_mem + w->proposed_mem + s->mem_mb <= w->info.mem_mb &&
+	       w->used_gpus + w->proposed_gpus + s->gpus <= w->info.gpus;
 }
 
 /*
@@ -272,7 +273,7 @@
 static bool sch_fits_beside_long_running(const struct jtb_worker *w,
 					 const struct jtb_step *s)
 {
-	uint64_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
+	uint64_t cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu;
 	uint64_t mem_mb = s->mem_mb;
 	uint64_t gpus = s->gpus;
 	guint i;
@@ -281,9 +282,10 @@
 		const struct jtb_run *r = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *other = &r->job->spec.steps[r->step];
 
-		if (!(other->flags & JTB_LASTS) || jtb_leaves(r))
+		if (!(other->flags & JTB_LONG_RUNNING) ||
+		    jtb_run_is_stopping(r))
 			continue;
-		cpu += other->flags & JTB_FILLS ? 0 : other->cpu;
+		cpu += other->flags & JTB_BEST_EFFORT ? 0 : other->cpu;
 		mem_mb += other->mem_mb;
 		gpus += other->gpus;
 	}
@@ -303,20 +305,20 @@
 			const struct jtb_step *s)
 {
 	double cpu = w->info.cpu ? w->info.cpu : 1;
-	double score = (w->used_cpu + w->plan_cpu) / cpu;
+	double score = (w->used_cpu + w->proposed_cpu) / cpu;
 	guint i;
 
 	if (s->rack && sch_has_label(w, s->rack))
 		score += 10;
-	if (s->flags & JTB_LASTS && p->v->leaving(p->v->arg, w))
+	if (s->flags & JTB_LONG_RUNNING && p->v->upkeep_due(p->v->arg, w))
 		score -= 20;
 	/*
 	 * Long-running tasks are kept together, so that most VMs are free of
 	 * them and can follow the load to other pools.
 	 */
-	if (s->flags & JTB_LASTS && sch_has_lasting(w))
+	if (s->flags & JTB_LONG_RUNNING && sch_runs_long_running(w))
 		score += 3;
-	if (!(s->flags & JTB_FILLS) && !s->tail_ms)
+	if (!(s->flags & JTB_BEST_EFFORT) && !s->slo_ms)
 		return score;
 	/*
 	 * Tasks that use idle processors disturb serving tasks on the same
@@ -326,11 +328,12 @@
 		const struct jtb_run *r = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *other = &r->job->spec.steps[r->step];
 
-		if (s->flags & JTB_FILLS && other->tail_ms)
+		if (s->flags & JTB_BEST_EFFORT && other->slo_ms)
 			score -= 2;
-		if (s->flags & JTB_FILLS && other->flags & JTB_FILLS)
+		if (s->flags & JTB_BEST_EFFORT &&
+		    other->flags & JTB_BEST_EFFORT)
 			score -= 0.5;
-		if (s->tail_ms && other->flags & JTB_FILLS)
+		if (s->slo_ms && other->flags & JTB_BEST_EFFORT)
 			score -= 2;
 	}
 	return score;
@@ -350,23 +353,23 @@
 void sch_count_step_tasks(struct sch_pool *p, const struct jtb_job *job,
 			  uint32_t turn, uint32_t step)
 {
-	const struct jtb_part *part = jtb_part(job, turn, step);
+	const struct jtb_step_state *part = jtb_step_state(job, turn, step);
 	uint32_t i;
 
-	if (!job->spec.steps[step].per_worker)
+	if (!job->spec.steps[step].max_per_worker)
 		return;
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		w->same_step = 0;
+		w->tasks_of_step = 0;
 	}
 	for (i = 0; part && i < job->spec.steps[step].count; i++) {
 		const struct jtb_task *task = &part->tasks[i];
 
 		if (task->run)
-			task->run->worker->same_step++;
-		else if (task->planned && task->planned_on)
-			task->planned_on->same_step++;
+			task->run->worker->tasks_of_step++;
+		else if (task->start_proposed && task->proposed_worker)
+			task->proposed_worker->tasks_of_step++;
 	}
 }
 
@@ -380,7 +383,7 @@
  */
 bool sch_is_no_fit(const struct sch_pool *p, const struct jtb_step *s)
 {
-	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
+	uint32_t cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu;
 	uint32_t i;
 
 	for (i = 0; i < p->n_no_fits; i++)
@@ -404,11 +407,12 @@
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		if (sch_fits(w, s) && !sch_is_reserved(p, w) && !w->trial_for)
+		if (sch_fits(w, s) && !sch_is_reserved(p, w) &&
+		    !w->isolated_for)
 			return;
 	}
 	p->no_fits[p->n_no_fits++] = (struct sch_no_fit){
-		.cpu = s->flags & JTB_FILLS ? 0 : s->cpu,
+		.cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu,
 		.mem_mb = s->mem_mb,
 		.gpus = s->gpus,
 	};
--- a/src/sch_trial.c
+++ b/src/sch_trial.c
@@ -30,7 +30,8 @@
  * Whether a task is suspected of having crashed a worker; for a gang, whether
  * any of its members is.
  */
-bool sch_suspected(const struct jtb_job *job, uint32_t step, uint32_t index)
+bool sch_is_suspect_task(const struct jtb_job *job, uint32_t step,
+			 uint32_t index)
 {
 	bool gang = job->spec.steps[step].flags & JTB_GANG;
 	guint i;
@@ -44,7 +45,7 @@
 		 * lost its power, does not make a task suspect.
 		 */
 		if (s->step == step && (gang || s->index == index) &&
-		    (s->crashes > s->shared || s->crashes > 1))
+		    (s->crashes > s->correlated_crashes || s->crashes > 1))
 			return true;
 	}
 	return false;
@@ -52,23 +53,24 @@
 
 /*
  * Returns for how long a run has been observed running, ms, or a value of enum
- * sch_seen.
+ * sch_observed.
  */
-int64_t sch_seen_ms(const struct jtb_run *run)
+int64_t sch_observed_ms(const struct jtb_run *run)
 {
-	int64_t seen = run->seen_ms - run->began_ms;
+	int64_t seen = run->last_running_ms - run->first_running_ms;
 
-	if (run->inherited && (!run->began_ms || seen < SCH_FRESH_MS))
+	if (run->inherited &&
+	    (!run->first_running_ms || seen < SCH_JUST_STARTED_MS))
 		return SCH_UNKNOWN;
-	return run->began_ms ? seen : SCH_UNSEEN;
+	return run->first_running_ms ? seen : SCH_NOT_OBSERVED;
 }
 
 /* Whether a run has just started, or has not been observed running yet. */
 static bool sch_just_started(const struct jtb_run *run)
 {
-	int64_t seen = sch_seen_ms(run);
+	int64_t seen = sch_observed_ms(run);
 
-	return seen != SCH_UNKNOWN && seen < SCH_FRESH_MS;
+	return seen != SCH_UNKNOWN && seen < SCH_JUST_STARTED_MS;
 }
 
 /*
@@ -94,8 +96,8 @@
  */
 static bool sch_is_quiet(const struct jtb_worker *w, const struct jtb_job *job)
 {
-	bool own = w->trial_for == job->seq + 1 && w->trial_begun;
-	bool planned = w->plan_cpu || w->plan_mem || w->plan_gpus;
+	bool own = w->isolated_for == job->seq + 1 && w->isolated_started;
+	bool planned = w->proposed_cpu || w->proposed_mem || w->proposed_gpus;
 
 	return (own || !planned) && !sch_count_just_started(w, job);
 }
@@ -106,21 +108,21 @@
  */
 void sch_update_isolation(const struct sch_pool *p, struct jtb_worker *w)
 {
-	bool active = w->plan_cpu || w->plan_mem || w->plan_gpus;
+	bool active = w->proposed_cpu || w->proposed_mem || w->proposed_gpus;
 	guint i;
 
-	if (!w->trial_for || !w->trial_begun)
+	if (!w->isolated_for || !w->isolated_started)
 		return;
 	for (i = 0; i < w->runs->len && !active; i++) {
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-		active = run->job->seq + 1 == w->trial_for &&
+		active = run->job->seq + 1 == w->isolated_for &&
 			 sch_just_started(run);
 	}
 	if (active)
-		w->trial_ms = p->v->now_ms;
+		w->isolated_ms = p->v->now_ms;
 	else
-		w->trial_for = 0;
+		w->isolated_for = 0;
 }
 
 /* Whether a worker is reserved for an isolated retry of another job. */
@@ -128,8 +130,8 @@
 			       const struct jtb_worker *w,
 			       const struct jtb_job *job)
 {
-	return w->trial_for && w->trial_for != job->seq + 1 &&
-	       p->v->now_ms - w->trial_ms < SCH_RETRY_RESERVE_MS;
+	return w->isolated_for && w->isolated_for != job->seq + 1 &&
+	       p->v->now_ms - w->isolated_ms < SCH_RETRY_RESERVE_MS;
 }
 
 /*
@@ -157,9 +159,9 @@
 		    sch_is_reserved_for_retry(p, w, job) ||
 		    !sch_is_quiet(w, job))
 			continue;
-		if (sch_has_lasting(w))
+		if (sch_runs_long_running(w))
 			score -= 2;
-		if (w->trial_for == job->seq + 1)
+		if (w->isolated_for == job->seq + 1)
 			score += 4;
 		if (best && score <= best_score)
 			continue;
@@ -180,9 +182,9 @@
 void sch_start_isolated(const struct sch_pool *p, struct jtb_worker *w,
 			const struct jtb_job *job)
 {
-	w->trial_for = job->seq + 1;
-	w->trial_ms = p->v->now_ms;
-	w->trial_begun = true;
+	w->isolated_for = job->seq + 1;
+	w->isolated_ms = p->v->now_ms;
+	w->isolated_started = true;
 }
 
 /*
@@ -196,7 +198,7 @@
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		w->barred = w->barred || !sch_is_quiet(w, job);
+		w->excluded = w->excluded || !sch_is_quiet(w, job);
 	}
 	/* makes the next step determine its excluded workers anew */
 	p->excluded = true;
@@ -226,8 +228,8 @@
 		    sch_is_backed_off(p, w, s, failed_before) ||
 		    sch_is_reserved(p, w))
 			continue;
-		if (w->trial_for == job->seq + 1) {
-			w->trial_ms = p->v->now_ms;
+		if (w->isolated_for == job->seq + 1) {
+			w->isolated_ms = p->v->now_ms;
 			return;
 		}
 		if (best && starts >= best_starts)
@@ -238,7 +240,7 @@
 	if (!best ||
 	    reserved >= MAX(1, p->workers->len / SCH_RETRY_WORKERS_SHARE))
 		return;
-	best->trial_for = job->seq + 1;
-	best->trial_ms = p->v->now_ms;
-	best->trial_begun = false;
+	best->isolated_for = job->seq + 1;
+	best->isolated_ms = p->v->now_ms;
+	best->isolated_started = false;
 }
--- a/src/upk.c
+++ b/src/upk.c
@@ -88,7 +88,7 @@
 static uint32_t upk_count_wanted(const struct jtb_wave *w, uint32_t remaining,
 				 int64_t wall);
 static uint32_t upk_start_drains(struct upk *u, struct jtb_wave *w,
-				 uint32_t most, bool spared, int64_t now);
+				 uint32_t most, bool spare_only, int64_t now);
 static int upk_compare_candidates(gconstpointer a, gconstpointer b);
 static struct upk_drain *upk_add_drain(struct upk *u, const struct jtb_wave *w,
 				       const char *vm, const char *worker,
@@ -138,7 +138,7 @@
  * Resets the planner when this replica becomes leader: all state is derived
  * from the job table again.
  */
-void upk_lead(struct upk *u)
+void upk_reset(struct upk *u)
 {
 	g_hash_table_remove_all(u->by_vm);
 	g_ptr_array_set_size(u->drains, 0);
@@ -196,7 +196,7 @@
 		return;
 	if (answer == VMS_FENCED)
 		d->fenced = true;
-	else if (answer == VMS_YES && !d->accepted_ms)
+	else if (answer == VMS_ACCEPTED && !d->accepted_ms)
 		d->accepted_ms = now_ms;
 }
 
@@ -212,7 +212,7 @@
 }
 
 /* Whether a VM is being drained or is down for its upkeep. */
-bool upk_holds(const struct upk *u, const char *vm)
+bool upk_is_in_upkeep(const struct upk *u, const char *vm)
 {
 	return upk_find_drain(u, vm) != NULL;
 }
@@ -234,7 +234,7 @@
 		    w->from_ms + w->within_ms - wall_ms >= 2 * UPK_CYCLE_MS)
 			continue;
 		v = jtb_wave_find(w, vm);
-		if (v && v->state == JTB_VM_WAITS)
+		if (v && v->state == JTB_VM_WAITING)
 			return true;
 	}
 	return false;
@@ -267,7 +267,7 @@
 		const struct jtb_wave_vm *v =
 			w->completed ? NULL : jtb_wave_find(w, vm->name);
 
-		if (v && v->state == JTB_VM_WAITS)
+		if (v && v->state == JTB_VM_WAITING)
 			return true;
 	}
 	return false;
@@ -278,7 +278,7 @@
  * drained. The set borrows the strings until the planner is called again or a
  * worker leaves the job table.
  */
-void upk_closed(const struct upk *u, GHashTable *ids)
+void upk_add_closed(const struct upk *u, GHashTable *ids)
 {
 	GPtrArray *waves = jtb_waves(u->jtb);
 	bool unlisted = false;
@@ -353,19 +353,19 @@
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 
-	return !(s->flags & JTB_LASTS) ||
-	       upk_away(u, run) < MAX(1, s->may_miss);
+	return !(s->flags & JTB_LONG_RUNNING) ||
+	       upk_count_unavailable(u, run) < MAX(1, s->may_miss);
 }
 
 /*
  * Returns how many other tasks of a run's step are unavailable, for any reason.
  * A run below 100 percent has just begun and does not count as available.
  */
-uint32_t upk_away(const struct upk *u, const struct jtb_run *run)
+uint32_t upk_count_unavailable(const struct upk *u, const struct jtb_run *run)
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
-	const struct jtb_part *part =
-		&run->job->turns[run->turn].parts[run->step];
+	const struct jtb_step_state *part =
+		&run->job->turns[run->turn].steps[run->step];
 	uint32_t away = 0;
 	uint32_t i;
 
@@ -374,8 +374,9 @@
 
 		if (other == run)
 			continue;
-		if (!other || jtb_leaves(other) || other->percent < 100 ||
-		    !u->ops->reached(u->arg, other->worker))
+		if (!other || jtb_run_is_stopping(other) ||
+		    other->percent < 100 ||
+		    !u->ops->is_reachable(u->arg, other->worker))
 			away++;
 	}
 	return away;
@@ -541,12 +542,12 @@
 
 /*
  * Starts to drain at most `most` VMs, the cheapest first; returns how many were
- * started. spared: only VMs that can be down without being missed. The wave is
+ * started. spare_only: only VMs that can be down without being missed. The wave is
  * scanned once for all of them: a scan for each VM blocked the event loop when
  * a wave of hundreds of VMs began.
  */
 static uint32_t upk_start_drains(struct upk *u, struct jtb_wave *w,
-				 uint32_t most, bool spared, int64_t now)
+				 uint32_t most, bool spare_only, int64_t now)
 {
 	GArray *candidates =
 		g_array_new(FALSE, FALSE, sizeof(struct upk_candidate));
@@ -558,9 +559,10 @@
 		const struct vms_vm *vm = vms_find(u->vms, v->vm);
 		struct upk_candidate candidate = {.vm = vm, .index = i};
 
-		if (v->state != JTB_VM_WAITS || !vm || vm->state != VMS_UP ||
-		    upk_find_drain(u, v->vm) || u->ops->held(u->arg, v->vm) ||
-		    (spared && !u->ops->spared(u->arg, v->vm)))
+		if (v->state != JTB_VM_WAITING || !vm || vm->state != VMS_UP ||
+		    upk_find_drain(u, v->vm) ||
+		    u->ops->is_moving(u->arg, v->vm) ||
+		    (spare_only && !u->ops->is_spare(u->arg, v->vm)))
 			continue;
 		candidate.cost = upk_drain_cost(u, vm, now);
 		g_array_append_val(candidates, candidate);
@@ -609,13 +611,13 @@
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *s = &run->job->spec.steps[run->step];
 
-		cost += s->flags & JTB_LASTS ? 4 : 1;
+		cost += s->flags & JTB_LONG_RUNNING ? 4 : 1;
 	}
 	/*
 	 * Reserved for long-running work, which would have to wait again
 	 * elsewhere.
 	 */
-	if (w->kept_ms && now - w->kept_ms < UPK_RESERVED_MS)
+	if (w->reserved_ms && now - w->reserved_ms < UPK_RESERVED_MS)
 		cost += 100;
 	return cost + (double)w->used_cpu / MAX(1, w->info.cpu);
 }
@@ -687,10 +689,10 @@
 		struct jtb_run *run = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *s = &run->job->spec.steps[run->step];
 
-		if (jtb_leaves(run))
+		if (jtb_run_is_stopping(run))
 			continue;
-		if (s->flags & JTB_LASTS ? upk_may_stop(u, run)
-					 : waited > UPK_STOP_AFTER_MS)
+		if (s->flags & JTB_LONG_RUNNING ? upk_may_stop(u, run)
+						: waited > UPK_STOP_AFTER_MS)
 			u->ops->stop(u->arg, run, "upkeep");
 	}
 }
@@ -719,7 +721,7 @@
 	for (i = 0; w && i < w->runs->len; i++) {
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-		if (!jtb_leaves(run) && !upk_may_stop(u, run))
+		if (!jtb_run_is_stopping(run) && !upk_may_stop(u, run))
 			return true;
 	}
 	return false;
--- a/src/wkr_list.c
+++ b/src/wkr_list.c
@@ -27,7 +27,7 @@
 	struct wkr_order o = {
 		.kind = WKR_HOLD,
 		.fence = s->k->fence,
-		.ack = s->w->end_no,
+		.ack = s->w->last_end_no,
 	};
 
 	if (s->hold || s->await_end_no || !s->k->leading)
@@ -53,7 +53,7 @@
 	for (i = 0; i < s->w->runs->len; i++) {
 		const struct jtb_run *run = g_ptr_array_index(s->w->runs, i);
 
-		if (run->job->spec.steps[run->step].flags & JTB_LASTS &&
+		if (run->job->spec.steps[run->step].flags & JTB_LONG_RUNNING &&
 		    run->percent < 100)
 			return WKR_WAIT_STARTING_MS;
 		if (jtb_suspect(run->job, run->step, run->index))
@@ -97,11 +97,11 @@
 		return;
 	}
 	answer = codec->answer(status, body, &clock_ms);
-	if (answer == WKR_OTHER_LIFE) {
-		wkr_notify_ended(s, EVD_LIFE, sent_ms);
+	if (answer == WKR_OTHER_INSTANCE) {
+		wkr_notify_ended(s, EVD_OTHER_INSTANCE, sent_ms);
 		return;
 	}
-	if (answer == WKR_SICK)
+	if (answer == WKR_UNHEALTHY)
 		s->backoff_until =
 			tmr_now(s->k->config.tmr) + WKR_UNHEALTHY_BACKOFF_MS;
 	wkr_mark_unreachable(s);
@@ -124,7 +124,7 @@
 	s->polled = true;
 	for (i = 0; i < r->ends->len; i++)
 		last = MAX(last, g_array_index(r->ends, struct wkr_end, i).no);
-	if (last > s->w->end_no) {
+	if (last > s->w->last_end_no) {
 		s->await_end_no = last;
 		s->k->ops->ends(s->k->arg, s->w,
 				(const struct wkr_end *)r->ends->data,
@@ -175,18 +175,18 @@
 		wkr_stop_unknown(s, row);
 		return;
 	}
-	if (!run->began_ms)
-		run->began_ms = now;
-	run->job->unseen = false;
-	run->seen_ms = now;
+	if (!run->first_running_ms)
+		run->first_running_ms = now;
+	run->job->start_unconfirmed = false;
+	run->last_running_ms = now;
 	if (run->percent != row->percent) {
 		run->percent = row->percent;
-		run->moved_ms = now;
+		run->progress_ms = now;
 	}
-	run->figure = row->figure;
+	run->metric_value = row->figure;
 	if (run->phase == WKR_NEW)
-		run->phase = WKR_ON;
-	run->may_be_there = true;
+		run->phase = WKR_ACCEPTED;
+	run->may_have_started = true;
 }
 
 /*
@@ -197,7 +197,7 @@
 {
 	char task[JTB_ID_MAX + 40];
 
-	jtb_name_text(&row->name, task, sizeof(task));
+	jtb_name_format(&row->name, task, sizeof(task));
 	msg(MSG_WKR_STRAY, "worker=%s task=%s attempt=%u does=stop",
 	    s->w->info.id, task, row->attempt);
 	wkr_send_stop(s, &row->name, row->attempt, NULL);
@@ -231,7 +231,7 @@
 				&g_array_index(r->rows, struct wkr_row, j);
 
 			listed = row->attempt == run->attempt &&
-				 jtb_name_same(&row->name, &n);
+				 jtb_name_equal(&row->name, &n);
 		}
 		if (!listed && !wkr_report_has_end(r, run))
 			g_ptr_array_add(missing, run);
@@ -254,7 +254,7 @@
 			&g_array_index(r->ends, struct wkr_end, i);
 
 		if (e->known && e->attempt == run->attempt &&
-		    jtb_name_same(&e->name, &n))
+		    jtb_name_equal(&e->name, &n))
 			return true;
 	}
 	return false;
--- a/src/wkr_order.c
+++ b/src/wkr_order.c
@@ -79,7 +79,7 @@
 	if (run->phase == WKR_SENT || run->phase == WKR_OVER ||
 	    run->phase == WKR_DROPPED)
 		return false;
-	if (run->stop) {
+	if (run->stop_wanted) {
 		*kind = WKR_STOP;
 		return true;
 	}
@@ -88,7 +88,7 @@
 		return true;
 	}
 	*kind = WKR_PACE;
-	return run->pace != run->pace_told;
+	return run->pace != run->pace_sent;
 }
 
 /*
@@ -103,7 +103,7 @@
 {
 	if (c->kind == WKR_START)
 		return WKR_NEW;
-	return run->began_ms ? WKR_ON : c->phase_before;
+	return run->first_running_ms ? WKR_ACCEPTED : c->phase_before;
 }
 
 /* Sends one order for a run. */
@@ -122,10 +122,10 @@
 	struct wkr_call *c;
 
 	jtb_name_of(run, &n);
-	jtb_name_text(&n, task, sizeof(task));
+	jtb_name_format(&n, task, sizeof(task));
 	if (kind == WKR_START) {
-		const struct jtb_part *part =
-			&run->job->turns[run->turn].parts[run->step];
+		const struct jtb_step_state *part =
+			&run->job->turns[run->turn].steps[run->step];
 
 		/*
 		 * No start is sent to a worker that is draining or has shrunk
@@ -135,17 +135,18 @@
 		 * to forget it.
 		 */
 		bool withheld = !s->k->ops->ticket(s->k->arg, run, &o.ticket) ||
-				s->w->info.draining || jtb_overfull(s->w);
+				s->w->info.draining ||
+				jtb_is_overcommitted(s->w);
 
 		if (withheld && wkr_drop_unsent(s, run))
 			return;
 		if (withheld) {
-			run->stop = true;
+			run->stop_wanted = true;
 			o.kind = WKR_STOP;
 			o.ticket = NULL;
 		}
 		o.text = run->job->spec.text;
-		o.saved = part->tasks[run->index].saved;
+		o.saved = part->tasks[run->index].checkpoint;
 		o.until_ms = wkr_lease_end(s);
 	}
 	c = g_new0(struct wkr_call, 1);
@@ -153,10 +154,10 @@
 	c->percent = run->pace;
 	c->phase_before = run->phase;
 	if (kind == WKR_PACE)
-		run->pace_told = run->pace;
+		run->pace_sent = run->pace;
 	else
 		run->phase = WKR_SENT;
-	run->sends += kind != WKR_PACE;
+	run->orders_sent += kind != WKR_PACE;
 	g_ptr_array_add(s->calls, c);
 	wkr_send_call(s, c, &o, WKR_ORDER_TIMEOUT_MS);
 }
@@ -174,7 +175,7 @@
 	};
 	struct wkr_call *c = g_new0(struct wkr_call, 1);
 
-	jtb_name_text(name, task, sizeof(task));
+	jtb_name_format(name, task, sizeof(task));
 	c->stale = stale;
 	g_ptr_array_add(s->calls, c);
 	wkr_send_call(s, c, &o, WKR_ORDER_TIMEOUT_MS);
@@ -237,48 +238,48 @@
 	struct jtb_run *run = g_hash_table_lookup(s->k->runs, &c->serial);
 	int64_t now = tmr_now(s->k->config.tmr);
 
-	if (answer == WKR_OTHER_LIFE) {
-		wkr_notify_ended(s, EVD_LIFE, c->sent_ms);
+	if (answer == WKR_OTHER_INSTANCE) {
+		wkr_notify_ended(s, EVD_OTHER_INSTANCE, c->sent_ms);
 		return;
 	}
-	if (answer == WKR_SICK)
+	if (answer == WKR_UNHEALTHY)
 		s->backoff_until = now + WKR_UNHEALTHY_BACKOFF_MS;
-	if (answer == WKR_NO_ROOM)
+	if (answer == WKR_NO_CAPACITY)
 		s->backoff_until =
 			MAX(s->backoff_until, now + WKR_FULL_BACKOFF_MS);
 	if (c->stale)
-		wkr_on_stale_stop_end(s, c,
-				      answer == WKR_YES || answer == WKR_OLD);
+		wkr_on_stale_stop_end(
+			s, c, answer == WKR_YES || answer == WKR_RUN_OVER);
 	if (!run || c->kind == WKR_PACE) {
 		if (run && answer != WKR_YES)
-			run->pace_told = -1;
+			run->pace_sent = -1;
 		wkr_schedule_orders(s,
 				    answer == WKR_YES ? 0 : WKR_RETRY_MIN_MS);
 		return;
 	}
 	run->phase = wkr_phase_before_order(run, c);
 	/* The worker may have carried out the order. */
-	run->may_be_there |= answer == WKR_UNREADABLE;
+	run->may_have_started |= answer == WKR_UNREADABLE;
 	switch (answer) {
 	case WKR_YES:
-		run->phase = c->kind == WKR_START ? WKR_ON : WKR_OVER;
-		run->job->unseen &= c->kind != WKR_START;
+		run->phase = c->kind == WKR_START ? WKR_ACCEPTED : WKR_OVER;
+		run->job->start_unconfirmed &= c->kind != WKR_START;
 		run->ordered_ms = now;
 		wkr_schedule_hold(s, 0);
 		break;
-	case WKR_OLD:
+	case WKR_RUN_OVER:
 		run->phase = WKR_OVER;
 		run->ordered_ms = now;
 		wkr_schedule_hold(s, 0);
 		break;
 	case WKR_NO_TICKET:
 		if (c->kind == WKR_START) {
-			s->k->stats.unticketed++;
+			s->k->stats.ticket_refusals++;
 			s->k->ops->ticket_refused(s->k->arg, run);
 		}
 		/* fall through */
-	case WKR_NO_ROOM:
-	case WKR_SICK:
+	case WKR_NO_CAPACITY:
+	case WKR_UNHEALTHY:
 	case WKR_MALFORMED:
 		if (c->kind == WKR_START) {
 			wkr_on_start_refused(s, run);
@@ -302,7 +303,7 @@
 {
 	s->k->stats.refused++;
 	if (!wkr_drop_unsent(s, run))
-		run->stop = true;
+		run->stop_wanted = true;
 }
 
 /*
@@ -335,7 +336,7 @@
 	 * A single lost call among answered ones is no sign of an unreachable
 	 * worker: it keeps getting work, and only this call is repeated.
 	 */
-	if (s->state.ok_ms < c->sent_ms)
+	if (s->state.answered_ms < c->sent_ms)
 		wkr_mark_unreachable(s);
 	if (c->kind == WKR_HOLD || !s->hold)
 		wkr_schedule_hold(s, s->retry_ms);
@@ -350,7 +351,7 @@
  */
 void wkr_on_not_sent(struct wkr_session *s, const struct wkr_call *c)
 {
-	s->k->stats.untried++;
+	s->k->stats.not_sent++;
 	wkr_retry_call(s, c, false);
 }
 
@@ -388,11 +389,11 @@
 	if (c->stale)
 		wkr_on_stale_stop_end(s, c, false);
 	if (run && c->kind == WKR_PACE) {
-		run->pace_told = -1;
+		run->pace_sent = -1;
 	} else if (run) {
 		run->phase = wkr_phase_before_order(run, c);
-		run->unanswered += sent;
+		run->orders_unanswered += sent;
 		/* The worker may have it, or may still receive it. */
-		run->may_be_there = run->may_be_there || sent;
+		run->may_have_started = run->may_have_started || sent;
 	}
 }
--- a/tests/prop/sch_prop.cc
+++ b/tests/prop/sch_prop.cc
@@ -84,7 +84,7 @@
 				    enum jtb_end) {};
 		watch.job_changed = onJob;
 		watch.worker_changed = [](void *, struct jtb_worker *) {};
-		watch.worker_gone = [](void *, struct jtb_worker *) {};
+		watch.worker_removed = [](void *, struct jtb_worker *) {};
 		watch.config_changed = [](void *) {};
 		jtb = jtb_new(&watch, this);
 		jobs_config(jtb, 1, "p", ATTEMPTS);
@@ -119,7 +119,7 @@
 	{
 		Fixture *r = static_cast<Fixture *>(arg);
 
-		if (jtb_ended(job) && !r->outcome.count(job->spec.id))
+		if (jtb_job_ended(job) && !r->outcome.count(job->spec.id))
 			r->outcome[job->spec.id] = job->state;
 		if (r->outcome.count(job->spec.id))
 			RC_ASSERT(r->outcome[job->spec.id] == job->state);
@@ -137,10 +137,10 @@
 			s[i].count = (uint32_t)randomInt(1, 6);
 			s[i].cpu = (uint32_t)randomInt(1, 9) * 1000;
 			s[i].mem_mb = 100;
-			s[i].guess_ms = (uint32_t)randomInt(1, 20) * 100;
+			s[i].estimate_ms = (uint32_t)randomInt(1, 20) * 100;
 			s[i].after = i && randomInt(0, 2) ? 1ULL << (i - 1) : 0;
 			if (longRunningJob)
-				s[i].flags = JTB_LASTS;
+				s[i].flags = JTB_LONG_RUNNING;
 			else if (randomInt(0, 6) == 0)
 				makeGang(&s[i]);
 		}
@@ -180,7 +180,7 @@
 		return is && !is->unreachable && !w->info.draining;
 	}
 
-	static bool onLeaving(void *arg, const struct jtb_worker *w)
+	static bool onUpkeepDue(void *arg, const struct jtb_worker *w)
 	{
 		return false;
 	}
@@ -205,13 +205,14 @@
 	{
 		const struct jtb_step *s = &job->spec.steps[n->step];
 
-		RC_ASSERT(!jtb_ended(job));
+		RC_ASSERT(!jtb_job_ended(job));
 		RC_ASSERT(unplaceable.count(n->id) == 0u || n->step);
 		RC_ASSERT(!s->label);
 		RC_ASSERT(jtb_step_due(job, n->turn, n->step, wall()));
 		RC_ASSERT(!w->info.draining);
-		RC_ASSERT(w->used_cpu + w->plan_cpu + s->cpu <= w->info.cpu);
-		jtb_plan(job, n, w);
+		RC_ASSERT(w->used_cpu + w->proposed_cpu + s->cpu <=
+			  w->info.cpu);
+		jtb_propose_start(job, n, w);
 		starts.push_back(
 			{*n, attempt, w->info.id,
 			 now + randomInt(0, maxCommitSteps + 1) * STEP_MS});
@@ -227,9 +228,9 @@
 		v.wall_ms = wall();
 		v.arg = this;
 		v.usable = onUsable;
-		v.leaving = onLeaving;
+		v.upkeep_due = onUpkeepDue;
 		v.start = onStart;
-		v.starved = onUnschedulable;
+		v.unschedulable = onUnschedulable;
 		sch_plan(&v, "p");
 	}
 
@@ -258,15 +259,15 @@
 			   s.worker.c_str());
 		if (!jtb_find_run(jtb, &s.name, s.attempt, s.worker.c_str()))
 			return;
-		RC_ASSERT(!jtb_ended(job));
-		jtb_name_text(&s.name, text, sizeof(text));
+		RC_ASSERT(!jtb_job_ended(job));
+		jtb_name_format(&s.name, text, sizeof(text));
 		RC_ASSERT(done.count(text) == 0u);
 		for (auto &o : runs)
-			RC_ASSERT(!jtb_name_same(&o.name, &s.name));
+			RC_ASSERT(!jtb_name_equal(&o.name, &s.name));
 		RC_ASSERT(job->turns[0]
-				  .parts[s.name.step]
+				  .steps[s.name.step]
 				  .tasks[s.name.index]
-				  .fails < ATTEMPTS);
+				  .failures < ATTEMPTS);
 		r.ends = longRunning.count(s.name.id)
 				 ? -1
 				 : now + randomInt(1, 15) * STEP_MS;
@@ -296,7 +297,7 @@
 		struct pk_out o;
 		int times = randomInt(1, 3);
 
-		jtb_name_text(&r.name, text, sizeof(text));
+		jtb_name_format(&r.name, text, sizeof(text));
 		if (how == JTB_DONE)
 			done.insert(text);
 		/* An end that is reported again changes nothing. */
@@ -326,7 +327,7 @@
 		for (size_t i = runs.size(); i > 0; i--)
 			if (runs[i - 1].worker == w.id)
 				runs.erase(runs.begin() + (long)i - 1);
-		jobs_gone(jtb, w.id.c_str(), true);
+		jobs_worker_lost(jtb, w.id.c_str(), true);
 		for (size_t i = runs.size(); i > 0; i--)
 			if (!jtb_find_run(jtb, &runs[i - 1].name,
 					  runs[i - 1].attempt,
@@ -370,7 +371,7 @@
 		RC_ASSERT(sameBytes(pk_out_view(&a), pk_out_view(&b)));
 		pk_out_done(&a);
 		pk_out_done(&b);
-		jtb_unplan_all(jtb);
+		jtb_drop_proposals(jtb);
 	}
 
 	/* Compares ignoring the order, as hash tables have none. */
@@ -508,7 +509,7 @@
 			const struct jtb_job *job = jtb_job(r.jtb, id.c_str());
 
 			RC_ASSERT((job != nullptr));
-			RC_ASSERT(jtb_ended(job) ||
+			RC_ASSERT(jtb_job_ended(job) ||
 				  r.unplaceable.count(id) == 1u);
 		}
 	});
@@ -527,8 +528,8 @@
 			r.step();
 		for (auto &id : r.accepted)
 			if (!r.unplaceable.count(id))
-				RC_ASSERT(
-					jtb_ended(jtb_job(r.jtb, id.c_str())));
+				RC_ASSERT(jtb_job_ended(
+					jtb_job(r.jtb, id.c_str())));
 	});
 	return ok ? 0 : 1;
 }
--- a/tests/prop/upk_prop.cc
+++ b/tests/prop/upk_prop.cc
@@ -40,7 +40,7 @@
 	enum vms_state state = VMS_UP;
 	int64_t upAt = 0; /* time at which it is up again */
 	uint64_t upkeepWave = 0; /* wave whose upkeep is under way; 0: none */
-	bool held = false;
+	bool moving = false;
 	bool partitioned = false;
 	std::set<uint64_t> upkeepsHad; /* waves in which it had its upkeep */
 };
@@ -109,9 +109,9 @@
 		ops.stop = onStop;
 		ops.order = onOrder;
 		ops.note = onNote;
-		ops.held = onMoving;
-		ops.spared = onSpared;
-		ops.reached = onReached;
+		ops.is_moving = onMoving;
+		ops.is_spare = onSpare;
+		ops.is_reachable = onReachable;
 		vms = vms_new(&c, NULL, NULL);
 		upk = upk_new(jtb, vms, &ops, this);
 		jobs_config(jtb, 1, "p", 3);
@@ -194,15 +194,15 @@
 
 	static bool onMoving(void *arg, const char *vm)
 	{
-		return static_cast<World *>(arg)->machine(vm).held;
+		return static_cast<World *>(arg)->machine(vm).moving;
 	}
 
-	static bool onSpared(void *arg, const char *vm)
+	static bool onSpare(void *arg, const char *vm)
 	{
 		return randomInt(0, 2);
 	}
 
-	static bool onReached(void *arg, const struct jtb_worker *w)
+	static bool onReachable(void *arg, const struct jtb_worker *w)
 	{
 		Machine *m = static_cast<World *>(arg)->machineOf(w->info.id);
 
@@ -219,16 +219,16 @@
 		struct jtb_name n;
 		uint32_t away = 0;
 
-		if (s->flags & JTB_LASTS) {
+		if (s->flags & JTB_LONG_RUNNING) {
 			for (uint32_t i = 0; i < s->count; i++)
 				away += i != run->index && !isAvailable(run, i);
 			RC_ASSERT(away < MAX(1, s->may_miss));
 		}
-		run->stop = true;
+		run->stop_wanted = true;
 		jtb_name_of(run, &n);
 		for (auto &r : runs)
 			if (r.attempt == run->attempt &&
-			    jtb_name_same(&r.name, &n) && !r.stopped) {
+			    jtb_name_equal(&r.name, &n) && !r.stopped) {
 				r.stopped = true;
 				r.ends = now + randomInt(1, 5) * STEP_MS;
 			}
@@ -238,12 +238,12 @@
 	bool isAvailable(const struct jtb_run *run, uint32_t i)
 	{
 		const struct jtb_run *o = run->job->turns[run->turn]
-						  .parts[run->step]
+						  .steps[run->step]
 						  .tasks[i]
 						  .run;
 		Machine *m = o ? machineOf(o->worker->info.id) : nullptr;
 
-		return o && !o->stop && o->percent >= 100 && m &&
+		return o && !o->stop_wanted && o->percent >= 100 && m &&
 		       !m->partitioned;
 	}
 
@@ -278,7 +278,7 @@
 		uint32_t ongoing = 0;
 
 		if (m.upkeepsHad.count(o.wave))
-			return VMS_YES;
+			return VMS_ACCEPTED;
 		if (m.state != VMS_UP)
 			return VMS_BUSY;
 		for (auto &r : runs)
@@ -289,7 +289,7 @@
 		for (auto &other : machines)
 			ongoing += other.upkeepWave == o.wave;
 		RC_ASSERT(ongoing <= limit[o.wave - 1]);
-		return VMS_YES;
+		return VMS_ACCEPTED;
 	}
 
 	void workerUp(Machine &m)
@@ -306,7 +306,7 @@
 		for (size_t i = runs.size(); i > 0; i--)
 			if (runs[i - 1].worker == m.worker)
 				runs.erase(runs.begin() + (long)i - 1);
-		jobs_gone(jtb, m.worker.c_str(), true);
+		jobs_worker_lost(jtb, m.worker.c_str(), true);
 		m.worker = "";
 		m.state = state;
 		m.upAt = now + steps * STEP_MS;
@@ -319,9 +319,9 @@
 
 		s.count = (uint32_t)randomInt(1, 5);
 		s.cpu = 100;
-		s.guess_ms = 500;
+		s.estimate_ms = 500;
 		s.may_miss = longRunning ? (uint32_t)randomInt(0, 3) : 0;
-		s.flags = longRunning ? JTB_LASTS : 0;
+		s.flags = longRunning ? JTB_LONG_RUNNING : 0;
 		jobs_job(jtb, id.c_str(), &s, 1, JOBS_WALL_MS);
 	}
 
@@ -332,7 +332,7 @@
 		GPtrArray *live = jtb_live(jtb);
 		std::vector<Machine *> open;
 
-		upk_closed(upk, closed);
+		upk_add_closed(upk, closed);
 		for (auto &m : machines)
 			if (m.state == VMS_UP && !m.partitioned &&
 			    !g_hash_table_contains(closed, m.worker.c_str()))
@@ -351,18 +351,18 @@
 
 	void start(struct jtb_job *job, uint32_t index, const Machine &m)
 	{
-		const struct jtb_part *part = job->turns[0].parts;
+		const struct jtb_step_state *part = job->turns[0].steps;
 		Run r = {};
 
-		if (jtb_ended(job) || (part && (part->tasks[index].run ||
-						part->tasks[index].done)))
+		if (jtb_job_ended(job) || (part && (part->tasks[index].run ||
+						    part->tasks[index].done)))
 			return;
 		g_strlcpy(r.name.id, job->spec.id, sizeof(r.name.id));
 		r.name.index = index;
 		r.attempt = part ? part->tasks[index].attempt + 1 : 1;
 		r.worker = m.worker;
 		r.from = now;
-		r.ends = job->spec.steps[0].flags & JTB_LASTS
+		r.ends = job->spec.steps[0].flags & JTB_LONG_RUNNING
 				 ? -1
 				 : now + randomInt(1, 60) * STEP_MS;
 		jobs_start(jtb, r.name.id, 0, index, r.attempt,
@@ -483,7 +483,7 @@
 		jtb_snapshot(jtb, &o);
 		RC_ASSERT(jtb_restore(jtb, pk_out_view(&o)));
 		pk_out_done(&o);
-		upk_lead(upk);
+		upk_reset(upk);
 	}
 
 	void tick()
@@ -514,8 +514,8 @@
 			m.partitioned = randomInt(0, 2);
 			break;
 		case 3:
-			m.held = randomInt(0, 2) &&
-				 !upk_holds(upk, m.name.c_str());
+			m.moving = randomInt(0, 2) &&
+				   !upk_is_in_upkeep(upk, m.name.c_str());
 			break;
 		case 4:
 		case 5:
@@ -531,7 +531,7 @@
 		lossPercent = 0;
 		for (auto &m : machines) {
 			m.partitioned = false;
-			m.held = false;
+			m.moving = false;
 		}
 	}
 
@@ -580,7 +580,7 @@
 			r.checkCompleted(w);
 		}
 		for (auto &m : r.machines)
-			RC_ASSERT(!upk_holds(r.upk, m.name.c_str()));
+			RC_ASSERT(!upk_is_in_upkeep(r.upk, m.name.c_str()));
 	});
 	return ok ? 0 : 1;
 }
--- a/tests/prop/wkr_prop.cc
+++ b/tests/prop/wkr_prop.cc
@@ -130,7 +130,7 @@
 {
 	char text[JTB_ID_MAX + 40];
 
-	jtb_name_text(n, text, sizeof(text));
+	jtb_name_format(n, text, sizeof(text));
 	return text;
 }
 
@@ -167,15 +167,15 @@
 	case 200:
 		return WKR_YES;
 	case 410:
-		return WKR_OLD;
+		return WKR_RUN_OVER;
 	case 412:
 		return WKR_FENCED;
 	case 408:
-		return WKR_LATE;
+		return WKR_LEASE_EXPIRED;
 	case 421:
-		return WKR_OTHER_LIFE;
+		return WKR_OTHER_INSTANCE;
 	case 503:
-		return WKR_SICK;
+		return WKR_UNHEALTHY;
 	default:
 		return WKR_UNREADABLE;
 	}
@@ -294,27 +294,27 @@
 	{
 		watch.run_began = [](void *, struct jtb_run *run) {
 			run->ordered_ms = the_simulation->now();
-			wkr_run(the_simulation->wkr, run);
+			wkr_add_run(the_simulation->wkr, run);
 		};
 		watch.run_ends = [](void *, struct jtb_run *run, enum jtb_end) {
-			wkr_run_over(the_simulation->wkr, run);
+			wkr_remove_run(the_simulation->wkr, run);
 		};
 		watch.run_stops = [](void *, struct jtb_run *run) {
-			wkr_stop(the_simulation->wkr, run);
+			wkr_stop_run(the_simulation->wkr, run);
 		};
 		watch.late_end = [](void *, const struct jtb_worker *,
 				    const struct jtb_name *, uint32_t,
 				    enum jtb_end) {};
 		watch.job_changed = [](void *, struct jtb_job *) {};
 		watch.worker_changed = [](void *, struct jtb_worker *w) {
-			wkr_worker(the_simulation->wkr, w);
+			wkr_update_worker(the_simulation->wkr, w);
 		};
-		watch.worker_gone = [](void *, struct jtb_worker *w) {
-			wkr_forget(the_simulation->wkr, w);
+		watch.worker_removed = [](void *, struct jtb_worker *w) {
+			wkr_remove_worker(the_simulation->wkr, w);
 		};
 		watch.config_changed = [](void *) {};
 		codec.content_type = "x";
-		codec.life_header = "Life";
+		codec.instance_header = "Life";
 		codec.write = codec_write;
 		codec.answer = codec_answer;
 		codec.report = codec_report;
@@ -340,7 +340,7 @@
 		};
 		ops.gone = [](void *, struct jtb_worker *w,
 			      const struct evd *e) {
-			the_simulation->propose_gone(w, evd_for_good(e));
+			the_simulation->propose_gone(w, evd_is_permanent(e));
 		};
 		ops.seen = [](void *, struct jtb_worker *) {};
 		ops.ticket = [](void *, const struct jtb_run *,
@@ -349,8 +349,8 @@
 			return true;
 		};
 		ops.ticket_refused = [](void *, const struct jtb_run *) {};
-		ops.sure = [](void *) { return the_simulation->now(); };
-		ops.carrier = [](void *, const struct jtb_worker *, uint32_t) {
+		ops.confirmed_ms = [](void *) { return the_simulation->now(); };
+		ops.relay = [](void *, const struct jtb_worker *, uint32_t) {
 			return "relay:1";
 		};
 	}
@@ -381,7 +381,7 @@
 
 		step.count = TASKS;
 		step.cpu = 1000;
-		step.guess_ms = 500;
+		step.estimate_ms = 500;
 		jobs_job(jtb, job_id(jobs++).c_str(), &step, 1, JOBS_WALL_MS);
 	}
 
@@ -433,12 +433,12 @@
 	{
 		struct pk_out o;
 
-		if (w->lost)
+		if (w->removal_proposed)
 			return;
-		w->lost = permanently;
+		w->removal_proposed = permanently;
 		expirations += !permanently;
 		pk_out_init(&o);
-		jtb_put_gone(&o, w->info.id, permanently);
+		jtb_put_worker_lost(&o, w->info.id, permanently);
 		propose(&o);
 	}
 
@@ -455,7 +455,7 @@
 					      bytes.size());
 			g_assert_true(jtb_apply(jtb, pk_out_view(&o)));
 			pk_out_done(&o);
-			wkr_stored(wkr);
+			wkr_on_commit(wkr);
 		}
 	}
 
@@ -692,7 +692,7 @@
 			const Run &r = w->running[t];
 
 			if (w->until <= w->clock(now()))
-				record_end(w, t, JTB_LAPSED);
+				record_end(w, t, JTB_LEASE_EXPIRED);
 			else if (r.stop && now() >= r.stop)
 				record_end(w, t, JTB_STOPPED);
 			else if (now() >= r.ends)
@@ -742,9 +742,9 @@
 		info.mem_mb = 64000;
 		info.draining = w->draining;
 		if (known_worker)
-			wkr_clock(wkr, known_worker, w->clock(now()));
+			wkr_set_clock(wkr, known_worker, w->clock(now()));
 		if (known_worker &&
-		    jtb_worker_known(&known_worker->info, &info))
+		    jtb_worker_info_is_current(&known_worker->info, &info))
 			return;
 		pk_out_init(&o);
 		jtb_put_worker(&o, &info);
@@ -761,9 +761,9 @@
 		if (!known_worker)
 			return;
 		pk_out_init(&o);
-		jtb_put_left(&o, w->id.c_str());
+		jtb_put_worker_leaving(&o, w->id.c_str());
 		propose(&o);
-		wkr_ask(wkr, known_worker);
+		wkr_poll(wkr, known_worker);
 		/*
 		 * If the confirmation is lost, the worker goes on for a while.
 		 */
@@ -802,7 +802,8 @@
 			vm.asked_ms = now();
 			vm.listed = !vm.other;
 			vm.up = true;
-			if (evd_vm_over(&vm, wkr_silent_since(wkr, w), &m, &e))
+			if (evd_vm_over(&vm, wkr_unreachable_since(wkr, w), &m,
+					&e))
 				propose_gone(w, true);
 		}
 	}
@@ -816,12 +817,12 @@
 		for (int i = 0; i < jobs; i++) {
 			struct jtb_job *job = jtb_job(jtb, job_id(i).c_str());
 
-			for (uint32_t t = 0; !jtb_ended(job) && t < TASKS;
+			for (uint32_t t = 0; !jtb_job_ended(job) && t < TASKS;
 			     t++) {
 				struct jtb_name n = {};
 				std::vector<struct jtb_worker *> usable;
-				const struct jtb_part *part =
-					jtb_part(job, 0, 0);
+				const struct jtb_step_state *part =
+					jtb_step_state(job, 0, 0);
 				struct jtb_task task = {};
 				struct pk_out o;
 
@@ -829,7 +830,8 @@
 				g_strlcpy(n.id, job->spec.id, sizeof(n.id));
 				if (part)
 					task = part->tasks[t];
-				if (task.done || task.run || task.planned)
+				if (task.done || task.run ||
+				    task.start_proposed)
 					continue;
 				g_hash_table_iter_init(&it, jtb_workers(jtb));
 				while (g_hash_table_iter_next(&it, nullptr, &p))
@@ -844,7 +846,7 @@
 						    " is planned after its end";
 				auto *w = usable[(size_t)between(
 					0, (int64_t)usable.size() - 1)];
-				jtb_plan(job, &n, w);
+				jtb_propose_start(job, &n, w);
 				pk_out_init(&o);
 				jtb_put_start(&o, &n, task.attempt + 1,
 					      w->info.id);
@@ -859,8 +861,8 @@
 		size_t n_kept = (size_t)between(0, (int64_t)log.size());
 
 		log.resize(n_kept);
-		jtb_unplan_all(jtb);
-		wkr_rest(wkr);
+		jtb_drop_proposals(jtb);
+		wkr_stop_leading(wkr);
 		answers.clear();
 		lead_at = now() + between(600, 1500);
 	}
@@ -872,7 +874,7 @@
 			log.front().due = now();
 			commit();
 		}
-		jtb_unplan_all(jtb);
+		jtb_drop_proposals(jtb);
 		fence++;
 		rly_lead(rly, fence);
 		wkr_lead(wkr, fence);
@@ -954,7 +956,7 @@
 
 			step();
 			for (int j = 0; j < jobs; j++)
-				all = all && jtb_ended(jtb_job(
+				all = all && jtb_job_ended(jtb_job(
 						     jtb, job_id(j).c_str()));
 			if (all)
 				return true;
--- a/tests/unit/adv_test.c
+++ b/tests/unit/adv_test.c
@@ -19,7 +19,7 @@
 	struct adv *adv;
 	GHashTable *closed;
 	struct fake_advice service;
-	struct adv_ask query;
+	struct adv_query query;
 	int64_t now;
 	int64_t wall;
 };
@@ -54,7 +54,7 @@
 {
 	struct fixture *f = *state;
 
-	adv_ask_clear(&f->query);
+	adv_query_clear(&f->query);
 	adv_free(f->adv);
 	jtb_free(f->jtb);
 	g_hash_table_destroy(f->closed);
@@ -77,8 +77,8 @@
 		.usable = is_usable,
 	};
 
-	adv_ask_clear(&f->query);
-	return adv_next(f->adv, &v, &f->query);
+	adv_query_clear(&f->query);
+	return adv_next_query(f->adv, &v, &f->query);
 }
 
 /* As next_query(), after SKIP_MS. */
@@ -96,7 +96,7 @@
 
 	f->now += f->query.takes_ms;
 	f->wall += f->query.takes_ms;
-	adv_answered(f->adv, &f->query, rows, sent_ms, f->now);
+	adv_accept_answer(f->adv, &f->query, rows, sent_ms, f->now);
 	g_ptr_array_free(rows, TRUE);
 }
 
@@ -128,8 +128,10 @@
 static struct jtb_job *add_job(struct fixture *f, const char *id,
 			       uint32_t count, uint32_t flags)
 {
-	struct jtb_step s = {
-		.count = count, .cpu = 1000, .guess_ms = 3000, .flags = flags};
+	struct jtb_step s = {.count = count,
+			     .cpu = 1000,
+			     .estimate_ms = 3000,
+			     .flags = flags};
 
 	jobs_job(f->jtb, id, &s, 1, f->wall);
 	return jtb_job(f->jtb, id);
@@ -138,8 +140,8 @@
 static bool has_ticket(struct fixture *f, const struct jtb_job *j,
 		       const char *worker)
 {
-	return adv_ticketed(f->adv, j, 0, 0, jtb_worker(f->jtb, worker),
-			    f->now);
+	return adv_has_ticket(f->adv, j, 0, 0, jtb_worker(f->jtb, worker),
+			      f->now);
 }
 
 static bool query_lists(const struct fixture *f, const char *worker)
@@ -245,8 +247,10 @@
 static void workers_with_free_capacity_are_queried(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {
-		.count = 2, .cpu = 1000, .guess_ms = 3000, .per_worker = 1};
+	struct jtb_step s = {.count = 2,
+			     .cpu = 1000,
+			     .estimate_ms = 3000,
+			     .max_per_worker = 1};
 
 	add_workers(f, "a", 1, 4000);
 	jobs_job(f->jtb, "j", &s, 1, f->wall);
@@ -263,7 +267,7 @@
 	/* the tasks of another job fill the only worker that k may run on */
 	jobs_start(f->jtb, "j", 0, 1, 1, "c000");
 	add_job(f, "k", 1, 0);
-	jobs_gone(f->jtb, "c000", true);
+	jobs_worker_lost(f->jtb, "c000", true);
 	query_all(f);
 	assert_true(has_ticket(f, jtb_job(f->jtb, "k"), "a000"));
 	add_job(f, "full", 3, 0);
@@ -286,8 +290,8 @@
 {
 	struct fixture *f = *state;
 	struct jtb_step s[] = {
-		{.count = 1, .cpu = 1000, .guess_ms = 1000},
-		{.count = 1, .cpu = 1000, .guess_ms = 1000, .after = 1},
+		{.count = 1, .cpu = 1000, .estimate_ms = 1000},
+		{.count = 1, .cpu = 1000, .estimate_ms = 1000, .after = 1},
 	};
 
 	add_workers(f, "a", 20, 4000);
@@ -321,7 +325,7 @@
 static void repeat_is_queried_shortly_before_it_is_due(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 1000};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 1000};
 	struct jtb_spec spec = {
 		.id = "r",
 		.queue = (char *)"q",
@@ -394,7 +398,7 @@
 {
 	struct fixture *f = *state;
 
-	add_job(f, "l", 1, JTB_LASTS);
+	add_job(f, "l", 1, JTB_LONG_RUNNING);
 	add_workers(f, "a", 2, 4000);
 	query_all(f);
 	jobs_start(f->jtb, "l", 0, 0, 1, "a000");
@@ -527,7 +531,7 @@
 	add_job(f, "k", 1, 0);
 	query_all(f);
 	assert_int_equal(adv_step_count(f->adv), 2);
-	jobs_gone(f->jtb, "a000", true);
+	jobs_worker_lost(f->jtb, "a000", true);
 	jobs_cancel(f->jtb, "j");
 	f->now += 2000;
 	next_query(f);
--- a/tests/unit/blackhole_test.c
+++ b/tests/unit/blackhole_test.c
@@ -32,12 +32,12 @@
 	return true;
 }
 
-static bool on_leaving(void *arg, const struct jtb_worker *w)
+static bool on_upkeep_due(void *arg, const struct jtb_worker *w)
 {
 	return false;
 }
 
-static void on_starved(void *arg, const char *pool)
+static void on_unschedulable(void *arg, const char *pool)
 {
 }
 
@@ -48,7 +48,7 @@
 	struct end e = {.name = *n, .attempt = attempt};
 
 	/* A worker that is suspect is tried with one task at a time. */
-	if (w->fails >= 3)
+	if (w->failed_jobs >= 3)
 		assert_int_equal(w->runs->len, 0);
 	g_strlcpy(e.worker, w->info.id, sizeof(e.worker));
 	e.at_ms =
@@ -67,9 +67,9 @@
 		.wall_ms = JOBS_WALL_MS + f->now,
 		.arg = f,
 		.usable = on_usable,
-		.leaving = on_leaving,
+		.upkeep_due = on_upkeep_due,
 		.start = on_start,
-		.starved = on_starved,
+		.unschedulable = on_unschedulable,
 	};
 
 	sch_plan(&v, "p");
@@ -101,7 +101,7 @@
 static void black_hole_worker_fails_no_job(void **state)
 {
 	struct fixture f = {.jtb = jtb_new(NULL, NULL), .now = 100000};
-	struct jtb_step s = {.count = 1, .cpu = 4000, .guess_ms = 20000};
+	struct jtb_step s = {.count = 1, .cpu = 4000, .estimate_ms = 20000};
 	int completed = 0;
 	char id[16];
 	int i;
--- a/tests/unit/crs_test.c
+++ b/tests/unit/crs_test.c
@@ -13,20 +13,20 @@
 struct fixture {
 	struct jtb *jtb;
 	struct crs *crs;
-	bool rack_silent;
+	bool rack_unreachable;
 	bool alive;
 };
 
-static int64_t on_seen_ms(void *arg, const struct jtb_run *run)
+static int64_t on_observed_ms(void *arg, const struct jtb_run *run)
 {
-	return sch_seen_ms(run);
+	return sch_observed_ms(run);
 }
 
-static bool on_rack_silent(void *arg, const struct jtb_worker *w)
+static bool on_rack_unreachable(void *arg, const struct jtb_worker *w)
 {
 	const struct fixture *f = arg;
 
-	return f->rack_silent;
+	return f->rack_unreachable;
 }
 
 static bool on_alive(void *arg, const struct jtb_worker *w)
@@ -37,8 +37,8 @@
 }
 
 static const struct crs_ops crs_callbacks = {
-	.seen_ms = on_seen_ms,
-	.rack_silent = on_rack_silent,
+	.observed_ms = on_observed_ms,
+	.rack_unreachable = on_rack_unreachable,
 	.alive = on_alive,
 };
 
@@ -88,7 +88,7 @@
 
 static void submit(struct fixture *f, const char *id, uint32_t count)
 {
-	struct jtb_step s = {.count = count, .cpu = 100, .guess_ms = 500};
+	struct jtb_step s = {.count = count, .cpu = 100, .estimate_ms = 500};
 
 	jobs_job(f->jtb, id, &s, 1, JOBS_WALL_MS);
 }
@@ -111,8 +111,8 @@
 	run = jtb_find_run(f->jtb, &n, attempt, w);
 	assert_non_null(run);
 	if (seen_ms >= 0) {
-		run->began_ms = 1;
-		run->seen_ms = 1 + seen_ms;
+		run->first_running_ms = 1;
+		run->last_running_ms = 1 + seen_ms;
 	}
 	return run;
 }
@@ -124,17 +124,17 @@
 	struct jtb_blame blame;
 	struct pk_out o;
 
-	crs_lost(f->crs, jtb_worker(f->jtb, id), crashed, NOW_MS + at_ms,
-		 &blame);
+	crs_record_loss(f->crs, jtb_worker(f->jtb, id), crashed, NOW_MS + at_ms,
+			&blame);
 	pk_out_init(&o);
-	jtb_put_lost(&o, id, crashed, &blame, JOBS_WALL_MS);
+	jtb_put_worker_crashed(&o, id, crashed, &blame, JOBS_WALL_MS);
 	jobs_apply(f->jtb, &o);
 	jtb_blame_clear(&blame);
 }
 
 static uint32_t crashes(struct fixture *f, const char *id)
 {
-	return jtb_crashes(jtb_job(f->jtb, id));
+	return jtb_max_crashes(jtb_job(f->jtb, id));
 }
 
 static enum jtb_job_state state_of(struct fixture *f, const char *id)
@@ -240,7 +240,7 @@
 {
 	struct fixture *f = *state;
 
-	f->rack_silent = true;
+	f->rack_unreachable = true;
 	start_run(f, "a", 1, "w1", -1);
 	lose_worker(f, "w1", true, 0);
 	start_run(f, "a", 2, "w2", -1);
@@ -321,7 +321,7 @@
 	struct fixture *f = *state;
 	int i;
 
-	f->rack_silent = true;
+	f->rack_unreachable = true;
 	for (i = 1; i <= 4; i++) {
 		char id[8];
 
@@ -397,7 +397,7 @@
 {
 	struct fixture *f = *state;
 	struct jtb_step s = {
-		.count = 3, .cpu = 100, .guess_ms = 500, .flags = JTB_GANG};
+		.count = 3, .cpu = 100, .estimate_ms = 500, .flags = JTB_GANG};
 	uint32_t i;
 
 	jobs_job(f->jtb, "g", &s, 1, JOBS_WALL_MS);
@@ -440,7 +440,7 @@
 static void crashes_of_all_turns_are_added(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {.count = 1, .cpu = 100, .guess_ms = 500};
+	struct jtb_step s = {.count = 1, .cpu = 100, .estimate_ms = 500};
 	struct jtb_spec spec = {
 		.id = "r",
 		.queue = (char *)"q",
@@ -477,7 +477,7 @@
 static void one_crash_with_several_turns_counts_once(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {.count = 1, .cpu = 100, .guess_ms = 500};
+	struct jtb_step s = {.count = 1, .cpu = 100, .estimate_ms = 500};
 	struct jtb_spec spec = {
 		.id = "r",
 		.queue = (char *)"q",
--- a/tests/unit/flo_test.c
+++ b/tests/unit/flo_test.c
@@ -22,7 +22,7 @@
 	GPtrArray *list; /* contents of the next list */
 	int orders;
 	int stops;
-	const char *held;
+	const char *pinned_vm;
 };
 
 static void fixture_order(void *arg, const char *vm, const char *pool)
@@ -44,18 +44,18 @@
 	return true;
 }
 
-static bool fixture_held(void *arg, const char *vm)
+static bool fixture_is_pinned(void *arg, const char *vm)
 {
 	const struct fixture *f = arg;
 
-	return f->held && strcmp(f->held, vm) == 0;
+	return f->pinned_vm && strcmp(f->pinned_vm, vm) == 0;
 }
 
 static const struct flo_ops fixture_ops = {
 	.order = fixture_order,
 	.stop = fixture_stop,
 	.may_stop = fixture_may_stop,
-	.held = fixture_held,
+	.is_pinned = fixture_is_pinned,
 };
 
 static struct vms_vm *vm_new(const char *name, const char *pool,
@@ -169,7 +169,7 @@
 /* Submits more work to "p" than any number of VMs can run. */
 static void submit_burst(struct fixture *f)
 {
-	struct jtb_step s = {.count = 400, .cpu = 1000, .guess_ms = 100000};
+	struct jtb_step s = {.count = 400, .cpu = 1000, .estimate_ms = 100000};
 
 	jobs_job(f->jtb, "burst", &s, 1, JOBS_WALL_MS);
 }
@@ -208,15 +208,15 @@
 	submit_burst(f);
 	tick(f);
 	assert_int_equal(f->orders, 1);
-	assert_true(flo_holds(f->flo, "vm1"));
-	assert_int_equal(flo_moving(f->flo), 1);
+	assert_true(flo_is_moving(f->flo, "vm1"));
+	assert_int_equal(flo_count_moves(f->flo), 1);
 }
 
 /* Submits a job of `count` tasks of one core that take `ms` each. */
 static void submit_job(struct fixture *f, const char *id, uint32_t count,
 		       uint32_t ms)
 {
-	struct jtb_step s = {.count = count, .cpu = 1000, .guess_ms = ms};
+	struct jtb_step s = {.count = count, .cpu = 1000, .estimate_ms = ms};
 
 	jobs_job(f->jtb, id, &s, 1, JOBS_WALL_MS + f->now - NOW_MS);
 }
@@ -254,7 +254,7 @@
  */
 static double load_of_job(struct fixture *f, int64_t age_ms)
 {
-	struct jtb_step s = {.count = 30, .cpu = 1000, .guess_ms = 1200};
+	struct jtb_step s = {.count = 30, .cpu = 1000, .estimate_ms = 1200};
 
 	jobs_job(f->jtb, "job", &s, 1, JOBS_WALL_MS - age_ms);
 	ticks(f, 1);
@@ -373,8 +373,10 @@
  */
 static void long_running_work_makes_no_room(void **state)
 {
-	struct jtb_step s = {
-		.count = 10, .cpu = 1000, .guess_ms = 1000, .flags = JTB_LASTS};
+	struct jtb_step s = {.count = 10,
+			     .cpu = 1000,
+			     .estimate_ms = 1000,
+			     .flags = JTB_LONG_RUNNING};
 	struct fixture *f = *state;
 	double alone;
 	uint32_t i;
@@ -397,7 +399,7 @@
 static void vm_is_not_chosen_twice(void **state)
 {
 	struct fixture *f = *state;
-	guint held = 0;
+	guint moving = 0;
 	char vm[8];
 	int i;
 
@@ -406,10 +408,10 @@
 	tick(f);
 	for (i = 1; i <= 8; i++) {
 		g_snprintf(vm, sizeof(vm), "vm%d", i);
-		held += flo_holds(f->flo, vm);
+		moving += flo_is_moving(f->flo, vm);
 	}
-	assert_true(held > 1);
-	assert_int_equal(flo_moving(f->flo), held);
+	assert_true(moving > 1);
+	assert_int_equal(flo_count_moves(f->flo), moving);
 }
 
 /* Returns the number of moves after jobs[i] jobs were submitted in tick i. */
@@ -435,7 +437,7 @@
 		}
 		tick(f);
 	}
-	return flo_moving(f->flo);
+	return flo_count_moves(f->flo);
 }
 
 /*
@@ -477,11 +479,11 @@
 
 	vm_add(f, "vm1", "off", "");
 	vm_add(f, "vm2", "off", "");
-	f->held = "vm1";
+	f->pinned_vm = "vm1";
 	submit_burst(f);
 	ticks(f, 5);
-	assert_false(flo_holds(f->flo, "vm1"));
-	assert_true(flo_holds(f->flo, "vm2"));
+	assert_false(flo_is_moving(f->flo, "vm1"));
+	assert_true(flo_is_moving(f->flo, "vm2"));
 }
 
 /*
@@ -492,16 +494,16 @@
 static void vm_is_drained_before_its_move(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 500};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 500};
 
 	add_other_vms(f, 6, &s);
 	submit_burst(f);
 	ticks(f, 3);
-	assert_true(flo_moving(f->flo) > 0);
+	assert_true(flo_count_moves(f->flo) > 0);
 	assert_int_equal(f->orders, 0);
 	ticks(f, 12);
 	assert_int_equal(f->orders, 0);
-	assert_true(flo_moving(f->flo) > 0);
+	assert_true(flo_count_moves(f->flo) > 0);
 }
 
 /*
@@ -511,13 +513,15 @@
 static int stops_for_a_burst(struct fixture *f, uint32_t guess_ms,
 			     uint32_t flags)
 {
-	struct jtb_step s = {
-		.count = 1, .cpu = 1000, .guess_ms = guess_ms, .flags = flags};
+	struct jtb_step s = {.count = 1,
+			     .cpu = 1000,
+			     .estimate_ms = guess_ms,
+			     .flags = flags};
 
 	add_other_vms(f, 6, &s);
 	submit_burst(f);
 	ticks(f, 3);
-	assert_true(flo_moving(f->flo) > 0);
+	assert_true(flo_count_moves(f->flo) > 0);
 	return f->stops;
 }
 
@@ -527,7 +531,7 @@
  */
 static void saved_work_is_stopped(void **state)
 {
-	assert_true(stops_for_a_burst(*state, 5000, JTB_SAVES) > 0);
+	assert_true(stops_for_a_burst(*state, 5000, JTB_CHECKPOINTS) > 0);
 }
 
 static void unsaved_work_is_waited_for(void **state)
@@ -537,14 +541,14 @@
 
 static void nearly_done_work_is_waited_for(void **state)
 {
-	assert_int_equal(stops_for_a_burst(*state, 200, JTB_SAVES), 0);
+	assert_int_equal(stops_for_a_burst(*state, 200, JTB_CHECKPOINTS), 0);
 }
 
 /* A stopped member ends its whole gang, whose other members save nothing. */
 static void gang_is_waited_for(void **state)
 {
-	assert_int_equal(stops_for_a_burst(*state, 5000, JTB_SAVES | JTB_GANG),
-			 0);
+	assert_int_equal(
+		stops_for_a_burst(*state, 5000, JTB_CHECKPOINTS | JTB_GANG), 0);
 }
 
 /*
@@ -556,7 +560,7 @@
 	struct fixture *f = *state;
 	guint i;
 
-	assert_int_equal(stops_for_a_burst(f, 200, JTB_SAVES), 0);
+	assert_int_equal(stops_for_a_burst(f, 200, JTB_CHECKPOINTS), 0);
 	for (i = 1; i <= 6; i++) {
 		struct jtb_worker *w;
 		struct jtb_run *run;
@@ -565,8 +569,8 @@
 		g_snprintf(id, sizeof(id), "w%u", i);
 		w = jtb_worker(f->jtb, id);
 		run = g_ptr_array_index(w->runs, 0);
-		run->began_ms = f->now - 1000;
-		run->moved_ms = f->now;
+		run->first_running_ms = f->now - 1000;
+		run->progress_ms = f->now;
 		run->percent = FLO_MIN_PROGRESS_PERCENT;
 	}
 	tick(f);
@@ -580,8 +584,10 @@
 static void work_is_not_stopped_to_switch_off(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {
-		.count = 1, .cpu = 1000, .guess_ms = 5000, .flags = JTB_SAVES};
+	struct jtb_step s = {.count = 1,
+			     .cpu = 1000,
+			     .estimate_ms = 5000,
+			     .flags = JTB_CHECKPOINTS};
 	guint moving = 0;
 	char vm[8];
 	char w[8];
@@ -599,7 +605,7 @@
 	jobs_cancel(f->jtb, "burst");
 	for (i = 0; i < 60; i++) {
 		tick(f);
-		moving = MAX(moving, flo_moving(f->flo));
+		moving = MAX(moving, flo_count_moves(f->flo));
 	}
 	assert_true(moving > 0);
 	assert_int_equal(f->stops, 0);
@@ -612,40 +618,41 @@
 static void vm_that_is_empty_soonest_is_chosen(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 5000};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 5000};
 
 	add_other_vms(f, 3, &s);
-	s.guess_ms = 300;
+	s.estimate_ms = 300;
 	vm_add(f, "vm4", "other", "w4");
 	jobs_job(f->jtb, "w4", &s, 1, JOBS_WALL_MS);
 	jobs_start(f->jtb, "w4", 0, 0, 1, "w4");
 	submit_burst(f);
 	ticks(f, 2);
-	assert_int_equal(flo_moving(f->flo), 1);
-	assert_true(flo_holds(f->flo, "vm4"));
+	assert_int_equal(flo_count_moves(f->flo), 1);
+	assert_true(flo_is_moving(f->flo, "vm4"));
 }
 
 /* The same if that VM's run saves its progress and can be stopped at once. */
 static void vm_with_saved_work_is_chosen(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 1000};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 1000};
 
 	add_other_vms(f, 3, &s);
-	s.guess_ms = 5000;
-	s.flags = JTB_SAVES;
+	s.estimate_ms = 5000;
+	s.flags = JTB_CHECKPOINTS;
 	vm_add(f, "vm4", "other", "w4");
 	jobs_job(f->jtb, "w4", &s, 1, JOBS_WALL_MS);
 	jobs_start(f->jtb, "w4", 0, 0, 1, "w4");
 	submit_burst(f);
 	ticks(f, 2);
-	assert_true(flo_holds(f->flo, "vm4"));
+	assert_true(flo_is_moving(f->flo, "vm4"));
 }
 
 /* Submits a job to "other" that was accepted 3 s ago. */
 static void submit_old_job(struct fixture *f, uint32_t count, uint32_t guess_ms)
 {
-	struct jtb_step s = {.count = count, .cpu = 1000, .guess_ms = guess_ms};
+	struct jtb_step s = {
+		.count = count, .cpu = 1000, .estimate_ms = guess_ms};
 	struct jtb_spec spec = {
 		.id = "old",
 		.queue = (char *)"other",
@@ -672,9 +679,9 @@
 	submit_old_job(f, 8, 20000);
 	add_other_vms(f, 8, NULL);
 	submit_burst(f);
-	flo_lead(f->flo);
+	flo_reset(f->flo);
 	ticks(f, 2);
-	assert_true(flo_moving(f->flo) > 0);
+	assert_true(flo_count_moves(f->flo) > 0);
 }
 
 /*
@@ -689,7 +696,7 @@
 	submit_job(f, "j", 20, 1000);
 	tick(f);
 	assert_true(flo_pool(f->flo, "p")->rate > 0);
-	flo_lead(f->flo);
+	flo_reset(f->flo);
 	tick(f);
 	assert_true(flo_pool(f->flo, "p")->rate == 0);
 }
@@ -702,20 +709,20 @@
 static void idle_and_standby_vms_are_spare(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 100};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 100};
 
 	add_other_vms(f, 6, NULL);
 	vm_add(f, "off1", "off", "");
 	jobs_job(f->jtb, "j", &s, 1, JOBS_WALL_MS - 3000);
 	jobs_start(f->jtb, "j", 0, 0, 1, "w1");
 	tick(f);
-	assert_false(flo_spared(f->flo, "vm1"));
-	assert_true(flo_spared(f->flo, "vm2"));
-	assert_true(flo_spared(f->flo, "off1"));
+	assert_false(flo_is_spare(f->flo, "vm1"));
+	assert_true(flo_is_spare(f->flo, "vm2"));
+	assert_true(flo_is_spare(f->flo, "off1"));
 	submit_burst(f);
 	tick(f);
-	assert_false(flo_spared(f->flo, "off1"));
-	assert_false(flo_spared(f->flo, "vm2"));
+	assert_false(flo_is_spare(f->flo, "off1"));
+	assert_false(flo_is_spare(f->flo, "vm2"));
 }
 
 static void last_vms_of_a_pool_are_not_spare(void **state)
@@ -724,7 +731,7 @@
 
 	add_other_vms(f, 3, NULL);
 	tick(f);
-	assert_false(flo_spared(f->flo, "vm1"));
+	assert_false(flo_is_spare(f->flo, "vm1"));
 }
 
 static void vms_needed_by_load_are_not_spare(void **state)
@@ -734,7 +741,7 @@
 	add_other_vms(f, 6, NULL);
 	submit_old_job(f, 60, 20000);
 	tick(f);
-	assert_false(flo_spared(f->flo, "vm1"));
+	assert_false(flo_is_spare(f->flo, "vm1"));
 }
 
 /*
@@ -751,13 +758,14 @@
 	jobs_job(f->jtb, "j", &s, 1, JOBS_WALL_MS);
 	for (n.index = 0; n.index < 6; n.index++) {
 		g_snprintf(w, sizeof(w), "w%u", n.index + 1);
-		jtb_plan(jtb_job(f->jtb, "j"), &n, jtb_worker(f->jtb, w));
+		jtb_propose_start(jtb_job(f->jtb, "j"), &n,
+				  jtb_worker(f->jtb, w));
 	}
 	submit_burst(f);
 	ticks(f, 3);
-	assert_true(flo_moving(f->flo) > 0);
+	assert_true(flo_count_moves(f->flo) > 0);
 	assert_int_equal(f->orders, 0);
-	jtb_unplan_all(f->jtb);
+	jtb_drop_proposals(f->jtb);
 	ticks(f, 2);
 	assert_true(f->orders > 0);
 }
@@ -779,13 +787,15 @@
 static void vm_with_long_running_work_stays(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {
-		.count = 1, .cpu = 1000, .may_miss = 1, .flags = JTB_LASTS};
+	struct jtb_step s = {.count = 1,
+			     .cpu = 1000,
+			     .may_miss = 1,
+			     .flags = JTB_LONG_RUNNING};
 
 	add_other_vms(f, 6, &s);
 	submit_burst(f);
 	ticks(f, 10);
-	assert_int_equal(flo_moving(f->flo), 0);
+	assert_int_equal(flo_count_moves(f->flo), 0);
 	assert_int_equal(f->stops, 0);
 }
 
@@ -811,7 +821,7 @@
 			continue;
 		g_free(vm->pool);
 		vm->pool = g_strdup(m->to);
-		flo_answered(f->flo, vm->name, VMS_YES, f->now);
+		flo_answered(f->flo, vm->name, VMS_ACCEPTED, f->now);
 	}
 }
 
@@ -826,7 +836,7 @@
 		if (strcmp(vm->name, name) != 0)
 			continue;
 		if (*vm->worker)
-			jobs_gone(f->jtb, vm->worker, true);
+			jobs_worker_lost(f->jtb, vm->worker, true);
 		*vm->worker = '\0';
 		vm->state = VMS_DOWN;
 	}
@@ -840,7 +850,8 @@
 static void lost_rack_costs_one_move_for_each_vm(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {.count = 80, .cpu = 1000, .flags = JTB_LASTS};
+	struct jtb_step s = {
+		.count = 80, .cpu = 1000, .flags = JTB_LONG_RUNNING};
 	char vm[8];
 	char w[8];
 	int i;
@@ -881,7 +892,7 @@
 	assert_int_equal(f->orders, 5);
 	ticks(f, 100);
 	assert_int_equal(f->orders, 5);
-	assert_int_equal(flo_moving(f->flo), 0);
+	assert_int_equal(flo_count_moves(f->flo), 0);
 }
 
 /* Returns a VM with a move in progress. */
@@ -892,7 +903,7 @@
 	for (i = 0; i < f->list->len; i++) {
 		struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
-		if (flo_holds(f->flo, vm->name))
+		if (flo_is_moving(f->flo, vm->name))
 			return vm;
 	}
 	fail();
@@ -921,7 +932,7 @@
 	*vm->worker = '\0';
 	vm->state = VMS_MOVING;
 	ticks(f, 3);
-	flo_closed(f->flo, ids);
+	flo_add_closed(f->flo, ids);
 	assert_true(g_hash_table_contains(ids, worker));
 	assert_string_equal(flo_worker(f->flo, vm->name), worker);
 	vm->state = VMS_UP;
@@ -929,7 +940,7 @@
 	vm->pool = g_strdup("p");
 	g_hash_table_remove_all(ids);
 	ticks(f, 2);
-	assert_false(flo_holds(f->flo, vm->name));
+	assert_false(flo_is_moving(f->flo, vm->name));
 	g_hash_table_destroy(ids);
 }
 
@@ -940,7 +951,7 @@
 static void move_of_a_failed_vm_is_abandoned(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 500};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 500};
 	struct vms_vm *vm;
 	char id[8];
 
@@ -949,7 +960,7 @@
 	ticks(f, 2);
 	vm = find_moving_vm(f);
 	g_strlcpy(id, vm->worker, sizeof(id));
-	jobs_gone(f->jtb, id, true);
+	jobs_worker_lost(f->jtb, id, true);
 	g_free(vm->worker);
 	vm->worker = g_strdup("new");
 	jobs_worker(f->jtb, "new", 16000, false);
@@ -972,11 +983,11 @@
 	vm_add(f, "vm1", "off", "");
 	submit_burst(f);
 	ticks(f, 2);
-	assert_true(flo_holds(f->flo, "vm1"));
+	assert_true(flo_is_moving(f->flo, "vm1"));
 	jobs_cancel(f->jtb, "burst");
 	ticks(f, 100);
 	assert_true(f->orders > 1);
-	assert_int_equal(flo_moving(f->flo), 0);
+	assert_int_equal(flo_count_moves(f->flo), 0);
 }
 
 static void accepted_move_is_done_with_a_later_list(void **state)
@@ -987,17 +998,17 @@
 	vm_add(f, "vm1", "off", "");
 	submit_burst(f);
 	ticks(f, 2);
-	flo_answered(f->flo, "vm1", VMS_YES, f->now);
+	flo_answered(f->flo, "vm1", VMS_ACCEPTED, f->now);
 	vm = g_ptr_array_index(f->list, 0);
 	vm->state = VMS_MOVING;
 	ticks(f, 5);
 	assert_int_equal(f->orders, 1);
-	assert_true(flo_holds(f->flo, "vm1"));
+	assert_true(flo_is_moving(f->flo, "vm1"));
 	vm->state = VMS_UP;
 	g_free(vm->pool);
 	vm->pool = g_strdup("p");
 	tick(f);
-	assert_false(flo_holds(f->flo, "vm1"));
+	assert_false(flo_is_moving(f->flo, "vm1"));
 }
 
 /*
@@ -1007,14 +1018,14 @@
  */
 static void work_of_weight_zero_gets_a_vm(void **state)
 {
-	static const uint32_t flags[] = {0, JTB_FILLS};
+	static const uint32_t flags[] = {0, JTB_BEST_EFFORT};
 	struct fixture *f;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(flags); i++) {
 		struct jtb_step s = {.count = 1,
 				     .cpu = 1000,
-				     .guess_ms = 100,
+				     .estimate_ms = 100,
 				     .flags = flags[i]};
 
 		teardown(state);
@@ -1026,7 +1037,7 @@
 		jobs_job(f->jtb, "j", &s, 1, JOBS_WALL_MS - 600000);
 		ticks(f, 3);
 		assert_int_equal(f->orders, 1);
-		assert_true(flo_holds(f->flo, "vm1"));
+		assert_true(flo_is_moving(f->flo, "vm1"));
 	}
 }
 
@@ -1038,7 +1049,7 @@
 static void each_turn_of_a_repeated_job_counts(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {.count = 2, .cpu = 10000, .guess_ms = 3000};
+	struct jtb_step s = {.count = 2, .cpu = 10000, .estimate_ms = 3000};
 	struct jtb_spec spec = {
 		.id = "r",
 		.queue = (char *)"q",
@@ -1094,7 +1105,7 @@
 	struct jtb_step s = {.count = 5,
 			     .cpu = 12000,
 			     .mem_mb = 100,
-			     .guess_ms = 100,
+			     .estimate_ms = 100,
 			     .flags = JTB_GANG};
 
 	add_three_vms_and_standby(f, 8);
@@ -1113,7 +1124,7 @@
 	struct jtb_step s = {.count = 50,
 			     .cpu = 12000,
 			     .mem_mb = 100,
-			     .guess_ms = 100,
+			     .estimate_ms = 100,
 			     .flags = JTB_GANG};
 
 	add_three_vms_and_standby(f, 8);
--- a/tests/unit/pac_test.c
+++ b/tests/unit/pac_test.c
@@ -33,10 +33,12 @@
 	struct fixture *f = g_new0(struct fixture, 1);
 	struct jtb_step serving = {.count = 1,
 				   .cpu = 1000,
-				   .flags = JTB_LASTS,
-				   .tail_ms = BOUND_MS};
-	struct jtb_step best_effort = {
-		.count = 1, .cpu = 1000, .flags = JTB_LASTS | JTB_FILLS};
+				   .flags = JTB_LONG_RUNNING,
+				   .slo_ms = BOUND_MS};
+	struct jtb_step best_effort = {.count = 1,
+				       .cpu = 1000,
+				       .flags = JTB_LONG_RUNNING |
+						JTB_BEST_EFFORT};
 	struct jtb_name n = {.id = "s"};
 
 	f->jtb = jtb_new(NULL, NULL);
@@ -69,8 +71,8 @@
 static void update(struct fixture *f, int tail_ms, int64_t after_ms)
 {
 	f->now += after_ms;
-	f->serving->figure = tail_ms;
-	pac_look(f->w, f->now, &pac_callbacks, f);
+	f->serving->metric_value = tail_ms;
+	pac_update(f->w, f->now, &pac_callbacks, f);
 }
 
 /*
--- a/tests/unit/plt_test.c
+++ b/tests/unit/plt_test.c
@@ -123,7 +123,7 @@
 	assert_int_equal(q->attempts, 3);
 	assert_null(jtb_route(c, "h.example", "/b/0123"));
 	assert_null(jtb_route(c, "x.example", "/a/0123"));
-	assert_true(jtb_pool(c, "s")->guarded);
+	assert_true(jtb_pool(c, "s")->enforces_capacity);
 	jtb_config_free(c);
 }
 
@@ -193,13 +193,14 @@
 		"may-miss=1,target-ms=50,fills=true,image=i}]}",
 		&s));
 	assert_int_equal(s.n_steps, 2);
-	assert_int_equal(s.steps[0].guess_ms, 900);
+	assert_int_equal(s.steps[0].estimate_ms, 900);
 	assert_string_equal(s.steps[0].rack, "r1");
 	assert_int_equal(s.steps[1].after, 1);
-	assert_int_equal(s.steps[1].per_worker, 2);
+	assert_int_equal(s.steps[1].max_per_worker, 2);
 	assert_int_equal(s.steps[1].may_miss, 1);
-	assert_int_equal(s.steps[1].tail_ms, 50);
-	assert_int_equal(s.steps[1].flags, JTB_SAVES | JTB_LASTS | JTB_FILLS);
+	assert_int_equal(s.steps[1].slo_ms, 50);
+	assert_int_equal(s.steps[1].flags,
+			 JTB_CHECKPOINTS | JTB_LONG_RUNNING | JTB_BEST_EFFORT);
 	assert_string_equal(s.text, "text");
 	jtb_spec_clear(&s);
 }
@@ -295,14 +296,14 @@
 	} cases[] = {
 		{200, "{clock-ms=5}", WKR_YES},
 		{409, "{clock-ms=5,reason=fence}", WKR_FENCED},
-		{409, "{clock-ms=5,reason=old}", WKR_OLD},
-		{409, "{clock-ms=5,reason=late}", WKR_LATE},
-		{409, "{clock-ms=5,reason=room}", WKR_NO_ROOM},
+		{409, "{clock-ms=5,reason=old}", WKR_RUN_OVER},
+		{409, "{clock-ms=5,reason=late}", WKR_LEASE_EXPIRED},
+		{409, "{clock-ms=5,reason=room}", WKR_NO_CAPACITY},
 		{409, "{clock-ms=5,reason=ticket}", WKR_NO_TICKET},
 		{409, "{clock-ms=5,reason=new}", WKR_UNREADABLE},
-		{421, "{clock-ms=5}", WKR_OTHER_LIFE},
-		{429, "{clock-ms=5}", WKR_SICK},
-		{503, "{clock-ms=5}", WKR_SICK},
+		{421, "{clock-ms=5}", WKR_OTHER_INSTANCE},
+		{429, "{clock-ms=5}", WKR_UNHEALTHY},
+		{503, "{clock-ms=5}", WKR_UNHEALTHY},
 		{400, "{clock-ms=5}", WKR_MALFORMED},
 		{500, "{clock-ms=5}", WKR_UNREADABLE},
 	};
@@ -393,7 +394,7 @@
 
 static void advice_is_asked_for(void **state)
 {
-	struct adv_ask ask = {
+	struct adv_query ask = {
 		.step = {.id = "0a", .turn = 2, .step = 1},
 		.workers = g_ptr_array_new(),
 	};
@@ -427,16 +428,16 @@
 		enum adv_result result;
 		guint rows;
 	} cases[] = {
-		{200, "{approved=[[i1,t1],[i2,t2]],validity-ms=3000}", ADV_TOLD,
+		{200, "{approved=[[i1,t1],[i2,t2]],validity-ms=3000}", ADV_OK,
 		 2},
-		{200, "{approved=[]}", ADV_TOLD, 0},
-		{200, "{version=1}", ADV_TOLD, 0},
-		{200, "{approved=5}", ADV_UNREADABLE, 0},
-		{200, "{approved=[[i1,t1],[i2]]}", ADV_UNREADABLE, 1},
-		{200, "[]", ADV_UNREADABLE, 0},
+		{200, "{approved=[]}", ADV_OK, 0},
+		{200, "{version=1}", ADV_OK, 0},
+		{200, "{approved=5}", ADV_MALFORMED, 0},
+		{200, "{approved=[[i1,t1],[i2]]}", ADV_MALFORMED, 1},
+		{200, "[]", ADV_MALFORMED, 0},
 		{429, "{version=1}", ADV_BUSY, 0},
-		{400, "{version=1}", ADV_TURNED_DOWN, 0},
-		{503, "{version=1}", ADV_SICK, 0},
+		{400, "{version=1}", ADV_REJECTED, 0},
+		{503, "{version=1}", ADV_UNAVAILABLE, 0},
 	};
 	size_t i;
 
--- a/tests/unit/replay.h
+++ b/tests/unit/replay.h
@@ -43,7 +43,7 @@
 	GHashTable *seconds; /* job id to run time in seconds + 1 */
 	GHashTable *submitted; /* job id to time of submission, ms + 1 */
 	int64_t slowest_urgent_ms;
-	int told; /* outcomes of jobs */
+	int outcomes; /* of jobs */
 	int64_t now;
 	int moves;
 	int bound; /* lower bound of the moves */
@@ -113,7 +113,7 @@
 	int i;
 
 	for (i = 0; i < (int)r->f->zones->len; i++)
-		if (g_array_index(r->f->zones, struct flt_zone, i).cut)
+		if (g_array_index(r->f->zones, struct flt_zone, i).partitioned)
 			return MAX(0, flt_floor(p) - p->serving);
 	for (i = 0; i < (int)r->f->vms->len; i++)
 		returning += flt_vm(r->f, i)->pool == pool &&
@@ -139,11 +139,11 @@
 	/* The buffer is measured only while no VM is down or partitioned. */
 	for (i = 0; i < (int)r->f->vms->len; i++)
 		if (flt_vm(r->f, i)->state != FLT_UP ||
-		    flt_zone_of(r->f, i)->cut)
+		    flt_zone_of(r->f, i)->partitioned)
 			return;
 	pln_measure(r->f, &r->config, &m);
 	for (i = 1; i < (int)r->f->pools->len; i++)
-		fixed += flt_pool(r->f, i)->worst_sw + r->config.slack;
+		fixed += flt_pool(r->f, i)->max_behind_switch + r->config.slack;
 	r->wanted = m.wanted;
 	r->buffer = MAX(r->buffer, m.embedded + m.reserve);
 	r->fixed = MAX(r->fixed, fixed);
@@ -184,12 +184,12 @@
 
 static inline void replay_zone_cut(struct replay *r, char **w)
 {
-	flt_cut(r->f, atoi(w[1]), true);
+	flt_set_partitioned(r->f, atoi(w[1]), true);
 }
 
 static inline void replay_zone_back(struct replay *r, char **w)
 {
-	flt_cut(r->f, atoi(w[1]), false);
+	flt_set_partitioned(r->f, atoi(w[1]), false);
 }
 
 static inline void replay_image(struct replay *r, char **w)
@@ -319,7 +319,7 @@
 	if (strcmp(w[1], "slowest-urgent-ms") == 0)
 		return (double)r->slowest_urgent_ms;
 	if (strcmp(w[1], "told") == 0)
-		return r->told;
+		return r->outcomes;
 	if (strncmp(w[1], "serving:", 8) == 0)
 		return flt_pool(r->f, replay_pool(r, w[1] + 8))->serving;
 	if (strncmp(w[1], "suspect:", 8) == 0)
@@ -381,7 +381,7 @@
 };
 
 /* Executes an order on its worker. */
-static inline void replay_order(struct replay *r, const struct job_act *a)
+static inline void replay_order(struct replay *r, const struct job_order *a)
 {
 	struct replay_job job = {};
 	struct replay_job *at;
@@ -395,10 +395,10 @@
 		at = &g_array_index(r->running, struct replay_job, i);
 		if (at->id != a->job || at->attempt != a->attempt)
 			continue;
-		at->stop |= a->kind == JOB_ACT_STOP;
+		at->stop |= a->kind == JOB_ORDER_STOP;
 		return;
 	}
-	if (a->kind != JOB_ACT_START)
+	if (a->kind != JOB_ORDER_START)
 		return;
 	waited = r->now + 1 -
 		 GPOINTER_TO_INT(g_hash_table_lookup(r->submitted,
@@ -420,14 +420,14 @@
  */
 static inline void replay_jobs(struct replay *r)
 {
-	GArray *lists[2] = {r->job_out.urgent, r->job_out.acts};
+	GArray *lists[2] = {r->job_out.urgent, r->job_out.orders};
 	struct replay_job at;
 	guint i;
 	int w;
 
 	for (w = 0; w < r->workers; w++)
 		if (!r->cut_worker[w])
-			job_lease(r->j, w, r->now + REPLAY_LEASE_MS);
+			job_renew_lease(r->j, w, r->now + REPLAY_LEASE_MS);
 	for (i = 0; i < r->running->len; i++) {
 		at = g_array_index(r->running, struct replay_job, i);
 		if (r->cut_worker[at.worker] ||
@@ -435,19 +435,19 @@
 		     !r->bad_worker[at.worker]))
 			continue;
 		g_array_remove_index(r->running, i--);
-		job_report(r->j, at.id, at.attempt,
-			   at.stop		      ? JOB_STOPPED
-			   : r->bad_worker[at.worker] ? JOB_FAIL
-						      : JOB_COMPLETE,
-			   false, &r->job_out);
+		job_report_end(r->j, at.id, at.attempt,
+			       at.stop			  ? JOB_STOPPED
+			       : r->bad_worker[at.worker] ? JOB_FAIL
+							  : JOB_COMPLETE,
+			       false, &r->job_out);
 	}
-	while (!job_step(r->j, r->now, 1000, &r->job_out))
+	while (!job_schedule(r->j, r->now, 1000, &r->job_out))
 		;
 	for (w = 0; w < 2; w++)
 		for (i = 0; i < lists[w]->len; i++)
-			replay_order(r, &g_array_index(lists[w], struct job_act,
-						       i));
-	r->told += (int)r->job_out.told->len;
+			replay_order(r, &g_array_index(lists[w],
+						       struct job_order, i));
+	r->outcomes += (int)r->job_out.outcomes->len;
 	job_out_clear(&r->job_out);
 }
 
--- a/tests/unit/sch_test.c
+++ b/tests/unit/sch_test.c
@@ -26,15 +26,15 @@
 	return !w->info.draining;
 }
 
-static bool on_leaving(void *arg, const struct jtb_worker *w)
+static bool on_upkeep_due(void *arg, const struct jtb_worker *w)
 {
 	const struct fixture *f = arg;
 
 	return f->upkeep_due && strcmp(f->upkeep_due, w->info.id) == 0;
 }
 
-static bool on_ticketed(void *arg, const struct jtb_job *job, uint32_t turn,
-			uint32_t step, const struct jtb_worker *w)
+static bool on_has_ticket(void *arg, const struct jtb_job *job, uint32_t turn,
+			  uint32_t step, const struct jtb_worker *w)
 {
 	const struct fixture *f = arg;
 	char *one = g_strdup_printf("%s@%s", job->spec.id, w->info.id);
@@ -52,13 +52,13 @@
 	g_string_append_printf(f->log, "%s.%u.%u@%s ", n->id, n->step, n->index,
 			       w->info.id);
 	if (f->keep_proposed)
-		jtb_plan(job, n, w);
+		jtb_propose_start(job, n, w);
 	else
 		jobs_start(f->jtb, n->id, n->step, n->index, attempt,
 			   w->info.id);
 }
 
-static void on_starved(void *arg, const char *pool)
+static void on_unschedulable(void *arg, const char *pool)
 {
 	struct fixture *f = arg;
 
@@ -74,10 +74,10 @@
 		.wall_ms = f->wall,
 		.arg = f,
 		.usable = on_usable,
-		.leaving = on_leaving,
-		.ticketed = on_ticketed,
+		.upkeep_due = on_upkeep_due,
+		.has_ticket = on_has_ticket,
 		.start = on_start,
-		.starved = on_starved,
+		.unschedulable = on_unschedulable,
 	};
 
 	g_string_truncate(f->log, 0);
@@ -114,7 +114,7 @@
 {
 	struct jtb_step s = {.count = count,
 			     .cpu = cpu,
-			     .guess_ms = guess_ms,
+			     .estimate_ms = guess_ms,
 			     .flags = flags};
 
 	jobs_job(f->jtb, id, &s, 1, f->wall - age_ms);
@@ -206,13 +206,13 @@
 	fail_on(f, 1, "w1");
 	fail_on(f, 2, "w1");
 	fail_on(f, 3, "w1");
-	submit(f, "l", 1, 8000, 0, JTB_LASTS, 0);
+	submit(f, "l", 1, 8000, 0, JTB_LONG_RUNNING, 0);
 	run_plan(f);
 	assert_string_equal(f->log->str, "");
 	/* The task has failed before, and another one runs on the worker. */
 	jobs_start(f->jtb, "l", 0, 0, 1, "w2");
 	jobs_end(f->jtb, "l", 0, 0, 1, "w2", JTB_FAILED_RUN);
-	submit(f, "m", 1, 100, 0, JTB_LASTS, 0);
+	submit(f, "m", 1, 100, 0, JTB_LONG_RUNNING, 0);
 	jobs_start(f->jtb, "m", 0, 0, 1, "w1");
 	f->elapsed_ms = 5000;
 	run_plan(f);
@@ -272,7 +272,9 @@
 	old = jtb_job(f->jtb, id);
 	if (old)
 		jobs_end(f->jtb, id, 0, 0, 1,
-			 jtb_part(old, 0, 0)->tasks[0].run->worker->info.id,
+			 jtb_step_state(old, 0, 0)
+				 ->tasks[0]
+				 .run->worker->info.id,
 			 JTB_DONE);
 }
 
@@ -294,8 +296,8 @@
 	submit(f, "burst", 12, 4000, 500, 0, 0);
 	run_plan(f);
 	for (i = 0; i < 12; i++) {
-		const struct jtb_part *part =
-			jtb_part(jtb_job(f->jtb, "burst"), 0, 0);
+		const struct jtb_step_state *part =
+			jtb_step_state(jtb_job(f->jtb, "burst"), 0, 0);
 
 		run_passing_job(f, i);
 		jobs_end(f->jtb, "burst", 0, (uint32_t)i, 1,
@@ -353,8 +355,10 @@
 {
 	static char absent[] = "absent-label";
 	struct fixture *f = *state;
-	struct jtb_step s = {
-		.count = 1, .cpu = 1000, .flags = JTB_LASTS, .label = absent};
+	struct jtb_step s = {.count = 1,
+			     .cpu = 1000,
+			     .flags = JTB_LONG_RUNNING,
+			     .label = absent};
 	char id[16];
 	int i;
 
@@ -364,7 +368,8 @@
 		g_snprintf(id, sizeof(id), "never%d", i);
 		jobs_job(f->jtb, id, &s, 1, f->wall);
 		g_snprintf(id, sizeof(id), "large%d", i);
-		submit(f, id, 1, 32000 + (uint32_t)i, 1000, JTB_LASTS, 0);
+		submit(f, id, 1, 32000 + (uint32_t)i, 1000, JTB_LONG_RUNNING,
+		       0);
 	}
 	submit(f, "a", 1, 1000, 1000, 0, 0);
 	run_plan(f);
@@ -383,7 +388,7 @@
 	jobs_worker(f->jtb, "w", 1000, false);
 	submit(f, "sure", 1, 1000, 1000, 0, 0);
 	submit(f, "high", 1, 1000, 500, 0, 700);
-	jtb_job(f->jtb, "high")->scale = 0.5;
+	jtb_job(f->jtb, "high")->estimate_ratio = 0.5;
 	run_plan(f);
 	assert_string_equal(f->log->str, "sure.0.0@w ");
 }
@@ -414,7 +419,7 @@
 
 	jobs_worker(f->jtb, "w", 2000, false);
 	submit(f, "s1", 2, 1000, 100, 0, 0);
-	submit(f, "l1", 1, 1500, 0, JTB_LASTS, 0);
+	submit(f, "l1", 1, 1500, 0, JTB_LONG_RUNNING, 0);
 	run_plan(f);
 	assert_string_equal(f->log->str, "l1.0.0@w ");
 }
@@ -429,8 +434,8 @@
 	struct fixture *f = *state;
 	struct jtb_step s = {.count = 2,
 			     .cpu = 500,
-			     .guess_ms = 100,
-			     .per_worker = 1,
+			     .estimate_ms = 100,
+			     .max_per_worker = 1,
 			     .flags = JTB_GANG};
 
 	jobs_worker(f->jtb, "w1", 2000, false);
@@ -450,8 +455,10 @@
 static void running_tasks_count_for_limit_per_worker(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {
-		.count = 2, .cpu = 500, .guess_ms = 100, .per_worker = 1};
+	struct jtb_step s = {.count = 2,
+			     .cpu = 500,
+			     .estimate_ms = 100,
+			     .max_per_worker = 1};
 
 	jobs_worker(f->jtb, "w1", 2000, false);
 	jobs_job(f->jtb, "a", &s, 1, f->wall);
@@ -476,14 +483,14 @@
 	run_plan(f);
 	run = g_ptr_array_index(jtb_worker(f->jtb, "w")->runs, 0);
 	run->ordered_ms = PLAN_MS;
-	assert_true(sch_tells_time(run, JTB_DONE, PLAN_MS - 1));
-	assert_false(sch_tells_time(run, JTB_DONE, PLAN_MS));
-	assert_false(sch_tells_time(run, JTB_STOPPED, PLAN_MS - 1));
+	assert_true(sch_is_time_sample(run, JTB_DONE, PLAN_MS - 1));
+	assert_false(sch_is_time_sample(run, JTB_DONE, PLAN_MS));
+	assert_false(sch_is_time_sample(run, JTB_STOPPED, PLAN_MS - 1));
 	run->attempt = 2;
-	assert_false(sch_tells_time(run, JTB_DONE, PLAN_MS - 1));
+	assert_false(sch_is_time_sample(run, JTB_DONE, PLAN_MS - 1));
 	run->attempt = 1;
 	run->job->spec.steps[0].flags = JTB_GANG;
-	assert_false(sch_tells_time(run, JTB_DONE, PLAN_MS - 1));
+	assert_false(sch_is_time_sample(run, JTB_DONE, PLAN_MS - 1));
 }
 
 /*
@@ -494,15 +501,17 @@
 static void proposed_start_survives_removal_of_its_worker(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {
-		.count = 2, .cpu = 500, .guess_ms = 100, .per_worker = 1};
+	struct jtb_step s = {.count = 2,
+			     .cpu = 500,
+			     .estimate_ms = 100,
+			     .max_per_worker = 1};
 
 	f->keep_proposed = true;
 	jobs_worker(f->jtb, "w1", 2000, false);
 	jobs_job(f->jtb, "a", &s, 1, f->wall);
 	run_plan(f);
 	assert_string_equal(f->log->str, "a.0.0@w1 ");
-	jobs_gone(f->jtb, "w1", true);
+	jobs_worker_lost(f->jtb, "w1", true);
 	jobs_worker(f->jtb, "w2", 2000, false);
 	run_plan(f);
 	assert_string_equal(f->log->str, "a.0.1@w2 ");
@@ -516,7 +525,7 @@
 	jobs_worker(f->jtb, "w", 2000, false);
 	submit(f, "s1", 2, 1000, 100, 0, 0);
 	run_plan(f);
-	submit(f, "l1", 1, 1500, 0, JTB_LASTS, 0);
+	submit(f, "l1", 1, 1500, 0, JTB_LONG_RUNNING, 0);
 	submit(f, "s2", 2, 1000, 100, 0, 0);
 	jobs_end(f->jtb, "s1", 0, 0, 1, "w", JTB_DONE);
 	run_plan(f);
@@ -582,7 +591,7 @@
 {
 	struct fixture *f = *state;
 	struct jtb_step s = {
-		.count = 3, .cpu = 100, .guess_ms = 10, .per_worker = 1};
+		.count = 3, .cpu = 100, .estimate_ms = 10, .max_per_worker = 1};
 
 	jobs_worker(f->jtb, "w1", 9000, false);
 	jobs_worker(f->jtb, "w2", 9000, false);
@@ -590,7 +599,7 @@
 	run_plan(f);
 	assert_int_equal(jtb_worker(f->jtb, "w1")->runs->len, 1);
 	assert_int_equal(jtb_worker(f->jtb, "w2")->runs->len, 1);
-	assert_int_equal(sch_apart(jtb_job(f->jtb, "a"), f->wall), 3);
+	assert_int_equal(sch_min_workers(jtb_job(f->jtb, "a"), f->wall), 3);
 }
 
 /* The limit of tasks per worker counts proposed starts. */
@@ -598,18 +607,18 @@
 {
 	struct fixture *f = *state;
 	struct jtb_step s = {
-		.count = 3, .cpu = 100, .guess_ms = 10, .per_worker = 1};
-	const struct jtb_part *part;
+		.count = 3, .cpu = 100, .estimate_ms = 10, .max_per_worker = 1};
+	const struct jtb_step_state *part;
 
 	f->keep_proposed = true;
 	jobs_worker(f->jtb, "w1", 9000, false);
 	jobs_worker(f->jtb, "w2", 9000, false);
 	jobs_job(f->jtb, "a", &s, 1, f->wall);
 	run_plan(f);
-	part = &jtb_job(f->jtb, "a")->turns[0].parts[0];
-	assert_int_equal(part->n_planned, 2);
+	part = &jtb_job(f->jtb, "a")->turns[0].steps[0];
+	assert_int_equal(part->n_proposed, 2);
 	run_plan(f);
-	assert_int_equal(part->n_planned, 2);
+	assert_int_equal(part->n_proposed, 2);
 }
 
 /*
@@ -625,11 +634,11 @@
 	submit(f, "a", 1, 100, 10, 0, 0);
 	run_plan(f);
 	jobs_end(f->jtb, "a", 0, 0, 1, "w", JTB_FAILED_RUN);
-	task = &jtb_job(f->jtb, "a")->turns[0].parts[0].tasks[0];
-	task->free_ms = PLAN_MS;
+	task = &jtb_job(f->jtb, "a")->turns[0].steps[0].tasks[0];
+	task->last_end_ms = PLAN_MS;
 	run_plan(f);
 	assert_string_equal(f->log->str, "");
-	task->free_ms = 0;
+	task->last_end_ms = 0;
 	run_plan(f);
 	assert_string_equal(f->log->str, "a.0.0@w ");
 }
@@ -640,7 +649,7 @@
 	struct fixture *f = *state;
 	char label[] = "kind-b";
 	struct jtb_step s = {
-		.count = 1, .cpu = 100, .guess_ms = 10, .label = label};
+		.count = 1, .cpu = 100, .estimate_ms = 10, .label = label};
 
 	jobs_worker(f->jtb, "w1", 9000, false);
 	jobs_job(f->jtb, "a", &s, 1, f->wall);
@@ -676,7 +685,7 @@
 static void turn_starts_at_its_time(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step s = {.count = 1, .cpu = 100, .guess_ms = 10};
+	struct jtb_step s = {.count = 1, .cpu = 100, .estimate_ms = 10};
 	struct jtb_spec spec = {
 		.id = "r",
 		.queue = (char *)"q",
@@ -708,7 +717,7 @@
 	jobs_worker(f->jtb, "w1", 16000, false);
 	jobs_worker(f->jtb, "w2", 8000, false);
 	f->upkeep_due = "w1";
-	submit(f, "l", 1, 1000, 0, JTB_LASTS, 0);
+	submit(f, "l", 1, 1000, 0, JTB_LONG_RUNNING, 0);
 	run_plan(f);
 	assert_string_equal(f->log->str, "l.0.0@w2 ");
 }
@@ -739,15 +748,15 @@
 	struct fixture *f = *state;
 	char label[] = "kind-none";
 	struct jtb_step labelled = {
-		.count = 1, .cpu = 100, .guess_ms = 10, .label = label};
-	struct jtb_step large = {.count = 1, .cpu = 5000, .guess_ms = 10};
+		.count = 1, .cpu = 100, .estimate_ms = 10, .label = label};
+	struct jtb_step large = {.count = 1, .cpu = 5000, .estimate_ms = 10};
 
 	jobs_worker(f->jtb, "w", 2000, false);
 	submit_unplaceable(f, 60, &labelled);
 	submit(f, "a", 1, 1000, 1000, 0, 60000);
 	run_plan(f);
 	assert_string_equal(f->log->str, "a.0.0@w ");
-	large.flags = JTB_LASTS;
+	large.flags = JTB_LONG_RUNNING;
 	jobs_end(f->jtb, "a", 0, 0, 1, "w", JTB_DONE);
 	jobs_job(f->jtb, "y", &large, 1, f->wall);
 	submit(f, "b", 1, 1000, 1000, 0, 0);
@@ -762,10 +771,10 @@
 static void large_jobs_delay_no_small_job(void **state)
 {
 	struct fixture *f = *state;
-	struct jtb_step large = {.count = 1, .cpu = 2000, .guess_ms = 10};
+	struct jtb_step large = {.count = 1, .cpu = 2000, .estimate_ms = 10};
 
 	jobs_worker(f->jtb, "w", 2000, false);
-	submit(f, "l", 1, 500, 0, JTB_LASTS, 0);
+	submit(f, "l", 1, 500, 0, JTB_LONG_RUNNING, 0);
 	run_plan(f);
 	submit_unplaceable(f, 60, &large);
 	submit(f, "a", 1, 1000, 1000, 0, 60000);
@@ -783,10 +792,10 @@
 	struct fixture *f = *state;
 
 	jobs_worker(f->jtb, "w", 2000, false);
-	submit(f, "held", 1, 1000, 0, JTB_LASTS, 0);
+	submit(f, "held", 1, 1000, 0, JTB_LONG_RUNNING, 0);
 	run_plan(f);
-	submit(f, "large", 1, 1500, 0, JTB_LASTS, 0);
-	submit(f, "small", 1, 500, 0, JTB_LASTS, 0);
+	submit(f, "large", 1, 1500, 0, JTB_LONG_RUNNING, 0);
+	submit(f, "small", 1, 500, 0, JTB_LONG_RUNNING, 0);
 	run_plan(f);
 	assert_string_equal(f->log->str, "small.0.0@w ");
 }
@@ -805,7 +814,7 @@
 	submit(f, "s", 1, 1000, 100, 0, 0);
 	run_plan(f);
 	assert_int_equal(f->unschedulable, 0);
-	submit(f, "l", 1, 1000, 0, JTB_LASTS, 0);
+	submit(f, "l", 1, 1000, 0, JTB_LONG_RUNNING, 0);
 	run_plan(f);
 	assert_string_equal(f->log->str, "");
 	assert_int_equal(f->unschedulable, 1);
@@ -821,8 +830,8 @@
 	struct fixture *f = *state;
 	struct jtb_step s = {.count = 2,
 			     .cpu = 100,
-			     .guess_ms = 10,
-			     .per_worker = 1,
+			     .estimate_ms = 10,
+			     .max_per_worker = 1,
 			     .flags = JTB_GANG};
 	struct jtb_spec spec = {
 		.id = "r",
@@ -846,7 +855,7 @@
 	jobs_end(f->jtb, "r", 0, 0, 1, "w2", JTB_DONE);
 	assert_int_equal(jtb_job(f->jtb, "r")->turns_done, 1);
 	f->wall += 5000;
-	assert_int_equal(sch_apart(jtb_job(f->jtb, "r"), f->wall), 2);
+	assert_int_equal(sch_min_workers(jtb_job(f->jtb, "r"), f->wall), 2);
 }
 
 /*
@@ -858,10 +867,10 @@
 	struct fixture *f = *state;
 
 	jobs_worker(f->jtb, "w", 2000, false);
-	submit(f, "g", 4, 1000, 300, JTB_GANG | JTB_FILLS, 0);
+	submit(f, "g", 4, 1000, 300, JTB_GANG | JTB_BEST_EFFORT, 0);
 	run_plan(f);
 	assert_int_equal(jtb_job(f->jtb, "g")->n_runs, 4);
-	assert_int_equal(jtb_worker(f->jtb, "w")->plan_cpu, 0);
+	assert_int_equal(jtb_worker(f->jtb, "w")->proposed_cpu, 0);
 }
 
 /*
@@ -873,7 +882,7 @@
 	struct fixture *f = *state;
 
 	jobs_worker(f->jtb, "w", 2000, false);
-	submit(f, "g", 3, 1000, 0, JTB_GANG | JTB_LASTS, 0);
+	submit(f, "g", 3, 1000, 0, JTB_GANG | JTB_LONG_RUNNING, 0);
 	run_plan(f);
 	assert_string_equal(f->log->str, "");
 	assert_int_equal(f->unschedulable, 1);
@@ -905,7 +914,7 @@
 	require_tickets(f, "");
 	for (i = 0; i < 60; i++) {
 		g_snprintf(id, sizeof(id), "n%d", i);
-		submit(f, id, 1, 1000, 300, JTB_LASTS, 0);
+		submit(f, id, 1, 1000, 300, JTB_LONG_RUNNING, 0);
 	}
 	submit(f, "g", 2, 1000, 300, JTB_GANG, 0);
 	submit(f, "y", 1, 1000, 300, 0, 0);
@@ -986,8 +995,8 @@
 {
 	struct jtb_step s = {.count = count,
 			     .cpu = 1000,
-			     .guess_ms = 500,
-			     .flags = JTB_GANG | JTB_ONE_RACK,
+			     .estimate_ms = 500,
+			     .flags = JTB_GANG | JTB_RACK_SENSITIVE,
 			     .rack = (char *)data_rack};
 
 	jobs_job(f->jtb, id, &s, 1, f->wall);
@@ -1101,7 +1110,7 @@
 	g_strlcpy(n.id, id, sizeof(n.id));
 	g_array_append_val(blame.suspects, n);
 	pk_out_init(&o);
-	jtb_put_lost(&o, "lost", true, &blame, JOBS_WALL_MS);
+	jtb_put_worker_crashed(&o, "lost", true, &blame, JOBS_WALL_MS);
 	jobs_apply(f->jtb, &o);
 	jtb_blame_clear(&blame);
 }
@@ -1110,11 +1119,11 @@
 static void set_observed(struct fixture *f, const char *id, int64_t ms)
 {
 	struct jtb_run *run =
-		jtb_job(f->jtb, id)->turns[0].parts[0].tasks[0].run;
+		jtb_job(f->jtb, id)->turns[0].steps[0].tasks[0].run;
 
 	assert_non_null(run);
-	run->began_ms = 1;
-	run->seen_ms = 1 + ms;
+	run->first_running_ms = 1;
+	run->last_running_ms = 1 + ms;
 }
 
 /*
@@ -1139,7 +1148,7 @@
 	 * fits.
 	 */
 	submit(f, "c", 1, 1000, 500, 0, 0);
-	set_observed(f, "b", SCH_FRESH_MS);
+	set_observed(f, "b", SCH_JUST_STARTED_MS);
 	f->elapsed_ms += 100;
 	run_plan(f);
 	assert_string_equal(f->log->str, "c.0.0@w1 ");
@@ -1152,7 +1161,7 @@
 	 * The suspect has been observed running, and its worker is usable
 	 * again.
 	 */
-	set_observed(f, "a", SCH_FRESH_MS);
+	set_observed(f, "a", SCH_JUST_STARTED_MS);
 	f->elapsed_ms += 100;
 	run_plan(f);
 	assert_non_null(strstr(f->log->str, "@w2"));
@@ -1179,7 +1188,7 @@
 	f->elapsed_ms += 100;
 	run_plan(f);
 	assert_string_equal(f->log->str, "");
-	set_observed(f, "b", SCH_FRESH_MS);
+	set_observed(f, "b", SCH_JUST_STARTED_MS);
 	f->elapsed_ms += 100;
 	run_plan(f);
 	assert_string_equal(f->log->str, "a.0.0@w1 ");
