--- a/src/evd.h
+++ b/src/evd.h
@@ -20,11 +20,12 @@
 	EVD_UNLISTED, /* missing from a later list of its worker's runs */
 	/* the worker's leases have expired, even on the slowest clock */
 	EVD_LEASE,
-	EVD_LIFE, /* another process instance answers at the worker's address */
+	/* another process instance answers at the worker's address */
+	EVD_LIFE,
 	EVD_VM_DOWN, /* worker unreachable, and its VM listed as not up */
 	/* worker unreachable, and its VM listed with another worker */
 	EVD_VM_OTHER,
-	/* worker unreachable, and it is no longer on any list of VMs */
+	/* worker unreachable, and no longer on any list of VMs */
 	EVD_VM_NONE,
 	/* the leader ordered an operation that takes the worker's VM */
 	EVD_VM_ORDER,
@@ -34,7 +35,7 @@
 
 struct evd {
 	enum evd_why why;
-	int64_t at_ms; /* when it was concluded */
+	int64_t at_ms; /* when the evidence was concluded */
 	int64_t as_of_ms; /* when the list was requested or the lease granted */
 	int64_t lag_ms; /* delay of the leader's event loop at that time */
 };
@@ -44,20 +45,20 @@
  * are on the clock of tmr, in ms.
  */
 struct evd_worker {
-	int64_t clock_ms; /* the worker's clock when it last reported it */
+	int64_t clock_ms; /* clock last reported by the worker */
 	int64_t clock_at; /* local time of that report; 0: none yet */
 	int64_t granted_at; /* when a lease was last granted; 0: never */
 	int64_t granted_until; /* latest lease expiry, on the worker's clock */
 	int64_t failed_since; /* unreachable since; 0: reachable */
-	int64_t ok_ms; /* time of its last answer */
+	int64_t ok_ms; /* time of the worker's last answer */
 };
 
 /* What the newest complete list of VMs says about a worker. */
 struct evd_vm {
 	int64_t asked_ms; /* when the list was requested */
 	bool listed; /* the worker or its last known VM is on the list */
-	bool up; /* that VM is up */
-	bool other; /* its last known VM is listed with another worker */
+	bool up; /* the worker's last known VM is up */
+	bool other; /* the last known VM is listed with another worker */
 	bool unread; /* the list names no worker for a VM that is up */
 	uint32_t without; /* consecutive complete lists without the worker */
 };
--- a/src/hld.h
+++ b/src/hld.h
@@ -18,27 +18,27 @@
 enum hld_reason {
 	HLD_NONE, /* none: a plan made now starts it */
 	/* not pending */
-	HLD_OVER, /* the task is done, or its job has ended */
-	HLD_RUNS,
+	HLD_OVER, /* the task is done, or the job has ended */
+	HLD_RUNS, /* the task runs */
 	/* not due */
-	HLD_NOT_DUE, /* the time of its turn has not come */
+	HLD_NOT_DUE, /* the time of the task's turn has not come */
 	HLD_EARLIER_STEP, /* earlier steps are not done */
-	HLD_NO_QUEUE, /* its queue is no longer in the configuration */
+	HLD_NO_QUEUE, /* the job's queue is not in the configuration */
 	/* being started, stopped or ended */
-	HLD_PROPOSED, /* its start is not committed yet */
-	HLD_ORDERED, /* its worker has not acknowledged the start */
-	HLD_STOPPING, /* its run is being stopped */
-	/* its worker is unreachable and its lease may still be valid */
+	HLD_PROPOSED, /* the task's start is not committed yet */
+	HLD_ORDERED, /* the worker has not acknowledged the start */
+	HLD_STOPPING, /* the task's run is being stopped */
+	/* the run's worker is unreachable and the lease may still be valid */
 	HLD_SILENT,
-	HLD_ENDING, /* the end of its last run is not committed yet */
-	HLD_GANG, /* other members of its gang still run or are being started */
-	/* its last run has just ended, and it is retried shortly */
+	HLD_ENDING, /* the end of the last run is not committed yet */
+	HLD_GANG, /* other members of the gang run or are being started */
+	/* the last run has just ended, and the task is retried shortly */
 	HLD_JUST_ENDED,
-	/* it may have crashed a worker and awaits its isolated retry */
+	/* the task may have crashed a worker and awaits its isolated retry */
 	HLD_ISOLATED_RETRY,
 	/*
-	 * given by the workers of its pool: what keeps the best of them, the
-	 * one with the last of these reasons, from taking the task
+	 * given by the workers of the task's pool: what keeps the best of them,
+	 * the one with the last of these reasons, from taking the task
 	 */
 	HLD_NO_WORKER, /* the pool has no worker */
 	HLD_NO_LABEL, /* the best worker lacks the label */
@@ -50,7 +50,7 @@
 	/* the best worker is being drained for a move to another pool */
 	HLD_MOVING,
 	HLD_UPKEEP, /* the best worker is being drained for upkeep */
-	/* the best worker has no ticket for it from the advice service */
+	/* the best worker has no ticket for the task from the advice service */
 	HLD_NO_TICKET,
 	/* the best worker has reached the step's limit of tasks per worker */
 	HLD_WORKER_LIMIT,
@@ -58,8 +58,8 @@
 	HLD_RESERVED, /* the best worker is reserved for a long-running task */
 	/* the best worker is reserved for an isolated retry */
 	HLD_RESERVED_FOR_RETRY,
-	HLD_NO_GANG_CAPACITY, /* not all of its gang fits */
-	/* all of its gang fits, but it waits for one rack */
+	HLD_NO_GANG_CAPACITY, /* not all members of the gang fit */
+	/* all members of the gang fit, but wait for one rack */
 	HLD_WAITS_FOR_RACK,
 	HLD_REASONS
 };
--- a/src/pac.h
+++ b/src/pac.h
@@ -13,7 +13,7 @@
  * depend on the figures that a worker lists, and do no input or output.
  */
 struct pac_ops {
-	/* Sets the speed of a run, percent of its full speed. */
+	/* Sets the speed of a run, percent of the full speed. */
 	void (*pace)(void *arg, struct jtb_run *run, int percent);
 };
 
--- a/src/sch.h
+++ b/src/sch.h
@@ -47,10 +47,10 @@
 
 /* Values of sch_seen_ms for a run without an observed running time. */
 enum sch_seen {
-	SCH_UNSEEN = -1, /* its worker has never listed it */
-	/* the worker was never sent it, or has finished with it */
+	SCH_UNSEEN = -1, /* the worker has never listed the run */
+	/* the worker was never sent the run, or has finished with it */
 	SCH_NOT_SENT = -2,
-	SCH_UNKNOWN = -3, /* an earlier leader started it at an unknown time */
+	SCH_UNKNOWN = -3, /* started by an earlier leader at an unknown time */
 };
 
 /* What a job can still achieve, best first. */
--- a/src/wkr.h
+++ b/src/wkr.h
@@ -26,26 +26,26 @@
 	WKR_SENT, /* an order is in flight */
 	WKR_ON, /* the worker has accepted the start or lists the run */
 	WKR_OVER, /* the worker has answered that the run never starts again */
-	WKR_DROPPED, /* abandoned by the leader; its end is proposed */
+	WKR_DROPPED, /* abandoned by the leader; the run's end is proposed */
 };
 
 /* Whether a worker may be assigned new work, and if not, why. */
 enum wkr_bar {
-	WKR_FREE, /* it may */
-	WKR_DRAINS, /* it has reported that it is draining */
-	WKR_UNHEARD, /* it is unreachable, or has not answered yet */
-	WKR_SHUNNED, /* backed off from: it was unhealthy or full recently */
+	WKR_FREE, /* the worker may be assigned work */
+	WKR_DRAINS, /* the worker has reported that it is draining */
+	WKR_UNHEARD, /* the worker is unreachable, or has not answered yet */
+	WKR_SHUNNED, /* the worker was unhealthy or full recently */
 };
 
 /* A worker's answer to an order. */
 enum wkr_answer {
 	WKR_YES,
-	WKR_FENCED, /* it has seen a higher fencing token */
+	WKR_FENCED, /* the worker has seen a higher fencing token */
 	WKR_OLD, /* the run is over on the worker */
 	WKR_LATE, /* the lease had expired when the order arrived */
 	WKR_NO_ROOM,
 	WKR_NO_TICKET,
-	WKR_SICK, /* it is unable to now, and did nothing */
+	WKR_SICK, /* the worker is unable to now, and did nothing */
 	WKR_OTHER_LIFE, /* another process instance is at that address */
 	WKR_MALFORMED, /* the worker could not parse the order */
 	WKR_UNREADABLE, /* the answer could not be parsed */
@@ -80,7 +80,7 @@
 	struct jtb_name name;
 	uint32_t attempt;
 	struct lstr saved;
-	int32_t percent; /* percent of its work done; -1: not reported */
+	int32_t percent; /* share of the work done; -1: not reported */
 	/* tail latency in ms, or processor in use; -1: not reported */
 	int32_t figure;
 };
@@ -89,7 +89,7 @@
 struct wkr_end {
 	uint64_t no;
 	struct jtb_name name;
-	bool known; /* its task name could be parsed */
+	bool known; /* the task's name could be parsed */
 	uint32_t attempt;
 	enum jtb_end how;
 	struct lstr saved;
@@ -103,7 +103,7 @@
 	int64_t clock_ms; /* the worker's clock; 0: not reported */
 	GArray *rows; /* struct wkr_row */
 	GArray *ends; /* struct wkr_end */
-	bool partial; /* it is, or may be, incomplete */
+	bool partial; /* the report is, or may be, incomplete */
 	void *owner; /* data of the codec */
 };
 
--- a/src/wkr_int.h
+++ b/src/wkr_int.h
@@ -56,7 +56,7 @@
 struct wkr_stale_start {
 	struct jtb_name name;
 	uint32_t attempt;
-	bool stopping; /* a stop for it is in flight */
+	bool stopping; /* a stop for the run is in flight */
 };
 
 /* A call in flight. */
@@ -79,7 +79,7 @@
 struct wkr_session {
 	struct wkr *k;
 	struct jtb_worker *w;
-	bool polled; /* it has listed its runs since this leader's term began */
+	bool polled; /* the worker has sent a list in this term */
 	struct wkr_call *hold;
 	uint64_t hold_timer;
 	uint64_t order_timer;
