--- a/bench/adv_bench.c
+++ b/bench/adv_bench.c
@@ -158,10 +158,10 @@
 		.now_ms = WALL_MS,
 		.arg = a,
 		.usable = usable,
-		.leaving = leaving,
-		.ticketed = ticketed,
+		.upkeep_due = leaving,
+		.has_ticket = ticketed,
 		.start = start,
-		.starved = starved,
+		.unschedulable = starved,
 	};
 	struct adv_ask ask;
 	double from;
--- a/bench/hld_bench.c
+++ b/bench/hld_bench.c
@@ -140,15 +140,15 @@
 		.wall_ms = WALL_MS,
 		.now_ms = WALL_MS,
 		.usable = usable,
-		.leaving = leaving,
+		.upkeep_due = leaving,
 		.start = start,
-		.starved = starved,
+		.unschedulable = starved,
 	};
 	struct hld_view v = {
 		.sch = &sch,
 		.moving = none,
 		.upkeep = none,
-		.bar = bar,
+		.worker_reason = bar,
 		.run = run,
 	};
 	struct hld_sum sum = {0};
@@ -166,7 +166,7 @@
 	from = bench_now_ms();
 	for (i = 0; i < LOOKS; i++) {
 		sch.now_ms += 1000;
-		hld_look(&v, &sum, tell, NULL);
+		hld_scan_all(&v, &sum, tell, NULL);
 	}
 	printf("hld/%d/%s\t%.3f\tms\t%.1f\n", WORKERS, what,
 	       (bench_now_ms() - from) / LOOKS, STEP_MS);
--- a/bench/sch_bench.c
+++ b/bench/sch_bench.c
@@ -131,9 +131,9 @@
 		.wall_ms = WALL_MS,
 		.now_ms = WALL_MS,
 		.usable = usable,
-		.leaving = leaving,
+		.upkeep_due = leaving,
 		.start = start,
-		.starved = starved,
+		.unschedulable = starved,
 	};
 	double from;
 	double first;
--- a/src/adv.c
+++ b/src/adv.c
@@ -403,7 +403,7 @@
 		if (!c.queue || !c.queue->advised || jtb_ended(job))
 			continue;
 		c.urgency = sch_urgency(c.queue, job, wall_ms);
-		c.late = !sch_lasts(job) && !job->spec.repeats &&
+		c.late = !sch_is_long_running(job) && !job->spec.repeats &&
 			 sch_chance(c.queue, job, wall_ms) != SCH_IN_TIME;
 		g_array_append_val(out, c);
 	}
--- a/src/crs.c
+++ b/src/crs.c
@@ -59,8 +59,8 @@
  * nothing had just started, a power or network failure is the likelier reason,
  * and the loss alone makes none of their tasks guilty.
  */
-void crs_lost(struct crs *c, const struct jtb_worker *w, bool crashed,
-	      int64_t now_ms, struct jtb_blame *out)
+void crs_record_loss(struct crs *c, const struct jtb_worker *w, bool crashed,
+		     int64_t now_ms, struct jtb_blame *out)
 {
 	struct crs_loss *loss;
 
@@ -91,14 +91,14 @@
 	g_free(loss);
 }
 
-/* Drops losses older than CRS_NEAR_MS. */
+/* Drops losses older than CRS_WINDOW_MS. */
 static void crs_drop_old(struct crs *c, int64_t now)
 {
 	const struct crs_loss *first;
 
 	while (c->losses->len) {
 		first = g_ptr_array_index(c->losses, 0);
-		if (now - first->at_ms <= CRS_NEAR_MS)
+		if (now - first->at_ms <= CRS_WINDOW_MS)
 			return;
 		g_ptr_array_remove_index(c->losses, 0);
 	}
@@ -112,7 +112,7 @@
 	const char *rack = sch_rack_of(w);
 	guint i;
 
-	if (c->ops->rack_silent(c->arg, w))
+	if (c->ops->rack_unreachable(c->arg, w))
 		return true;
 	for (i = 0; i < c->losses->len; i++) {
 		const struct crs_loss *loss = g_ptr_array_index(c->losses, i);
@@ -133,9 +133,9 @@
 
 	for (i = 0; i < w->runs->len; i++) {
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
-		int64_t seen = c->ops->seen_ms(c->arg, run);
+		int64_t seen = c->ops->observed_ms(c->arg, run);
 
-		if (seen == SCH_NOT_SENT || seen >= SCH_FRESH_MS)
+		if (seen == SCH_NOT_SENT || seen >= SCH_JUST_STARTED_MS)
 			continue;
 		/*
 		 * A run of unknown age counts as a suspect, but the loss alone
@@ -158,7 +158,7 @@
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
 		if (!jtb_suspect(run->job, run->step, run->index) ||
-		    c->ops->seen_ms(c->arg, run) < SCH_FRESH_MS)
+		    c->ops->observed_ms(c->arg, run) < SCH_JUST_STARTED_MS)
 			continue;
 		jtb_name_of(run, &n);
 		g_array_append_val(out, n);
--- a/src/crs.h
+++ b/src/crs.h
@@ -16,19 +16,19 @@
  * Workers lost within this time of each other may have been lost for one
  * reason, ms.
  */
-#define CRS_NEAR_MS 2000
+#define CRS_WINDOW_MS 2000
 
 struct crs_ops {
 	/*
 	 * Returns for how long a run had been observed running when its worker
-	 * last answered, ms, or a value of enum sch_seen.
+	 * last answered, ms, or a value of enum sch_observed.
 	 */
-	int64_t (*seen_ms)(void *arg, const struct jtb_run *run);
+	int64_t (*observed_ms)(void *arg, const struct jtb_run *run);
 	/*
 	 * Whether another worker of the same rack became unreachable within
-	 * CRS_NEAR_MS.
+	 * CRS_WINDOW_MS.
 	 */
-	bool (*rack_silent)(void *arg, const struct jtb_worker *w);
+	bool (*rack_unreachable)(void *arg, const struct jtb_worker *w);
 	/*
 	 * Whether an unreachable worker is known to be still running; NULL:
 	 * never.
@@ -39,7 +39,7 @@
 struct crs *crs_new(const struct crs_ops *ops, void *arg);
 void crs_free(struct crs *c);
 void crs_clear(struct crs *c);
-void crs_lost(struct crs *c, const struct jtb_worker *w, bool crashed,
-	      int64_t now_ms, struct jtb_blame *out);
+void crs_record_loss(struct crs *c, const struct jtb_worker *w, bool crashed,
+		     int64_t now_ms, struct jtb_blame *out);
 
 #endif
--- a/src/evd.c
+++ b/src/evd.c
@@ -22,11 +22,16 @@
 #define EVD_MIN_ABSENT_LISTS 2
 
 static const char *const evd_names[EVD_KINDS] = {
-	[EVD_NONE] = "earlier-leader",	  [EVD_UNSENT] = "never-sent",
-	[EVD_UNLISTED] = "not-listed",	  [EVD_LEASE] = "lease-over",
-	[EVD_LIFE] = "other-lifetime",	  [EVD_VM_DOWN] = "vm-not-up",
-	[EVD_VM_OTHER] = "vm-of-another", [EVD_VM_NONE] = "vm-not-listed",
-	[EVD_VM_ORDER] = "vm-ordered",	  [EVD_LEFT] = "left",
+	[EVD_NONE] = "earlier-leader",
+	[EVD_UNSENT] = "never-sent",
+	[EVD_UNLISTED] = "not-listed",
+	[EVD_LEASE] = "lease-over",
+	[EVD_OTHER_INSTANCE] = "other-lifetime",
+	[EVD_VM_DOWN] = "vm-not-up",
+	[EVD_VM_OTHER] = "vm-of-another",
+	[EVD_VM_NONE] = "vm-not-listed",
+	[EVD_VM_ORDER] = "vm-ordered",
+	[EVD_LEFT] = "left",
 };
 
 /* Returns the name of a kind of evidence in log lines. */
@@ -39,18 +44,18 @@
  * Whether the evidence proves that the worker process has ended permanently,
  * not only that its leases have expired.
  */
-bool evd_for_good(const struct evd *e)
+bool evd_is_permanent(const struct evd *e)
 {
-	return e->why >= EVD_LIFE;
+	return e->why >= EVD_OTHER_INSTANCE;
 }
 
 /*
  * Records an answer of a worker. clock_ms is the worker's clock, or 0 if the
  * answer did not report it.
  */
-void evd_heard(struct evd_worker *w, int64_t clock_ms, int64_t now_ms)
+void evd_record_answer(struct evd_worker *w, int64_t clock_ms, int64_t now_ms)
 {
-	w->ok_ms = now_ms;
+	w->answered_ms = now_ms;
 	w->failed_since = 0;
 	if (clock_ms <= 0)
 		return;
@@ -70,7 +75,8 @@
  * it sends has expired by the worker's clock; the next leader waits
  * EVD_OLD_LEADER_MS longer than the lease for what was sent before.
  */
-int64_t evd_until(const struct evd_worker *w, int64_t sure_ms, int64_t lease_ms)
+int64_t evd_lease_end(const struct evd_worker *w, int64_t sure_ms,
+		      int64_t lease_ms)
 {
 	int64_t elapsed = sure_ms - w->clock_at;
 
@@ -88,7 +94,7 @@
 {
 	if (run->may_be_there)
 		return false;
-	evd_of(EVD_UNSENT, run->ordered_ms, m, out);
+	evd_set(EVD_UNSENT, run->ordered_ms, m, out);
 	return true;
 }
 
@@ -101,10 +107,10 @@
 bool evd_unlisted(const struct jtb_run *run, int64_t asked_ms,
 		  const struct evd_moment *m, struct evd *out)
 {
-	if ((run->phase != WKR_ON && run->phase != WKR_OVER) ||
+	if ((run->phase != WKR_ACCEPTED && run->phase != WKR_OVER) ||
 	    run->ordered_ms >= asked_ms)
 		return false;
-	evd_of(EVD_UNLISTED, asked_ms, m, out);
+	evd_set(EVD_UNLISTED, asked_ms, m, out);
 	return true;
 }
 
@@ -135,7 +141,7 @@
 	if (!w->failed_since ||
 	    m->now_ms <= last_grant + EVD_LEASE_MAX_MS(lease_ms))
 		return false;
-	evd_of(EVD_LEASE, last_grant, m, out);
+	evd_set(EVD_LEASE, last_grant, m, out);
 	return true;
 }
 
@@ -157,19 +163,19 @@
 		why = EVD_VM_DOWN;
 	else if (vm->other)
 		why = EVD_VM_OTHER;
-	else if (!vm->listed && !vm->unread &&
+	else if (!vm->listed && !vm->worker_unknown &&
 		 vm->without >= EVD_MIN_ABSENT_LISTS)
 		why = EVD_VM_NONE;
 	if (why)
-		evd_of(why, vm->asked_ms, m, out);
+		evd_set(why, vm->asked_ms, m, out);
 	return why != EVD_NONE;
 }
 
 /*
  * Fills in evidence of a kind that the caller has established, as of as_of_ms.
  */
-void evd_of(enum evd_why why, int64_t as_of_ms, const struct evd_moment *m,
-	    struct evd *out)
+void evd_set(enum evd_why why, int64_t as_of_ms, const struct evd_moment *m,
+	     struct evd *out)
 {
 	*out = (struct evd){
 		.why = why,
--- a/src/evd.h
+++ b/src/evd.h
@@ -21,7 +21,7 @@
 	/* the worker's leases have expired, even on the slowest clock */
 	EVD_LEASE,
 	/* another process instance answers at the worker's address */
-	EVD_LIFE,
+	EVD_OTHER_INSTANCE,
 	EVD_VM_DOWN, /* worker unreachable, and its VM listed as not up */
 	/* worker unreachable, and its VM listed with another worker */
 	EVD_VM_OTHER,
@@ -50,7 +50,7 @@
 	int64_t granted_at; /* when a lease was last granted; 0: never */
 	int64_t granted_until; /* latest lease expiry, on the worker's clock */
 	int64_t failed_since; /* unreachable since; 0: reachable */
-	int64_t ok_ms; /* time of the worker's last answer */
+	int64_t answered_ms; /* time of the worker's last answer */
 };
 
 /* What the newest complete list of VMs says about a worker. */
@@ -59,7 +59,7 @@
 	bool listed; /* the worker or its last known VM is on the list */
 	bool up; /* the worker's last known VM is up */
 	bool other; /* the last known VM is listed with another worker */
-	bool unread; /* the list names no worker for a VM that is up */
+	bool worker_unknown; /* the list names no worker for a VM that is up */
 	uint32_t without; /* consecutive complete lists without the worker */
 };
 
@@ -71,10 +71,10 @@
 };
 
 const char *evd_name(enum evd_why why);
-bool evd_for_good(const struct evd *e);
-void evd_heard(struct evd_worker *w, int64_t clock_ms, int64_t now_ms);
-int64_t evd_until(const struct evd_worker *w, int64_t sure_ms,
-		  int64_t lease_ms);
+bool evd_is_permanent(const struct evd *e);
+void evd_record_answer(struct evd_worker *w, int64_t clock_ms, int64_t now_ms);
+int64_t evd_lease_end(const struct evd_worker *w, int64_t sure_ms,
+		      int64_t lease_ms);
 bool evd_unsent(const struct jtb_run *run, const struct evd_moment *m,
 		struct evd *out);
 bool evd_unlisted(const struct jtb_run *run, int64_t asked_ms,
@@ -84,7 +84,7 @@
 		    const struct evd_moment *m, struct evd *out);
 bool evd_vm_over(const struct evd_vm *vm, int64_t unreachable_since,
 		 const struct evd_moment *m, struct evd *out);
-void evd_of(enum evd_why why, int64_t as_of_ms, const struct evd_moment *m,
-	    struct evd *out);
+void evd_set(enum evd_why why, int64_t as_of_ms, const struct evd_moment *m,
+	     struct evd *out);
 
 #endif
--- a/src/flo_load.c
+++ b/src/flo_load.c
@@ -104,10 +104,10 @@
 		p = flo_pool_at(f, q->pool);
 		p->jobs++;
 		p->due += flo_due(job, wall);
-		p->apart = MAX(p->apart, sch_apart(job, wall));
+		p->apart = MAX(p->apart, sch_min_workers(job, wall));
 		p->apart = MAX(p->apart, flo_gang_vms(f, p, job, wall));
 		cores = flo_cores(p, q, job, wall);
-		if (sch_lasts(job))
+		if (sch_is_long_running(job))
 			p->lasting += cores;
 		p->load += cores;
 	}
@@ -129,10 +129,10 @@
 	double runs;
 	double left_ms;
 
-	if (sch_lasts(job) || usable <= 0)
+	if (sch_is_long_running(job) || usable <= 0)
 		return usable;
 	runs = MIN(usable, flo_at_work(job));
-	left_ms = sch_undone(job, wall) / usable * 1000;
+	left_ms = sch_remaining_work(job, wall) / usable * 1000;
 	return (usable - runs) * flo_weight(q, job, wall) +
 	       runs * MIN(1, left_ms / FLO_FETCH_MS);
 }
@@ -223,10 +223,10 @@
 	static const double weights[] = {
 		[SCH_IN_TIME] = 1,
 		[SCH_LATE] = FLO_LATE,
-		[SCH_HOPELESS] = 0,
+		[SCH_WORTHLESS] = 0,
 	};
 
-	if (sch_lasts(job) || job->spec.repeats)
+	if (sch_is_long_running(job) || job->spec.repeats)
 		return 1;
 	return weights[sch_chance(q, job, wall)];
 }
--- a/src/flo_rate.c
+++ b/src/flo_rate.c
@@ -53,7 +53,8 @@
 	struct flo_pool *p;
 
 	/* for a new leader all jobs are new, also those of long ago */
-	if (!q || sch_lasts(job) || wall - job->accepted_ms > FLO_RATE_MS)
+	if (!q || sch_is_long_running(job) ||
+	    wall - job->accepted_ms > FLO_RATE_MS)
 		return;
 	p = flo_pool_at(f, q->pool);
 	p->rate += job->work * 1000 / FLO_RATE_MS;
--- a/src/hld.c
+++ b/src/hld.c
@@ -45,7 +45,7 @@
 	[HLD_PROPOSED] = {"start-not-stored", 1000},
 	[HLD_ORDERED] = {"ordered", 2000},
 	[HLD_STOPPING] = {"being-stopped", 2000},
-	[HLD_SILENT] = {"lease-not-over", 12000},
+	[HLD_LEASE_VALID] = {"lease-not-over", 12000},
 	[HLD_ENDING] = {"end-not-stored", 3000},
 	[HLD_GANG] = {"rest-of-gang", 0},
 	[HLD_JUST_ENDED] = {"just-ended", 400},
@@ -54,8 +54,8 @@
 	[HLD_NO_LABEL] = {"no-label", 0},
 	[HLD_TOO_LARGE] = {"too-large", 0},
 	[HLD_DRAINING] = {"draining", 0},
-	[HLD_UNREACHED] = {"unreached", 0},
-	[HLD_SHUNNED] = {"shunned", 16000},
+	[HLD_UNREACHABLE] = {"unreached", 0},
+	[HLD_BACKED_OFF] = {"shunned", 16000},
 	[HLD_MOVING] = {"closed-for-move", 5000},
 	[HLD_UPKEEP] = {"closed-for-upkeep", 5000},
 	[HLD_NO_TICKET] = {"needs-ticket", 0},
@@ -81,7 +81,7 @@
 struct hld_scan {
 	const struct hld_view *v;
 	struct hld_sum *sum;
-	hld_tell report;
+	hld_report_fn report;
 	void *arg;
 	GHashTable *pools; /* struct hld_pool */
 	int evaluated; /* reasons evaluated, without those cached */
@@ -141,7 +141,7 @@
  * Returns the longest time that a reason may keep a task pending while capacity
  * is free, ms; 0: any time.
  */
-int64_t hld_most_ms(enum hld_reason why)
+int64_t hld_limit_ms(enum hld_reason why)
 {
 	return hld_defs[why].limit_ms;
 }
@@ -149,7 +149,7 @@
 /*
  * Whether a task with this reason is pending, that is, due and without a run.
  */
-bool hld_is_owed(enum hld_reason why)
+bool hld_is_pending(enum hld_reason why)
 {
 	return why != HLD_OVER && why != HLD_RUNS && why != HLD_NOT_DUE &&
 	       why != HLD_EARLIER_STEP;
@@ -182,7 +182,7 @@
 					 const struct jtb_job *job,
 					 const struct jtb_name *n)
 {
-	bool suspected = sch_suspected(job, n->step, n->index);
+	bool suspected = sch_is_suspect_task(job, n->step, n->index);
 
 	return suspected && (why == HLD_NONE || why >= HLD_NO_CAPACITY)
 		       ? HLD_ISOLATED_RETRY
@@ -286,7 +286,7 @@
 	if (!sch_usable(v->sch, w))
 		return hld_closed_reason(v, w);
 	if (sch_is_backed_off(&p->sch, w, s, false))
-		return HLD_SHUNNED;
+		return HLD_BACKED_OFF;
 	if (w->barred)
 		return HLD_NO_TICKET;
 	if (!sch_allowed(w, s))
@@ -304,7 +304,7 @@
 static enum hld_reason hld_closed_reason(const struct hld_view *v,
 					 const struct jtb_worker *w)
 {
-	enum hld_reason why = v->bar(v->sch->arg, w);
+	enum hld_reason why = v->worker_reason(v->sch->arg, w);
 
 	if (why != HLD_NONE)
 		return why;
@@ -352,8 +352,8 @@
  * step share the reason given by their pool; long-running tasks are evaluated
  * one by one, as each of them should run at any time.
  */
-void hld_look(const struct hld_view *v, struct hld_sum *sum, hld_tell report,
-	      void *arg)
+void hld_scan_all(const struct hld_view *v, struct hld_sum *sum,
+		  hld_report_fn report, void *arg)
 {
 	struct hld_scan scan = {
 		.v = v, .sum = sum, .report = report, .arg = arg};
@@ -383,19 +383,20 @@
 
 	g_hash_table_iter_init(&it, jtb_workers(v->sch->jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w)) {
-		if (!w->runs->len || v->bar(v->sch->arg, w) != HLD_UNREACHED)
+		if (!w->runs->len ||
+		    v->worker_reason(v->sch->arg, w) != HLD_UNREACHABLE)
 			continue;
 		for (i = 0; i < w->runs->len; i++) {
 			const struct jtb_run *r = g_ptr_array_index(w->runs, i);
 
-			sum->tasks[HLD_SILENT] += !(
+			sum->tasks[HLD_LEASE_VALID] += !(
 				r->job->spec.steps[r->step].flags & JTB_LASTS);
 		}
 	}
 }
 
 /* Appends the metrics of pending tasks in the text format for monitoring. */
-void hld_text(const struct hld_sum *sum, GString *out)
+void hld_append_metrics(const struct hld_sum *sum, GString *out)
 {
 	int i;
 
@@ -420,7 +421,7 @@
 /*
  * Drops all pending times, so that a new leader counts from its own first scan.
  */
-void hld_forget(const struct jtb *t)
+void hld_clear(const struct jtb *t)
 {
 	GPtrArray *live = jtb_live(t);
 	guint i;
@@ -459,13 +460,13 @@
 			}
 			active = active || (part && part->n_planned);
 			why = hld_scan_step(scan, job, t, s);
-			if (!hld_is_owed(job_why))
+			if (!hld_is_pending(job_why))
 				job_why = why;
 		}
 	}
 	if (active)
 		job_why = HLD_RUNS;
-	if (job->held || hld_is_owed(job_why))
+	if (job->held || hld_is_pending(job_why))
 		hld_record(scan, job, NULL, hld_job_records(job), job_why);
 }
 
@@ -518,7 +519,7 @@
 			pool_why = hld_cached_reason(scan, job, turn, step);
 		why = why == HLD_NONE ? hld_check_suspect(pool_why, job, &n)
 				      : why;
-		scan->sum->tasks[why] += hld_is_owed(why);
+		scan->sum->tasks[why] += hld_is_pending(why);
 		hld_record(scan, job, &n, &records[n.index], why);
 	}
 }
@@ -565,7 +566,7 @@
 	    hld_same_size(p->cache[slot].step, s))
 		return p->cache[slot].why;
 	if (!(s->flags & JTB_LASTS) && scan->evaluated >= HLD_EVAL_MAX)
-		return job->held && hld_is_owed(job->held->why)
+		return job->held && hld_is_pending(job->held->why)
 			       ? job->held->why
 			       : HLD_NO_CAPACITY;
 	scan->evaluated++;
@@ -612,7 +613,7 @@
 {
 	int64_t now = scan->v->sch->now_ms;
 
-	if (!hld_is_owed(why)) {
+	if (!hld_is_pending(why)) {
 		*h = (struct jtb_held){0};
 		return;
 	}
--- a/src/hld.h
+++ b/src/hld.h
@@ -29,7 +29,7 @@
 	HLD_ORDERED, /* the worker has not acknowledged the start */
 	HLD_STOPPING, /* the task's run is being stopped */
 	/* the run's worker is unreachable and the lease may still be valid */
-	HLD_SILENT,
+	HLD_LEASE_VALID,
 	HLD_ENDING, /* the end of the last run is not committed yet */
 	HLD_GANG, /* other members of the gang run or are being started */
 	/* the last run has just ended, and the task is retried shortly */
@@ -44,9 +44,9 @@
 	HLD_NO_LABEL, /* the best worker lacks the label */
 	HLD_TOO_LARGE, /* the best worker is too small */
 	HLD_DRAINING, /* the best worker is draining */
-	HLD_UNREACHED, /* the best worker is unreachable */
+	HLD_UNREACHABLE, /* the best worker is unreachable */
 	/* the best worker is backed off from after failures or refusals */
-	HLD_SHUNNED,
+	HLD_BACKED_OFF,
 	/* the best worker is being drained for a move to another pool */
 	HLD_MOVING,
 	HLD_UPKEEP, /* the best worker is being drained for upkeep */
@@ -69,7 +69,7 @@
 	GHashTable *moving; /* ids of workers closed for a move */
 	GHashTable *upkeep;
 	/* HLD_NONE, or why a worker that sch->usable rejects is not usable */
-	enum hld_reason (*bar)(void *arg, const struct jtb_worker *w);
+	enum hld_reason (*worker_reason)(void *arg, const struct jtb_worker *w);
 	/* HLD_RUNS, or what a run waits for */
 	enum hld_reason (*run)(void *arg, const struct jtb_run *run);
 };
@@ -88,18 +88,18 @@
  * Reports a task, or a job if n is NULL, that has been pending for long: for
  * why_ms for the reason why, and for pending_ms altogether.
  */
-typedef void (*hld_tell)(void *arg, const struct jtb_job *job,
-			 const struct jtb_name *n, enum hld_reason why,
-			 int64_t why_ms, int64_t pending_ms);
+typedef void (*hld_report_fn)(void *arg, const struct jtb_job *job,
+			      const struct jtb_name *n, enum hld_reason why,
+			      int64_t why_ms, int64_t pending_ms);
 
 enum hld_reason hld_task(const struct hld_view *v, struct jtb_job *job,
 			 const struct jtb_name *n);
-bool hld_is_owed(enum hld_reason why);
+bool hld_is_pending(enum hld_reason why);
 const char *hld_name(enum hld_reason why);
-int64_t hld_most_ms(enum hld_reason why);
-void hld_look(const struct hld_view *v, struct hld_sum *sum, hld_tell report,
-	      void *arg);
-void hld_forget(const struct jtb *t);
-void hld_text(const struct hld_sum *sum, GString *out);
+int64_t hld_limit_ms(enum hld_reason why);
+void hld_scan_all(const struct hld_view *v, struct hld_sum *sum,
+		  hld_report_fn report, void *arg);
+void hld_clear(const struct jtb *t);
+void hld_append_metrics(const struct hld_sum *sum, GString *out);
 
 #endif
--- a/src/hub.c
+++ b/src/hub.c
@@ -260,7 +260,7 @@
 	if (!jtb_apply(h->jtb, cmd))
 		msg(MSG_HUB_ODD, "what=command index=%" PRIu64, index);
 	if (h->leading)
-		wkr_stored(h->wkr);
+		wkr_on_commit(h->wkr);
 	hub_log_applied(h, index);
 	cpu_leave(before);
 }
@@ -271,7 +271,7 @@
 	struct hub *h = arg;
 
 	/* sessions hang on the workers that are about to be replaced */
-	wkr_rest(h->wkr);
+	wkr_stop_leading(h->wkr);
 	return jtb_restore(h->jtb, snap);
 }
 
--- a/src/hub_held.c
+++ b/src/hub_held.c
@@ -16,7 +16,7 @@
 /* We lead: what an earlier leader saw of waits isn't known. */
 void hub_held_lead(struct hub *h)
 {
-	hld_forget(h->jtb);
+	hld_clear(h->jtb);
 	h->held = (struct hld_sum){0};
 	h->held_ms = tmr_now(h->tmr);
 }
@@ -29,7 +29,7 @@
 	struct sch_view plan;
 	struct hld_view v = {
 		.sch = &plan,
-		.bar = hub_held_bar,
+		.worker_reason = hub_held_bar,
 		.run = hub_held_run,
 	};
 
@@ -45,7 +45,7 @@
 	upk_closed(h->upk, closed);
 	flo_closed(h->flo, closed);
 	hub_view(h, closed, &plan);
-	hld_look(&v, &h->held, hub_held_tell, h);
+	hld_scan_all(&v, &h->held, hub_held_tell, h);
 	g_hash_table_destroy(closed);
 	g_hash_table_destroy(v.moving);
 	g_hash_table_destroy(v.upkeep);
@@ -56,14 +56,14 @@
 static enum hld_reason hub_held_bar(void *arg, const struct jtb_worker *w)
 {
 	static const enum hld_reason bars[] = {
-		[WKR_FREE] = HLD_NONE,
-		[WKR_DRAINS] = HLD_DRAINING,
-		[WKR_UNHEARD] = HLD_UNREACHED,
-		[WKR_SHUNNED] = HLD_SHUNNED,
+		[WKR_AVAILABLE] = HLD_NONE,
+		[WKR_DRAINING] = HLD_DRAINING,
+		[WKR_UNREACHABLE] = HLD_UNREACHABLE,
+		[WKR_BACKED_OFF] = HLD_BACKED_OFF,
 	};
 	const struct hub *h = arg;
 
-	return bars[wkr_bar(h->wkr, w)];
+	return bars[wkr_availability(h->wkr, w)];
 }
 
 /* How a run stands: a task that has one may be owed all the same. */
@@ -71,7 +71,7 @@
 {
 	static const enum hld_reason phases[] = {
 		[WKR_NEW] = HLD_ORDERED,    [WKR_SENT] = HLD_ORDERED,
-		[WKR_ON] = HLD_RUNS,	    [WKR_OVER] = HLD_ENDING,
+		[WKR_ACCEPTED] = HLD_RUNS,  [WKR_OVER] = HLD_ENDING,
 		[WKR_DROPPED] = HLD_ENDING,
 	};
 	const struct hub *h = arg;
@@ -79,8 +79,8 @@
 
 	if (why == HLD_ENDING)
 		return why;
-	if (!wkr_reached(h->wkr, run->worker))
-		return HLD_SILENT;
+	if (!wkr_is_reachable(h->wkr, run->worker))
+		return HLD_LEASE_VALID;
 	return jtb_leaves(run) ? HLD_STOPPING : why;
 }
 
--- a/src/hub_lost.c
+++ b/src/hub_lost.c
@@ -15,8 +15,8 @@
 			      const struct jtb_blame *b);
 
 const struct crs_ops hub_crs_ops = {
-	.seen_ms = hub_seen_ms,
-	.rack_silent = hub_rack_silent,
+	.observed_ms = hub_seen_ms,
+	.rack_unreachable = hub_rack_silent,
 	.alive = hub_alive,
 };
 
@@ -26,7 +26,7 @@
  */
 void hub_worker_lost(struct hub *h, struct jtb_worker *w, const struct evd *e)
 {
-	bool for_good = evd_for_good(e);
+	bool for_good = evd_is_permanent(e);
 	struct jtb_blame b;
 
 	/* several calls may find the same end of it */
@@ -39,7 +39,7 @@
 		jtb_put_gone(hub_put(h), w->info.id, for_good);
 		return;
 	}
-	crs_lost(h->crs, w, for_good, tmr_now(h->tmr), &b);
+	crs_record_loss(h->crs, w, for_good, tmr_now(h->tmr), &b);
 	h->counts[HUB_CRASHES] += for_good;
 	msg(MSG_HUB_CRASH,
 	    "worker=%s addr=%s runs=%u suspects=%u shared=%d alone=%d "
@@ -58,7 +58,7 @@
 {
 	struct evd_moment m = hub_moment(h);
 
-	evd_of(why, as_of_ms, &m, &w->over);
+	evd_set(why, as_of_ms, &m, &w->over);
 	hub_tell_left(w);
 	jtb_put_gone(hub_put(h), w->info.id, true);
 }
@@ -69,7 +69,7 @@
 	struct evd_moment m = hub_moment(h);
 
 	w->leaves = true;
-	evd_of(EVD_LEFT, m.now_ms, &m, &w->over);
+	evd_set(EVD_LEFT, m.now_ms, &m, &w->over);
 	hub_tell_left(w);
 	jtb_put_left(hub_put(h), w->info.id);
 }
@@ -99,7 +99,7 @@
 {
 	const struct hub *h = arg;
 
-	return wkr_seen_ms(h->wkr, run);
+	return wkr_observed_ms(h->wkr, run);
 }
 
 /* Whether another worker of a rack fell silent just now, or its VM is down. */
@@ -107,7 +107,7 @@
 {
 	const struct hub *h = arg;
 	const char *rack = sch_rack_of(w);
-	int64_t since = tmr_now(h->tmr) - CRS_NEAR_MS;
+	int64_t since = tmr_now(h->tmr) - CRS_WINDOW_MS;
 	GHashTableIter it;
 	const struct jtb_worker *other;
 
@@ -116,7 +116,7 @@
 	g_hash_table_iter_init(&it, jtb_workers(h->jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&other))
 		if (other != w && g_strcmp0(sch_rack_of(other), rack) == 0 &&
-		    (wkr_silent_since(h->wkr, other) > since ||
+		    (wkr_unreachable_since(h->wkr, other) > since ||
 		     hub_vm_down(h, other)))
 			return true;
 	return false;
@@ -129,7 +129,7 @@
 	const struct vms_vm *vm = vms_of_worker(h->vms, w->info.id);
 
 	return vm && vm->state == VMS_UP &&
-	       vms_listed_ms(h->vms) > wkr_silent_since(h->wkr, w);
+	       vms_listed_ms(h->vms) > wkr_unreachable_since(h->wkr, w);
 }
 
 /* Whether the newest list shows a worker's VM as down. */
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -85,13 +85,14 @@
 	.seen = hub_seen,
 	.ticket = hub_ticket,
 	.ticket_refused = hub_ticket_refused,
-	.sure = hub_sure,
-	.carrier = hub_carrier,
+	.confirmed_ms = hub_sure,
+	.relay = hub_carrier,
 };
 
 static const char *const hub_phases[] = {
-	[WKR_NEW] = "unsent",	[WKR_SENT] = "sent",	   [WKR_ON] = "there",
-	[WKR_OVER] = "stopped", [WKR_DROPPED] = "dropped",
+	[WKR_NEW] = "unsent",	   [WKR_SENT] = "sent",
+	[WKR_ACCEPTED] = "there",  [WKR_OVER] = "stopped",
+	[WKR_DROPPED] = "dropped",
 };
 
 const struct adv_ops hub_adv_ops = {
@@ -139,7 +140,7 @@
 {
 	h->leading = false;
 	h->held = (struct hld_sum){0};
-	wkr_rest(h->wkr);
+	wkr_stop_leading(h->wkr);
 	rly_rest(h->rly);
 	adv_line_rest(h->advice);
 	hub_vm_rest(h);
@@ -210,7 +211,7 @@
 	msg_job(MSG_HUB_START, run->job->spec.id,
 		"task=%s attempt=%u worker=%s used_cpu=%u", task, run->attempt,
 		run->worker->info.id, run->worker->used_cpu);
-	wkr_run(h->wkr, run);
+	wkr_add_run(h->wkr, run);
 	if (jtb_ended(run->job))
 		hub_stop(h, run, "job is over");
 }
@@ -232,7 +233,7 @@
 	else
 		hub_tell_end(h, run, how);
 	hub_learn(h, run, how);
-	wkr_run_over(h->wkr, run);
+	wkr_remove_run(h->wkr, run);
 	hub_dirty(h, run->worker->info.pool);
 	hub_dirty_job(h, run->job);
 }
@@ -265,8 +266,8 @@
 		" phase=%s sends=%u unanswered=%u%s",
 		task, run->attempt, run->worker->info.id, jtb_end_name(how),
 		now - run->ordered_ms, run->percent, jtb_leaves(run),
-		wkr_seen_ms(h->wkr, run), hub_phases[run->phase], run->sends,
-		run->unanswered, why);
+		wkr_observed_ms(h->wkr, run), hub_phases[run->phase],
+		run->sends, run->unanswered, why);
 }
 
 /* A stop is stored: its worker may be told. */
@@ -275,7 +276,7 @@
 	struct hub *h = arg;
 
 	if (h->leading)
-		wkr_stop(h->wkr, run);
+		wkr_stop_run(h->wkr, run);
 }
 
 /* A run that had been taken for over did end, and that counts. */
@@ -346,7 +347,7 @@
 	msg(MSG_HUB_WORKER, "worker=%s pool=%s addr=%s draining=%d runs=%u",
 	    w->info.id, w->info.pool, w->info.addr, w->info.draining,
 	    w->runs->len);
-	wkr_worker(h->wkr, w);
+	wkr_update_worker(h->wkr, w);
 	hub_dirty(h, w->info.pool);
 }
 
@@ -358,7 +359,7 @@
 	if (!h->leading)
 		return;
 	msg(MSG_HUB_WORKER_GONE, "worker=%s addr=%s", w->info.id, w->info.addr);
-	wkr_forget(h->wkr, w);
+	wkr_remove_worker(h->wkr, w);
 	g_hash_table_remove(h->heard, w->info.id);
 	vms_forget_worker(h->vms, w->info.id);
 	hub_dirty(h, w->info.pool);
@@ -438,7 +439,7 @@
 
 	hub_dirty(h, w->info.pool);
 	hub_check_runs(h, w, tmr_now(h->tmr));
-	pac_look(w, tmr_now(h->tmr), &hub_pac_ops, h);
+	pac_update(w, tmr_now(h->tmr), &hub_pac_ops, h);
 }
 
 /* When we last knew that we lead, on the timer service's clock. */
@@ -459,7 +460,7 @@
 		"job=%s step=%u index=%u worker=%s percent=%d",
 		run->job->spec.id, run->step, run->index, run->worker->info.id,
 		percent);
-	wkr_pace(h->wkr, run, percent);
+	wkr_set_pace(h->wkr, run, percent);
 }
 
 /* A pool has something new to plan. */
@@ -535,10 +536,10 @@
 		.wall_ms = hub_wall_ms(),
 		.arg = h,
 		.usable = hub_usable,
-		.leaving = hub_leaving,
-		.ticketed = hub_ticketed,
+		.upkeep_due = hub_leaving,
+		.has_ticket = hub_ticketed,
 		.start = hub_start,
-		.starved = hub_starved,
+		.unschedulable = hub_starved,
 	};
 }
 
@@ -675,7 +676,7 @@
 		s->flags & JTB_LASTS ? upk_away(h->upk, run) : 0, s->may_miss,
 		why);
 	if (!agree) {
-		wkr_stop(h->wkr, run);
+		wkr_stop_run(h->wkr, run);
 		return;
 	}
 	run->stop_planned = true;
@@ -712,7 +713,7 @@
 {
 	guint i;
 
-	if (sch_suspect(w, now) != w->suspect) {
+	if (sch_is_suspect_worker(w, now) != w->suspect) {
 		w->suspect = !w->suspect;
 		msg(MSG_HUB_SUSPECT, "worker=%s suspect=%d failed=%u",
 		    w->info.id, w->suspect, w->fails);
@@ -731,7 +732,7 @@
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 
-	if (sch_tells_time(run, how, h->led_ms))
+	if (sch_is_time_sample(run, how, h->led_ms))
 		est_learn(h->est, run->job->spec.queue, s->guess_ms,
 			  tmr_now(h->tmr) - run->ordered_ms);
 }
--- a/src/hub_take.c
+++ b/src/hub_take.c
@@ -71,7 +71,7 @@
 		return;
 	}
 	if (w)
-		wkr_clock(h->wkr, w, clock_ms);
+		wkr_set_clock(h->wkr, w, clock_ms);
 	else
 		hub_addr_taken(h, info);
 	if (w && jtb_worker_known(&w->info, info)) {
@@ -108,7 +108,7 @@
 	if (w) {
 		hub_worker_leaves(h, w);
 		if (w->runs->len)
-			wkr_ask(h->wkr, w);
+			wkr_poll(h->wkr, w);
 	}
 	hub_commit(h, c, then);
 }
@@ -137,5 +137,5 @@
 	g_hash_table_iter_init(&it, jtb_workers(h->jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w))
 		if (strcmp(w->info.addr, info->addr) == 0)
-			wkr_ask(h->wkr, w);
+			wkr_poll(h->wkr, w);
 }
--- a/src/hub_tell.c
+++ b/src/hub_tell.c
@@ -88,7 +88,7 @@
 
 	cnt_text(out, hub_counters, h->counts, HUB_COUNTS, "");
 	hub_tell_state(h, out);
-	hld_text(&h->held, out);
+	hld_append_metrics(&h->held, out);
 	for (i = 0; i < HUB_TIMES; i++)
 		cnt_times_text(out, hub_times[i].name, hub_times[i].help,
 			       &h->times[i]);
@@ -220,20 +220,20 @@
 		(uint64_t)rep_sync_us(h->rep),
 		wkr_conns(h->wkr).connects,
 		s->unanswered,
-		s->untried,
+		s->not_sent,
 		r.calls,
 		r.lost,
 		rc.carried,
 		rc.dropped,
 		s->refused,
-		s->lapses,
+		s->expired,
 		adv_waiting(h->adv, tmr_now(h->tmr), hub_wall_ms()),
 		adv_kept(h->adv),
 		a->calls,
 		a->failed,
 		a->named,
 		a->approved,
-		s->unticketed,
+		s->ticket_refusals,
 	};
 
 	G_STATIC_ASSERT(G_N_ELEMENTS(defs) == G_N_ELEMENTS(values));
--- a/src/hub_vm.c
+++ b/src/hub_vm.c
@@ -207,7 +207,7 @@
 
 	g_hash_table_iter_init(&it, jtb_workers(h->jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w)) {
-		int64_t since = wkr_silent_since(h->wkr, w);
+		int64_t since = wkr_unreachable_since(h->wkr, w);
 		struct evd_vm vm;
 		struct evd e;
 
@@ -232,7 +232,7 @@
 		.listed = vm != NULL,
 		.up = vm && vm->state == VMS_UP,
 		.other = vm && !on && *vm->worker,
-		.unread = vms_unread(h->vms),
+		.worker_unknown = vms_unread(h->vms),
 		.without = w->unlisted,
 	};
 }
@@ -296,7 +296,7 @@
 {
 	const struct hub *h = arg;
 
-	return wkr_reached(h->wkr, w);
+	return wkr_is_reachable(h->wkr, w);
 }
 
 /* Whether a VM is on its way to another pool. */
--- a/src/pac.c
+++ b/src/pac.c
@@ -28,8 +28,8 @@
  * for a while costs the users of the serving tasks, whereas slower best-effort
  * runs cost nobody.
  */
-void pac_look(struct jtb_worker *w, int64_t now_ms, const struct pac_ops *ops,
-	      void *arg)
+void pac_update(struct jtb_worker *w, int64_t now_ms, const struct pac_ops *ops,
+		void *arg)
 {
 	double worst = pac_worst_ratio(w);
 	guint i;
--- a/src/pac.h
+++ b/src/pac.h
@@ -17,7 +17,7 @@
 	void (*pace)(void *arg, struct jtb_run *run, int percent);
 };
 
-void pac_look(struct jtb_worker *w, int64_t now_ms, const struct pac_ops *ops,
-	      void *arg);
+void pac_update(struct jtb_worker *w, int64_t now_ms, const struct pac_ops *ops,
+		void *arg);
 
 #endif
--- a/src/sch.c
+++ b/src/sch.c
@@ -79,7 +79,7 @@
 		if (jtb_ended(job) || !pool || strcmp(pool, p->name) != 0 ||
 		    !sch_long_running_waits(job, p->v->wall_ms))
 			continue;
-		p->v->starved(p->v->arg, p->name);
+		p->v->unschedulable(p->v->arg, p->name);
 		return;
 	}
 }
@@ -143,7 +143,7 @@
 	const struct jtb_job *job = c->job;
 	enum sch_chance chance = sch_chance(c->queue, job, wall_ms);
 
-	if (sch_lasts(job))
+	if (sch_is_long_running(job))
 		c->rank = SCH_RANK_LONG_RUNNING;
 	else if (job->spec.repeats || chance == SCH_IN_TIME)
 		c->rank = job->started ? SCH_RANK_STARTED : SCH_RANK_NEW;
@@ -228,7 +228,7 @@
 		if (task && (task->done || task->run || task->planned ||
 			     p->v->now_ms - task->free_ms < SCH_RETRY_DELAY_MS))
 			continue;
-		if (sch_suspected(job, step, n.index)) {
+		if (sch_is_suspect_task(job, step, n.index)) {
 			w = sch_place_isolated(p, job, &job->spec.steps[step],
 					       task && task->fails);
 			/*
@@ -237,14 +237,14 @@
 			 */
 			if (!w) {
 				if (job->spec.steps[step].flags & JTB_LASTS)
-					p->v->starved(p->v->arg, p->name);
+					p->v->unschedulable(p->v->arg, p->name);
 				continue;
 			}
 		} else {
 			w = sch_place(p, job, step, task && task->fails);
 		}
 		if (!w && job->spec.steps[step].flags & JTB_LASTS) {
-			p->v->starved(p->v->arg, p->name);
+			p->v->unschedulable(p->v->arg, p->name);
 			sch_reserve_worker(p, job, step);
 		}
 		if (!w) {
@@ -267,7 +267,7 @@
 	const struct jtb_part *part = jtb_part(job, turn, step);
 	uint32_t count = job->spec.steps[step].count;
 	struct jtb_name n = {.turn = turn, .step = step};
-	bool suspected = sch_suspected(job, step, 0);
+	bool suspected = sch_is_suspect_task(job, step, 0);
 	struct jtb_worker *w;
 	GPtrArray *places;
 	uint32_t attempt = 0;
@@ -307,6 +307,6 @@
 	if (placed || suspected)
 		return;
 	if (job->spec.steps[step].flags & JTB_LASTS)
-		p->v->starved(p->v->arg, p->name);
+		p->v->unschedulable(p->v->arg, p->name);
 	sch_record_no_fit(p, &job->spec.steps[step]);
 }
--- a/src/sch.h
+++ b/src/sch.h
@@ -25,29 +25,29 @@
 	 * Whether a worker's VM is due for upkeep; long-running tasks are then
 	 * placed elsewhere if possible.
 	 */
-	bool (*leaving)(void *arg, const struct jtb_worker *w);
+	bool (*upkeep_due)(void *arg, const struct jtb_worker *w);
 	/*
 	 * Whether a worker has a ticket for a step of a queue that requires
 	 * advice; NULL: every worker has one.
 	 */
-	bool (*ticketed)(void *arg, const struct jtb_job *job, uint32_t turn,
-			 uint32_t step, const struct jtb_worker *w);
+	bool (*has_ticket)(void *arg, const struct jtb_job *job, uint32_t turn,
+			   uint32_t step, const struct jtb_worker *w);
 	/* Starts a task on a worker; called while planning. */
 	void (*start)(void *arg, struct jtb_job *job, const struct jtb_name *n,
 		      uint32_t attempt, struct jtb_worker *w);
 	/* Reports that no worker of a pool could take a long-running task. */
-	void (*starved)(void *arg, const char *pool);
+	void (*unschedulable)(void *arg, const char *pool);
 };
 
 /*
  * A run that its worker has listed for less than this time counts as just
  * started, ms: should the worker crash, this run may be the cause.
  */
-#define SCH_FRESH_MS 200
+#define SCH_JUST_STARTED_MS 200
 
-/* Values of sch_seen_ms for a run without an observed running time. */
-enum sch_seen {
-	SCH_UNSEEN = -1, /* the worker has never listed the run */
+/* Values of sch_observed_ms for a run without an observed running time. */
+enum sch_observed {
+	SCH_NOT_OBSERVED = -1, /* the worker has never listed the run */
 	/* the worker was never sent the run, or has finished with it */
 	SCH_NOT_SENT = -2,
 	SCH_UNKNOWN = -3, /* started by an earlier leader at an unknown time */
@@ -57,7 +57,7 @@
 enum sch_chance {
 	SCH_IN_TIME,
 	SCH_LATE, /* past its objective, worth less than its full value */
-	SCH_HOPELESS, /* so late that its result has no value */
+	SCH_WORTHLESS, /* so late that its result has no value */
 };
 
 uint32_t sch_plan(const struct sch_view *v, const char *pool);
@@ -66,16 +66,17 @@
 			   int64_t wall_ms);
 double sch_urgency(const struct jtb_queue *q, const struct jtb_job *job,
 		   int64_t wall_ms);
-uint32_t sch_apart(const struct jtb_job *job, int64_t wall_ms);
-bool sch_lasts(const struct jtb_job *job);
+uint32_t sch_min_workers(const struct jtb_job *job, int64_t wall_ms);
+bool sch_is_long_running(const struct jtb_job *job);
 const char *sch_rack_of(const struct jtb_worker *w);
-int64_t sch_seen_ms(const struct jtb_run *run);
-bool sch_suspected(const struct jtb_job *job, uint32_t step, uint32_t index);
-bool sch_has_lasting(const struct jtb_worker *w);
-bool sch_tells_time(const struct jtb_run *run, enum jtb_end how,
-		    int64_t led_ms);
-bool sch_suspect(const struct jtb_worker *w, int64_t now_ms);
-double sch_undone(const struct jtb_job *job, int64_t wall_ms);
+int64_t sch_observed_ms(const struct jtb_run *run);
+bool sch_is_suspect_task(const struct jtb_job *job, uint32_t step,
+			 uint32_t index);
+bool sch_runs_long_running(const struct jtb_worker *w);
+bool sch_is_time_sample(const struct jtb_run *run, enum jtb_end how,
+			int64_t led_ms);
+bool sch_is_suspect_worker(const struct jtb_worker *w, int64_t now_ms);
+double sch_remaining_work(const struct jtb_job *job, int64_t wall_ms);
 double sch_usable_cores(const struct jtb_job *job, int64_t wall_ms,
 			double core_mb);
 
--- a/src/sch_job.c
+++ b/src/sch_job.c
@@ -29,7 +29,9 @@
 enum sch_chance sch_chance(const struct jtb_queue *q, const struct jtb_job *job,
 			   int64_t wall_ms)
 {
-	double left = job->work > 0 ? sch_undone(job, wall_ms) / job->work : 1;
+	double left = job->work > 0
+			      ? sch_remaining_work(job, wall_ms) / job->work
+			      : 1;
 	int64_t age = wall_ms - job->accepted_ms;
 	int64_t limit = sch_objective_ms(q, job);
 	int64_t need = (int64_t)(job->chain_ms * sch_time_scale(job) * left);
@@ -37,14 +39,14 @@
 	if (age + need <= limit)
 		return SCH_IN_TIME;
 	return age + need <= SCH_WORTHLESS_FACTOR * limit ? SCH_LATE
-							  : SCH_HOPELESS;
+							  : SCH_WORTHLESS;
 }
 
 /*
  * Returns the core-seconds of a job that are not done, by its estimates, over
  * all turns that are due.
  */
-double sch_undone(const struct jtb_job *job, int64_t wall_ms)
+double sch_remaining_work(const struct jtb_job *job, int64_t wall_ms)
 {
 	double undone = 0;
 	uint32_t t;
@@ -70,7 +72,7 @@
  * limit of tasks per worker, in any turn that is due: a gang of a later turn is
  * placed whole or not at all, like that of the first.
  */
-uint32_t sch_apart(const struct jtb_job *job, int64_t wall_ms)
+uint32_t sch_min_workers(const struct jtb_job *job, int64_t wall_ms)
 {
 	uint32_t most = 0;
 	uint32_t t;
@@ -125,7 +127,7 @@
 }
 
 /* Whether a job has a step that runs until it is cancelled. */
-bool sch_lasts(const struct jtb_job *job)
+bool sch_is_long_running(const struct jtb_job *job)
 {
 	uint32_t s;
 
@@ -136,7 +138,7 @@
 }
 
 /* Whether a long-running task runs on a worker. */
-bool sch_has_lasting(const struct jtb_worker *w)
+bool sch_runs_long_running(const struct jtb_worker *w)
 {
 	guint i;
 
@@ -154,7 +156,8 @@
  * task's duration. led_ms is when this leader's term began: when an earlier
  * leader ordered a run isn't known.
  */
-bool sch_tells_time(const struct jtb_run *run, enum jtb_end how, int64_t led_ms)
+bool sch_is_time_sample(const struct jtb_run *run, enum jtb_end how,
+			int64_t led_ms)
 {
 	uint32_t flags = run->job->spec.steps[run->step].flags;
 
--- a/src/sch_place.c
+++ b/src/sch_place.c
@@ -69,7 +69,7 @@
 		if (w->fails != w->fails_seen)
 			w->failed_ms = p->v->now_ms;
 		w->fails_seen = w->fails;
-		n += sch_suspect(w, p->v->now_ms);
+		n += sch_is_suspect_worker(w, p->v->now_ms);
 	}
 	p->avoid_suspects = n && 2 * n < p->workers->len;
 }
@@ -78,7 +78,7 @@
  * Whether several different jobs failed on a worker recently and none has
  * completed there since.
  */
-bool sch_suspect(const struct jtb_worker *w, int64_t now_ms)
+bool sch_is_suspect_worker(const struct jtb_worker *w, int64_t now_ms)
 {
 	return w->fails >= SCH_SUSPECT_FAILS &&
 	       now_ms - w->failed_ms < SCH_SUSPECT_EXPIRE_MS;
@@ -96,7 +96,7 @@
 {
 	bool in_pause = p->v->now_ms - w->failed_ms < SCH_SUSPECT_RETRY_MS;
 
-	if (!p->avoid_suspects || !sch_suspect(w, p->v->now_ms))
+	if (!p->avoid_suspects || !sch_is_suspect_worker(w, p->v->now_ms))
 		return false;
 	if (s->flags & JTB_LASTS)
 		return in_pause;
@@ -231,7 +231,7 @@
 bool sch_apply_tickets(struct sch_pool *p, const struct jtb_job *job,
 		       uint32_t turn, uint32_t step)
 {
-	bool advised = p->queue->advised && p->v->ticketed;
+	bool advised = p->queue->advised && p->v->has_ticket;
 	bool any = !advised;
 	guint i;
 
@@ -241,7 +241,7 @@
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
 		w->barred = advised &&
-			    !p->v->ticketed(p->v->arg, job, turn, step, w);
+			    !p->v->has_ticket(p->v->arg, job, turn, step, w);
 		any = any || !w->barred;
 	}
 	p->excluded = advised;
@@ -308,13 +308,13 @@
 
 	if (s->rack && sch_has_label(w, s->rack))
 		score += 10;
-	if (s->flags & JTB_LASTS && p->v->leaving(p->v->arg, w))
+	if (s->flags & JTB_LASTS && p->v->upkeep_due(p->v->arg, w))
 		score -= 20;
 	/*
 	 * Long-running tasks are kept together, so that most VMs are free of
 	 * them and can follow the load to other pools.
 	 */
-	if (s->flags & JTB_LASTS && sch_has_lasting(w))
+	if (s->flags & JTB_LASTS && sch_runs_long_running(w))
 		score += 3;
 	if (!(s->flags & JTB_FILLS) && !s->tail_ms)
 		return score;
--- a/src/sch_trial.c
+++ b/src/sch_trial.c
@@ -30,7 +30,8 @@
  * Whether a task is suspected of having crashed a worker; for a gang, whether
  * any of its members is.
  */
-bool sch_suspected(const struct jtb_job *job, uint32_t step, uint32_t index)
+bool sch_is_suspect_task(const struct jtb_job *job, uint32_t step,
+			 uint32_t index)
 {
 	bool gang = job->spec.steps[step].flags & JTB_GANG;
 	guint i;
@@ -52,23 +53,23 @@
 
 /*
  * Returns for how long a run has been observed running, ms, or a value of enum
- * sch_seen.
+ * sch_observed.
  */
-int64_t sch_seen_ms(const struct jtb_run *run)
+int64_t sch_observed_ms(const struct jtb_run *run)
 {
 	int64_t seen = run->seen_ms - run->began_ms;
 
-	if (run->inherited && (!run->began_ms || seen < SCH_FRESH_MS))
+	if (run->inherited && (!run->began_ms || seen < SCH_JUST_STARTED_MS))
 		return SCH_UNKNOWN;
-	return run->began_ms ? seen : SCH_UNSEEN;
+	return run->began_ms ? seen : SCH_NOT_OBSERVED;
 }
 
 /* Whether a run has just started, or has not been observed running yet. */
 static bool sch_just_started(const struct jtb_run *run)
 {
-	int64_t seen = sch_seen_ms(run);
+	int64_t seen = sch_observed_ms(run);
 
-	return seen != SCH_UNKNOWN && seen < SCH_FRESH_MS;
+	return seen != SCH_UNKNOWN && seen < SCH_JUST_STARTED_MS;
 }
 
 /*
@@ -157,7 +158,7 @@
 		    sch_is_reserved_for_retry(p, w, job) ||
 		    !sch_is_quiet(w, job))
 			continue;
-		if (sch_has_lasting(w))
+		if (sch_runs_long_running(w))
 			score -= 2;
 		if (w->trial_for == job->seq + 1)
 			score += 4;
--- a/src/sim.c
+++ b/src/sim.c
@@ -42,8 +42,8 @@
 };
 
 static const struct crs_ops sim_crs_ops = {
-	.seen_ms = sim_seen_ms,
-	.rack_silent = sim_rack_silent,
+	.observed_ms = sim_seen_ms,
+	.rack_unreachable = sim_rack_silent,
 };
 
 static const char *const sim_rules[SIM_RULES] = {
@@ -312,9 +312,9 @@
 		.wall_ms = SIM_EPOCH_MS + s->now,
 		.arg = s,
 		.usable = sim_usable,
-		.leaving = sim_leaving,
+		.upkeep_due = sim_leaving,
 		.start = sim_start,
-		.starved = sim_starved,
+		.unschedulable = sim_starved,
 	};
 	upk_closed(s->upk, closed);
 	flo_closed(s->flo, closed);
@@ -508,7 +508,7 @@
 /* For how long a run had been seen at work when its worker crashed. */
 static int64_t sim_seen_ms(void *arg, const struct jtb_run *run)
 {
-	return sch_seen_ms(run);
+	return sch_observed_ms(run);
 }
 
 /* Whether another worker of a rack has crashed. */
--- a/src/sim_check.c
+++ b/src/sim_check.c
@@ -63,7 +63,7 @@
 		job->state == JTB_FAILED && sim_has_crasher(s, job);
 	if (job->state == JTB_FAILED && !sim_failed_by_itself(s, q, job))
 		sim_broken(s, SIM_LOST, job->spec.id);
-	if (sch_lasts(job) || job->state == JTB_CANCELLED ||
+	if (sch_is_long_running(job) || job->state == JTB_CANCELLED ||
 	    sim_has_crasher(s, job))
 		return;
 	if (job->state == JTB_COMPLETED)
@@ -318,7 +318,7 @@
 		.sch = &plan,
 		.moving = g_hash_table_new(g_str_hash, g_str_equal),
 		.upkeep = g_hash_table_new(g_str_hash, g_str_equal),
-		.bar = sim_bar,
+		.worker_reason = sim_bar,
 		.run = sim_run_stands,
 	};
 	uint32_t t;
@@ -367,12 +367,12 @@
 	char text[JTB_ID_MAX + 40];
 	char what[JTB_ID_MAX + 80];
 	struct sim_idle *idle;
-	int64_t most = hld_most_ms(why);
+	int64_t most = hld_limit_ms(why);
 
 	jtb_name_text(n, text, sizeof(text));
 	idle = g_hash_table_lookup(s->idle, text);
 	/* the rest of a gang may run on, and a silent worker its work */
-	if (!room || !hld_is_owed(why) || why == HLD_GANG) {
+	if (!room || !hld_is_pending(why) || why == HLD_GANG) {
 		if (idle)
 			g_hash_table_remove(s->idle, text);
 		return;
@@ -383,7 +383,7 @@
 			.from_ms = s->now, .why_ms = s->now, .why = why};
 		g_hash_table_insert(s->idle, g_strdup(text), idle);
 	}
-	if (why == HLD_SILENT)
+	if (why == HLD_LEASE_VALID)
 		idle->from_ms = s->now;
 	if (idle->why != why)
 		idle->why_ms = s->now;
@@ -402,7 +402,7 @@
 {
 	if (w->info.draining)
 		return HLD_DRAINING;
-	return sim_is_cut(arg, w->info.id) ? HLD_UNREACHED : HLD_NONE;
+	return sim_is_cut(arg, w->info.id) ? HLD_UNREACHABLE : HLD_NONE;
 }
 
 /* How a run of the table stands in the world. */
@@ -413,7 +413,7 @@
 	guint i;
 
 	if (sim_is_cut(s, run->worker->info.id))
-		return HLD_SILENT;
+		return HLD_LEASE_VALID;
 	jtb_name_of(run, &n);
 	for (i = 0; i < s->runs->len; i++) {
 		const struct sim_run *r = g_ptr_array_index(s->runs, i);
--- a/src/sim_trouble.c
+++ b/src/sim_trouble.c
@@ -229,7 +229,7 @@
 		return;
 	job = g_ptr_array_index(live, g_rand_int_range(s->rand, 0,
 						       (gint32)live->len));
-	if (sch_lasts(job) || jtb_ended(job))
+	if (sch_is_long_running(job) || jtb_ended(job))
 		return;
 	sim_batch(&o);
 	jtb_put_cancel(&o, job->spec.id, SIM_EPOCH_MS + s->now);
--- a/src/sim_world.c
+++ b/src/sim_world.c
@@ -447,7 +447,7 @@
 
 		g_hash_table_add(s->unlucky, g_strdup(run->job->spec.id));
 	}
-	crs_lost(s->crs, w, true, s->now, &b);
+	crs_record_loss(s->crs, w, true, s->now, &b);
 	jtb_put_lost(o, c->worker, true, &b, SIM_EPOCH_MS + s->now);
 	jtb_blame_clear(&b);
 }
--- a/src/wkr.c
+++ b/src/wkr.c
@@ -45,7 +45,7 @@
 {
 	if (!k)
 		return;
-	wkr_rest(k);
+	wkr_stop_leading(k);
 	tmr_cancel(k->config.tmr, k->tick);
 	ups_free(k->ups);
 	g_ptr_array_free(k->sessions, TRUE);
@@ -63,13 +63,13 @@
 	struct jtb_worker *w;
 	guint i;
 
-	wkr_rest(k);
+	wkr_stop_leading(k);
 	k->leading = true;
 	k->fence = fence;
 	k->led_since = tmr_now(k->config.tmr);
 	g_hash_table_iter_init(&it, jtb_workers(k->config.jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w)) {
-		wkr_worker(k, w);
+		wkr_update_worker(k, w);
 		for (i = 0; i < w->runs->len; i++) {
 			struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
@@ -92,13 +92,13 @@
 				run->pace = WKR_INITIAL_PACE;
 				run->pace_told = -1;
 			}
-			wkr_run(k, run);
+			wkr_add_run(k, run);
 		}
 	}
 }
 
 /* Ends the term as leader: no more orders are sent. */
-void wkr_rest(struct wkr *k)
+void wkr_stop_leading(struct wkr *k)
 {
 	k->leading = false;
 	g_ptr_array_set_size(k->sessions, 0);
@@ -106,7 +106,7 @@
 }
 
 /* Opens the session with a worker that appeared, or updates it. */
-void wkr_worker(struct wkr *k, struct jtb_worker *w)
+void wkr_update_worker(struct wkr *k, struct jtb_worker *w)
 {
 	struct wkr_session *s = wkr_session_of(w);
 
@@ -129,7 +129,7 @@
 }
 
 /* Closes the session with a worker that is removed from the job table. */
-void wkr_forget(struct wkr *k, struct jtb_worker *w)
+void wkr_remove_worker(struct wkr *k, struct jtb_worker *w)
 {
 	struct wkr_session *s = wkr_session_of(w);
 
@@ -138,7 +138,7 @@
 }
 
 /* Adds a run that was added to the job table, and sends its start. */
-void wkr_run(struct wkr *k, struct jtb_run *run)
+void wkr_add_run(struct wkr *k, struct jtb_run *run)
 {
 	if (!k->leading)
 		return;
@@ -147,13 +147,13 @@
 }
 
 /* Removes a run that is removed from the job table. */
-void wkr_run_over(struct wkr *k, struct jtb_run *run)
+void wkr_remove_run(struct wkr *k, struct jtb_run *run)
 {
 	g_hash_table_remove(k->runs, &run->serial);
 }
 
 /* Stops a run as soon as its worker is reachable. */
-void wkr_stop(struct wkr *k, struct jtb_run *run)
+void wkr_stop_run(struct wkr *k, struct jtb_run *run)
 {
 	struct wkr_session *s = wkr_session_of(run->worker);
 
@@ -164,7 +164,7 @@
 }
 
 /* Sets the pace of a run, percent of its full speed. */
-void wkr_pace(struct wkr *k, struct jtb_run *run, int percent)
+void wkr_set_pace(struct wkr *k, struct jtb_run *run, int percent)
 {
 	struct wkr_session *s = wkr_session_of(run->worker);
 
@@ -178,7 +178,7 @@
  * Continues the sessions that waited for ends to be committed, after commands
  * were applied.
  */
-void wkr_stored(struct wkr *k)
+void wkr_on_commit(struct wkr *k)
 {
 	int64_t lag = tmr_lag_ms(k->config.tmr);
 	guint i;
@@ -194,7 +194,7 @@
 }
 
 /* Polls a worker for its list now, unless a poll is in flight. */
-void wkr_ask(struct wkr *k, struct jtb_worker *w)
+void wkr_poll(struct wkr *k, struct jtb_worker *w)
 {
 	struct wkr_session *s = wkr_session_of(w);
 
@@ -203,7 +203,7 @@
 }
 
 /* Records the worker's clock from its announcement. */
-void wkr_clock(struct wkr *k, struct jtb_worker *w, int64_t clock_ms)
+void wkr_set_clock(struct wkr *k, struct jtb_worker *w, int64_t clock_ms)
 {
 	struct wkr_session *s = wkr_session_of(w);
 
@@ -218,36 +218,37 @@
 }
 
 /* Returns whether a worker may be assigned new work, and if not, why. */
-enum wkr_bar wkr_bar(const struct wkr *k, const struct jtb_worker *w)
+enum wkr_availability wkr_availability(const struct wkr *k,
+				       const struct jtb_worker *w)
 {
 	const struct wkr_session *s = wkr_session_of(w);
 
 	if (w->info.draining)
-		return WKR_DRAINS;
+		return WKR_DRAINING;
 	if (!s || !s->polled || s->state.failed_since || s->abandoned ||
 	    s->stale->len)
-		return WKR_UNHEARD;
+		return WKR_UNREACHABLE;
 	/*
 	 * Each plan calls this for all workers, and most of them were never
 	 * backed off from.
 	 */
 	if (!s->backoff_until)
-		return WKR_FREE;
-	return s->backoff_until > tmr_now(k->config.tmr) ? WKR_SHUNNED
-							 : WKR_FREE;
+		return WKR_AVAILABLE;
+	return s->backoff_until > tmr_now(k->config.tmr) ? WKR_BACKED_OFF
+							 : WKR_AVAILABLE;
 }
 
 /* Whether a worker may be assigned new work. */
 bool wkr_usable(const struct wkr *k, const struct jtb_worker *w)
 {
-	return wkr_bar(k, w) == WKR_FREE;
+	return wkr_availability(k, w) == WKR_AVAILABLE;
 }
 
 /*
  * Returns since when a worker has been unreachable, on the clock of tmr; 0 if
  * it answered last time or was not polled yet.
  */
-int64_t wkr_silent_since(const struct wkr *k, const struct jtb_worker *w)
+int64_t wkr_unreachable_since(const struct wkr *k, const struct jtb_worker *w)
 {
 	const struct wkr_session *s = wkr_session_of(w);
 
@@ -255,7 +256,7 @@
 }
 
 /* Whether a worker answered the last call. */
-bool wkr_reached(const struct wkr *k, const struct jtb_worker *w)
+bool wkr_is_reachable(const struct wkr *k, const struct jtb_worker *w)
 {
 	const struct wkr_session *s = wkr_session_of(w);
 
@@ -264,14 +265,14 @@
 
 /*
  * Returns for how long a run had been observed running when it was last listed,
- * ms, or a value of enum sch_seen.
+ * ms, or a value of enum sch_observed.
  */
-int64_t wkr_seen_ms(const struct wkr *k, const struct jtb_run *run)
+int64_t wkr_observed_ms(const struct wkr *k, const struct jtb_run *run)
 {
 	if ((run->phase == WKR_NEW && !run->may_be_there) ||
 	    run->phase == WKR_OVER || run->phase == WKR_DROPPED)
 		return SCH_NOT_SENT;
-	return sch_seen_ms(run);
+	return sch_observed_ms(run);
 }
 
 /* Returns the counters since the start. */
@@ -342,7 +343,7 @@
 	const struct wkr_codec *codec = s->k->config.codec;
 	struct ups_header headers[] = {
 		{(char *)"Content-Type", (char *)codec->content_type},
-		{(char *)codec->life_header, s->w->info.id},
+		{(char *)codec->instance_header, s->w->info.id},
 	};
 	struct ups_request r = {
 		.addr = s->w->info.addr,
@@ -399,7 +400,7 @@
 	for (i = 0; i < s->w->runs->len; i++) {
 		const struct jtb_run *run = g_ptr_array_index(s->w->runs, i);
 
-		if (run->phase == WKR_ON)
+		if (run->phase == WKR_ACCEPTED)
 			return true;
 	}
 	return false;
@@ -411,7 +412,7 @@
  */
 static const char *wkr_relay_of(const struct wkr_session *s)
 {
-	return s->k->config.rly ? s->k->ops->carrier(s->k->arg, s->w, s->n_lost)
+	return s->k->config.rly ? s->k->ops->relay(s->k->arg, s->w, s->n_lost)
 				: NULL;
 }
 
@@ -519,7 +520,7 @@
 	if (now - s->lost_ms > s->k->lease_ms)
 		s->n_lost = 0;
 	s->retry_ms = WKR_RETRY_MIN_MS;
-	evd_heard(&s->state, clock_ms, now);
+	evd_record_answer(&s->state, clock_ms, now);
 }
 
 /*
@@ -528,10 +529,10 @@
  */
 int64_t wkr_lease_end(struct wkr_session *s)
 {
-	int64_t confirmed =
-		MIN(tmr_now(s->k->config.tmr), s->k->ops->sure(s->k->arg));
+	int64_t confirmed = MIN(tmr_now(s->k->config.tmr),
+				s->k->ops->confirmed_ms(s->k->arg));
 
-	return evd_until(&s->state, confirmed, s->k->lease_ms);
+	return evd_lease_end(&s->state, confirmed, s->k->lease_ms);
 }
 
 /* Returns the point in time for evidence that is evaluated now. */
@@ -550,7 +551,7 @@
 	struct evd_moment m = wkr_moment(s->k);
 	struct evd e;
 
-	evd_of(why, as_of_ms, &m, &e);
+	evd_set(why, as_of_ms, &m, &e);
 	s->k->ops->gone(s->k->arg, s->w, &e);
 }
 
@@ -577,7 +578,7 @@
 				continue;
 			s->abandoned = true;
 			s->cleared = s->w->cleared;
-			k->stats.lapses++;
+			k->stats.expired++;
 			wkr_log_expiry(s, &e);
 			wkr_record_stale_starts(s);
 			k->ops->gone(k->arg, s->w, &e);
@@ -601,7 +602,7 @@
 	    " granted_ms=%" PRId64 " clock_ms=%" PRId64 " clock_age_ms=%" PRId64
 	    " until=%" PRId64 " lag_ms=%" PRId64,
 	    s->w->info.id, s->w->runs->len, e->at_ms - s->state.failed_since,
-	    s->state.ok_ms ? e->at_ms - s->state.ok_ms : -1,
+	    s->state.answered_ms ? e->at_ms - s->state.answered_ms : -1,
 	    e->at_ms - e->as_of_ms, s->state.clock_ms,
 	    e->at_ms - s->state.clock_at, s->state.granted_until, e->lag_ms);
 }
--- a/src/wkr.h
+++ b/src/wkr.h
@@ -24,29 +24,29 @@
 enum wkr_phase {
 	WKR_NEW, /* a start is to be sent */
 	WKR_SENT, /* an order is in flight */
-	WKR_ON, /* the worker has accepted the start or lists the run */
+	WKR_ACCEPTED, /* the worker has accepted the start or lists the run */
 	WKR_OVER, /* the worker has answered that the run never starts again */
 	WKR_DROPPED, /* abandoned by the leader; the run's end is proposed */
 };
 
 /* Whether a worker may be assigned new work, and if not, why. */
-enum wkr_bar {
-	WKR_FREE, /* the worker may be assigned work */
-	WKR_DRAINS, /* the worker has reported that it is draining */
-	WKR_UNHEARD, /* the worker is unreachable, or has not answered yet */
-	WKR_SHUNNED, /* the worker was unhealthy or full recently */
+enum wkr_availability {
+	WKR_AVAILABLE, /* the worker may be assigned work */
+	WKR_DRAINING, /* the worker has reported that it is draining */
+	WKR_UNREACHABLE, /* the worker does not answer, or has not yet */
+	WKR_BACKED_OFF, /* the worker was unhealthy or full recently */
 };
 
 /* A worker's answer to an order. */
 enum wkr_answer {
 	WKR_YES,
 	WKR_FENCED, /* the worker has seen a higher fencing token */
-	WKR_OLD, /* the run is over on the worker */
-	WKR_LATE, /* the lease had expired when the order arrived */
-	WKR_NO_ROOM,
+	WKR_RUN_OVER, /* the run is over on the worker */
+	WKR_LEASE_EXPIRED, /* the lease had expired when the order arrived */
+	WKR_NO_CAPACITY,
 	WKR_NO_TICKET,
-	WKR_SICK, /* the worker is unable to now, and did nothing */
-	WKR_OTHER_LIFE, /* another process instance is at that address */
+	WKR_UNHEALTHY, /* the worker is unable to now, and did nothing */
+	WKR_OTHER_INSTANCE, /* another process instance is at that address */
 	WKR_MALFORMED, /* the worker could not parse the order */
 	WKR_UNREADABLE, /* the answer could not be parsed */
 };
@@ -111,7 +111,7 @@
 struct wkr_codec {
 	const char *content_type;
 	/* header with the id of the worker instance addressed */
-	const char *life_header;
+	const char *instance_header;
 	const char *(*write)(const struct wkr_order *o, struct evbuffer *body);
 	/* Decodes an answer; clock_ms is set to 0 if it has no clock. */
 	enum wkr_answer (*answer)(int status, struct lstr body,
@@ -141,13 +141,13 @@
 	 * Returns when this replica's leadership was last confirmed, on the
 	 * clock of tmr.
 	 */
-	int64_t (*sure)(void *arg);
+	int64_t (*confirmed_ms)(void *arg);
 	/*
 	 * Returns the replica that relays the calls to w, or NULL if the leader
 	 * makes them itself. n_lost grows with each call to w that was lost.
 	 */
-	const char *(*carrier)(void *arg, const struct jtb_worker *w,
-			       uint32_t n_lost);
+	const char *(*relay)(void *arg, const struct jtb_worker *w,
+			     uint32_t n_lost);
 };
 
 struct wkr_config {
@@ -165,10 +165,10 @@
 	uint64_t orders[WKR_PACE + 1];
 	uint64_t unanswered;
 	/* orders not sent for lack of a connection of this replica */
-	uint64_t untried;
+	uint64_t not_sent;
 	uint64_t refused; /* starts refused by workers */
-	uint64_t unticketed; /* of these, for lack of a ticket */
-	uint64_t lapses; /* workers abandoned as their leases expired */
+	uint64_t ticket_refusals; /* of these, for lack of a ticket */
+	uint64_t expired; /* workers abandoned as their leases expired */
 	struct cnt_times answers; /* times from orders to their answers */
 	struct cnt_times margin; /* remaining times of leases when renewed */
 };
@@ -177,21 +177,22 @@
 		    void *arg);
 void wkr_free(struct wkr *k);
 void wkr_lead(struct wkr *k, uint64_t fence);
-void wkr_rest(struct wkr *k);
-void wkr_worker(struct wkr *k, struct jtb_worker *w);
-void wkr_forget(struct wkr *k, struct jtb_worker *w);
-void wkr_run(struct wkr *k, struct jtb_run *run);
-void wkr_run_over(struct wkr *k, struct jtb_run *run);
-void wkr_stop(struct wkr *k, struct jtb_run *run);
-void wkr_pace(struct wkr *k, struct jtb_run *run, int percent);
-void wkr_stored(struct wkr *k);
-void wkr_ask(struct wkr *k, struct jtb_worker *w);
-void wkr_clock(struct wkr *k, struct jtb_worker *w, int64_t clock_ms);
-enum wkr_bar wkr_bar(const struct wkr *k, const struct jtb_worker *w);
+void wkr_stop_leading(struct wkr *k);
+void wkr_update_worker(struct wkr *k, struct jtb_worker *w);
+void wkr_remove_worker(struct wkr *k, struct jtb_worker *w);
+void wkr_add_run(struct wkr *k, struct jtb_run *run);
+void wkr_remove_run(struct wkr *k, struct jtb_run *run);
+void wkr_stop_run(struct wkr *k, struct jtb_run *run);
+void wkr_set_pace(struct wkr *k, struct jtb_run *run, int percent);
+void wkr_on_commit(struct wkr *k);
+void wkr_poll(struct wkr *k, struct jtb_worker *w);
+void wkr_set_clock(struct wkr *k, struct jtb_worker *w, int64_t clock_ms);
+enum wkr_availability wkr_availability(const struct wkr *k,
+				       const struct jtb_worker *w);
 bool wkr_usable(const struct wkr *k, const struct jtb_worker *w);
-int64_t wkr_silent_since(const struct wkr *k, const struct jtb_worker *w);
-int64_t wkr_seen_ms(const struct wkr *k, const struct jtb_run *run);
-bool wkr_reached(const struct wkr *k, const struct jtb_worker *w);
+int64_t wkr_unreachable_since(const struct wkr *k, const struct jtb_worker *w);
+int64_t wkr_observed_ms(const struct wkr *k, const struct jtb_run *run);
+bool wkr_is_reachable(const struct wkr *k, const struct jtb_worker *w);
 const struct wkr_stats *wkr_stats(const struct wkr *k);
 struct ups_stats wkr_conns(const struct wkr *k);
 struct ups *wkr_ups(const struct wkr *k);
--- a/src/wkr_list.c
+++ b/src/wkr_list.c
@@ -97,11 +97,11 @@
 		return;
 	}
 	answer = codec->answer(status, body, &clock_ms);
-	if (answer == WKR_OTHER_LIFE) {
-		wkr_notify_ended(s, EVD_LIFE, sent_ms);
+	if (answer == WKR_OTHER_INSTANCE) {
+		wkr_notify_ended(s, EVD_OTHER_INSTANCE, sent_ms);
 		return;
 	}
-	if (answer == WKR_SICK)
+	if (answer == WKR_UNHEALTHY)
 		s->backoff_until =
 			tmr_now(s->k->config.tmr) + WKR_UNHEALTHY_BACKOFF_MS;
 	wkr_mark_unreachable(s);
@@ -185,7 +185,7 @@
 	}
 	run->figure = row->figure;
 	if (run->phase == WKR_NEW)
-		run->phase = WKR_ON;
+		run->phase = WKR_ACCEPTED;
 	run->may_be_there = true;
 }
 
--- a/src/wkr_order.c
+++ b/src/wkr_order.c
@@ -103,7 +103,7 @@
 {
 	if (c->kind == WKR_START)
 		return WKR_NEW;
-	return run->began_ms ? WKR_ON : c->phase_before;
+	return run->began_ms ? WKR_ACCEPTED : c->phase_before;
 }
 
 /* Sends one order for a run. */
@@ -237,18 +237,18 @@
 	struct jtb_run *run = g_hash_table_lookup(s->k->runs, &c->serial);
 	int64_t now = tmr_now(s->k->config.tmr);
 
-	if (answer == WKR_OTHER_LIFE) {
-		wkr_notify_ended(s, EVD_LIFE, c->sent_ms);
+	if (answer == WKR_OTHER_INSTANCE) {
+		wkr_notify_ended(s, EVD_OTHER_INSTANCE, c->sent_ms);
 		return;
 	}
-	if (answer == WKR_SICK)
+	if (answer == WKR_UNHEALTHY)
 		s->backoff_until = now + WKR_UNHEALTHY_BACKOFF_MS;
-	if (answer == WKR_NO_ROOM)
+	if (answer == WKR_NO_CAPACITY)
 		s->backoff_until =
 			MAX(s->backoff_until, now + WKR_FULL_BACKOFF_MS);
 	if (c->stale)
-		wkr_on_stale_stop_end(s, c,
-				      answer == WKR_YES || answer == WKR_OLD);
+		wkr_on_stale_stop_end(
+			s, c, answer == WKR_YES || answer == WKR_RUN_OVER);
 	if (!run || c->kind == WKR_PACE) {
 		if (run && answer != WKR_YES)
 			run->pace_told = -1;
@@ -261,24 +261,24 @@
 	run->may_be_there |= answer == WKR_UNREADABLE;
 	switch (answer) {
 	case WKR_YES:
-		run->phase = c->kind == WKR_START ? WKR_ON : WKR_OVER;
+		run->phase = c->kind == WKR_START ? WKR_ACCEPTED : WKR_OVER;
 		run->job->unseen &= c->kind != WKR_START;
 		run->ordered_ms = now;
 		wkr_schedule_hold(s, 0);
 		break;
-	case WKR_OLD:
+	case WKR_RUN_OVER:
 		run->phase = WKR_OVER;
 		run->ordered_ms = now;
 		wkr_schedule_hold(s, 0);
 		break;
 	case WKR_NO_TICKET:
 		if (c->kind == WKR_START) {
-			s->k->stats.unticketed++;
+			s->k->stats.ticket_refusals++;
 			s->k->ops->ticket_refused(s->k->arg, run);
 		}
 		/* fall through */
-	case WKR_NO_ROOM:
-	case WKR_SICK:
+	case WKR_NO_CAPACITY:
+	case WKR_UNHEALTHY:
 	case WKR_MALFORMED:
 		if (c->kind == WKR_START) {
 			wkr_on_start_refused(s, run);
@@ -335,7 +335,7 @@
 	 * A single lost call among answered ones is no sign of an unreachable
 	 * worker: it keeps getting work, and only this call is repeated.
 	 */
-	if (s->state.ok_ms < c->sent_ms)
+	if (s->state.answered_ms < c->sent_ms)
 		wkr_mark_unreachable(s);
 	if (c->kind == WKR_HOLD || !s->hold)
 		wkr_schedule_hold(s, s->retry_ms);
@@ -350,7 +350,7 @@
  */
 void wkr_on_not_sent(struct wkr_session *s, const struct wkr_call *c)
 {
-	s->k->stats.untried++;
+	s->k->stats.not_sent++;
 	wkr_retry_call(s, c, false);
 }
 
--- a/tests/prop/flo_prop.cc
+++ b/tests/prop/flo_prop.cc
@@ -317,9 +317,9 @@
 		v.wall_ms = wall();
 		v.arg = this;
 		v.usable = onUsable;
-		v.leaving = onLeaving;
+		v.upkeep_due = onLeaving;
 		v.start = onStart;
-		v.starved = onStarved;
+		v.unschedulable = onStarved;
 		flo_closed(flo, closed);
 		for (auto &p : pools)
 			sch_plan(&v, p.c_str());
--- a/tests/prop/sch_prop.cc
+++ b/tests/prop/sch_prop.cc
@@ -180,7 +180,7 @@
 		return is && !is->unreachable && !w->info.draining;
 	}
 
-	static bool onLeaving(void *arg, const struct jtb_worker *w)
+	static bool onUpkeepDue(void *arg, const struct jtb_worker *w)
 	{
 		return false;
 	}
@@ -227,9 +227,9 @@
 		v.wall_ms = wall();
 		v.arg = this;
 		v.usable = onUsable;
-		v.leaving = onLeaving;
+		v.upkeep_due = onUpkeepDue;
 		v.start = onStart;
-		v.starved = onUnschedulable;
+		v.unschedulable = onUnschedulable;
 		sch_plan(&v, "p");
 	}
 
--- a/tests/prop/wkr_prop.cc
+++ b/tests/prop/wkr_prop.cc
@@ -167,15 +167,15 @@
 	case 200:
 		return WKR_YES;
 	case 410:
-		return WKR_OLD;
+		return WKR_RUN_OVER;
 	case 412:
 		return WKR_FENCED;
 	case 408:
-		return WKR_LATE;
+		return WKR_LEASE_EXPIRED;
 	case 421:
-		return WKR_OTHER_LIFE;
+		return WKR_OTHER_INSTANCE;
 	case 503:
-		return WKR_SICK;
+		return WKR_UNHEALTHY;
 	default:
 		return WKR_UNREADABLE;
 	}
@@ -294,27 +294,27 @@
 	{
 		watch.run_began = [](void *, struct jtb_run *run) {
 			run->ordered_ms = the_simulation->now();
-			wkr_run(the_simulation->wkr, run);
+			wkr_add_run(the_simulation->wkr, run);
 		};
 		watch.run_ends = [](void *, struct jtb_run *run, enum jtb_end) {
-			wkr_run_over(the_simulation->wkr, run);
+			wkr_remove_run(the_simulation->wkr, run);
 		};
 		watch.run_stops = [](void *, struct jtb_run *run) {
-			wkr_stop(the_simulation->wkr, run);
+			wkr_stop_run(the_simulation->wkr, run);
 		};
 		watch.late_end = [](void *, const struct jtb_worker *,
 				    const struct jtb_name *, uint32_t,
 				    enum jtb_end) {};
 		watch.job_changed = [](void *, struct jtb_job *) {};
 		watch.worker_changed = [](void *, struct jtb_worker *w) {
-			wkr_worker(the_simulation->wkr, w);
+			wkr_update_worker(the_simulation->wkr, w);
 		};
 		watch.worker_gone = [](void *, struct jtb_worker *w) {
-			wkr_forget(the_simulation->wkr, w);
+			wkr_remove_worker(the_simulation->wkr, w);
 		};
 		watch.config_changed = [](void *) {};
 		codec.content_type = "x";
-		codec.life_header = "Life";
+		codec.instance_header = "Life";
 		codec.write = codec_write;
 		codec.answer = codec_answer;
 		codec.report = codec_report;
@@ -340,7 +340,7 @@
 		};
 		ops.gone = [](void *, struct jtb_worker *w,
 			      const struct evd *e) {
-			the_simulation->propose_gone(w, evd_for_good(e));
+			the_simulation->propose_gone(w, evd_is_permanent(e));
 		};
 		ops.seen = [](void *, struct jtb_worker *) {};
 		ops.ticket = [](void *, const struct jtb_run *,
@@ -349,8 +349,8 @@
 			return true;
 		};
 		ops.ticket_refused = [](void *, const struct jtb_run *) {};
-		ops.sure = [](void *) { return the_simulation->now(); };
-		ops.carrier = [](void *, const struct jtb_worker *, uint32_t) {
+		ops.confirmed_ms = [](void *) { return the_simulation->now(); };
+		ops.relay = [](void *, const struct jtb_worker *, uint32_t) {
 			return "relay:1";
 		};
 	}
@@ -455,7 +455,7 @@
 					      bytes.size());
 			g_assert_true(jtb_apply(jtb, pk_out_view(&o)));
 			pk_out_done(&o);
-			wkr_stored(wkr);
+			wkr_on_commit(wkr);
 		}
 	}
 
@@ -742,7 +742,7 @@
 		info.mem_mb = 64000;
 		info.draining = w->draining;
 		if (known_worker)
-			wkr_clock(wkr, known_worker, w->clock(now()));
+			wkr_set_clock(wkr, known_worker, w->clock(now()));
 		if (known_worker &&
 		    jtb_worker_known(&known_worker->info, &info))
 			return;
@@ -763,7 +763,7 @@
 		pk_out_init(&o);
 		jtb_put_left(&o, w->id.c_str());
 		propose(&o);
-		wkr_ask(wkr, known_worker);
+		wkr_poll(wkr, known_worker);
 		/*
 		 * If the confirmation is lost, the worker goes on for a while.
 		 */
@@ -802,7 +802,8 @@
 			vm.asked_ms = now();
 			vm.listed = !vm.other;
 			vm.up = true;
-			if (evd_vm_over(&vm, wkr_silent_since(wkr, w), &m, &e))
+			if (evd_vm_over(&vm, wkr_unreachable_since(wkr, w), &m,
+					&e))
 				propose_gone(w, true);
 		}
 	}
@@ -860,7 +861,7 @@
 
 		log.resize(n_kept);
 		jtb_unplan_all(jtb);
-		wkr_rest(wkr);
+		wkr_stop_leading(wkr);
 		answers.clear();
 		lead_at = now() + between(600, 1500);
 	}
--- a/tests/unit/blackhole_test.c
+++ b/tests/unit/blackhole_test.c
@@ -32,12 +32,12 @@
 	return true;
 }
 
-static bool on_leaving(void *arg, const struct jtb_worker *w)
+static bool on_upkeep_due(void *arg, const struct jtb_worker *w)
 {
 	return false;
 }
 
-static void on_starved(void *arg, const char *pool)
+static void on_unschedulable(void *arg, const char *pool)
 {
 }
 
@@ -67,9 +67,9 @@
 		.wall_ms = JOBS_WALL_MS + f->now,
 		.arg = f,
 		.usable = on_usable,
-		.leaving = on_leaving,
+		.upkeep_due = on_upkeep_due,
 		.start = on_start,
-		.starved = on_starved,
+		.unschedulable = on_unschedulable,
 	};
 
 	sch_plan(&v, "p");
--- a/tests/unit/crs_test.c
+++ b/tests/unit/crs_test.c
@@ -13,20 +13,20 @@
 struct fixture {
 	struct jtb *jtb;
 	struct crs *crs;
-	bool rack_silent;
+	bool rack_unreachable;
 	bool alive;
 };
 
-static int64_t on_seen_ms(void *arg, const struct jtb_run *run)
+static int64_t on_observed_ms(void *arg, const struct jtb_run *run)
 {
-	return sch_seen_ms(run);
+	return sch_observed_ms(run);
 }
 
-static bool on_rack_silent(void *arg, const struct jtb_worker *w)
+static bool on_rack_unreachable(void *arg, const struct jtb_worker *w)
 {
 	const struct fixture *f = arg;
 
-	return f->rack_silent;
+	return f->rack_unreachable;
 }
 
 static bool on_alive(void *arg, const struct jtb_worker *w)
@@ -37,8 +37,8 @@
 }
 
 static const struct crs_ops crs_callbacks = {
-	.seen_ms = on_seen_ms,
-	.rack_silent = on_rack_silent,
+	.observed_ms = on_observed_ms,
+	.rack_unreachable = on_rack_unreachable,
 	.alive = on_alive,
 };
 
@@ -124,8 +124,8 @@
 	struct jtb_blame blame;
 	struct pk_out o;
 
-	crs_lost(f->crs, jtb_worker(f->jtb, id), crashed, NOW_MS + at_ms,
-		 &blame);
+	crs_record_loss(f->crs, jtb_worker(f->jtb, id), crashed, NOW_MS + at_ms,
+			&blame);
 	pk_out_init(&o);
 	jtb_put_lost(&o, id, crashed, &blame, JOBS_WALL_MS);
 	jobs_apply(f->jtb, &o);
@@ -240,7 +240,7 @@
 {
 	struct fixture *f = *state;
 
-	f->rack_silent = true;
+	f->rack_unreachable = true;
 	start_run(f, "a", 1, "w1", -1);
 	lose_worker(f, "w1", true, 0);
 	start_run(f, "a", 2, "w2", -1);
@@ -321,7 +321,7 @@
 	struct fixture *f = *state;
 	int i;
 
-	f->rack_silent = true;
+	f->rack_unreachable = true;
 	for (i = 1; i <= 4; i++) {
 		char id[8];
 
--- a/tests/unit/evd_test.c
+++ b/tests/unit/evd_test.c
@@ -42,7 +42,7 @@
 	assert_true(evd_lease_over(&w, LEASE_MS, &now, &e));
 	assert_int_equal(e.why, EVD_LEASE);
 	assert_int_equal(e.as_of_ms, w.granted_at);
-	assert_false(evd_for_good(&e));
+	assert_false(evd_is_permanent(&e));
 }
 
 /*
@@ -58,7 +58,7 @@
 	vm.without = 2;
 	assert_true(evd_vm_over(&vm, NOW_MS - 500, &now, &e));
 	assert_int_equal(e.why, EVD_VM_NONE);
-	assert_true(evd_for_good(&e));
+	assert_true(evd_is_permanent(&e));
 }
 
 /*
@@ -68,7 +68,7 @@
 static void list_without_worker_names_is_not_evidence(void **state)
 {
 	struct evd_vm vm = {
-		.asked_ms = NOW_MS - 10, .without = 9, .unread = true};
+		.asked_ms = NOW_MS - 10, .without = 9, .worker_unknown = true};
 	struct evd e;
 
 	assert_false(evd_vm_over(&vm, NOW_MS - 500, &now, &e));
--- a/tests/unit/hld_test.c
+++ b/tests/unit/hld_test.c
@@ -25,7 +25,7 @@
 	struct hld_sum sum;
 };
 
-static enum hld_reason on_bar(void *arg, const struct jtb_worker *w)
+static enum hld_reason on_worker_reason(void *arg, const struct jtb_worker *w)
 {
 	const struct fixture *f = arg;
 
@@ -34,7 +34,7 @@
 
 static bool on_usable(void *arg, const struct jtb_worker *w)
 {
-	return on_bar(arg, w) == HLD_NONE;
+	return on_worker_reason(arg, w) == HLD_NONE;
 }
 
 static enum hld_reason on_run(void *arg, const struct jtb_run *run)
@@ -44,13 +44,13 @@
 	return f->run_reason;
 }
 
-static bool on_leaving(void *arg, const struct jtb_worker *w)
+static bool on_upkeep_due(void *arg, const struct jtb_worker *w)
 {
 	return false;
 }
 
-static bool on_ticketed(void *arg, const struct jtb_job *job, uint32_t turn,
-			uint32_t step, const struct jtb_worker *w)
+static bool on_has_ticket(void *arg, const struct jtb_job *job, uint32_t turn,
+			  uint32_t step, const struct jtb_worker *w)
 {
 	const struct fixture *f = arg;
 
@@ -69,7 +69,7 @@
 			   w->info.id);
 }
 
-static void on_starved(void *arg, const char *pool)
+static void on_unschedulable(void *arg, const char *pool)
 {
 }
 
@@ -104,16 +104,16 @@
 		.wall_ms = JOBS_WALL_MS,
 		.arg = f,
 		.usable = on_usable,
-		.leaving = on_leaving,
-		.ticketed = on_ticketed,
+		.upkeep_due = on_upkeep_due,
+		.has_ticket = on_has_ticket,
 		.start = on_start,
-		.starved = on_starved,
+		.unschedulable = on_unschedulable,
 	};
 	f->view = (struct hld_view){
 		.sch = &f->sch,
 		.moving = f->moving,
 		.upkeep = f->upkeep,
-		.bar = on_bar,
+		.worker_reason = on_worker_reason,
 		.run = on_run,
 	};
 	jobs_config(f->jtb, 1, "p", 3);
@@ -192,10 +192,10 @@
 	jobs_worker(f->jtb, "w2", 4000, true);
 	assert_int_equal(reason_of(f, "large", 0, 0), HLD_DRAINING);
 	submit(f, "a", (struct jtb_step){0});
-	f->worker_reason = HLD_UNREACHED;
-	assert_int_equal(reason_of(f, "a", 0, 0), HLD_UNREACHED);
-	f->worker_reason = HLD_SHUNNED;
-	assert_int_equal(reason_of(f, "a", 0, 0), HLD_SHUNNED);
+	f->worker_reason = HLD_UNREACHABLE;
+	assert_int_equal(reason_of(f, "a", 0, 0), HLD_UNREACHABLE);
+	f->worker_reason = HLD_BACKED_OFF;
+	assert_int_equal(reason_of(f, "a", 0, 0), HLD_BACKED_OFF);
 	f->worker_reason = HLD_NONE;
 	g_hash_table_add(f->closed, (gpointer) "w1");
 	g_hash_table_add(f->moving, (gpointer) "w1");
@@ -226,7 +226,7 @@
 	jobs_worker(f->jtb, "w", 2000, false);
 	jobs_job(f->jtb, "two", steps, 2, JOBS_WALL_MS);
 	assert_int_equal(reason_of(f, "two", 1, 0), HLD_EARLIER_STEP);
-	assert_false(hld_is_owed(HLD_EARLIER_STEP));
+	assert_false(hld_is_pending(HLD_EARLIER_STEP));
 	jtb_job(f->jtb, "two")->spec.repeats = 1;
 	jtb_job(f->jtb, "two")->spec.first_ms = JOBS_WALL_MS + 1;
 	assert_int_equal(reason_of(f, "two", 0, 0), HLD_NOT_DUE);
@@ -251,7 +251,7 @@
 {
 	f->sch.now_ms += after_ms;
 	g_string_truncate(f->reports, 0);
-	hld_look(&f->view, &f->sum, on_report, f);
+	hld_scan_all(&f->view, &f->sum, on_report, f);
 }
 
 /*
@@ -284,7 +284,7 @@
 	scan(f, 11000);
 	assert_string_equal(f->reports->str, "l.1:no-room s:no-label ");
 	/* A new leader counts from its own first scan. */
-	hld_forget(f->jtb);
+	hld_clear(f->jtb);
 	scan(f, 0);
 	assert_string_equal(f->reports->str, "");
 	assert_int_equal(f->sum.longest_ms, 0);
@@ -299,10 +299,10 @@
 	submit(f, "a", (struct jtb_step){.count = 3});
 	jobs_worker(f->jtb, "w", 1000, false);
 	jobs_start(f->jtb, "a", 0, 0, 1, "w");
-	f->worker_reason = HLD_UNREACHED;
+	f->worker_reason = HLD_UNREACHABLE;
 	scan(f, 0);
 	scan(f, 1500);
-	hld_text(&f->sum, out);
+	hld_append_metrics(&f->sum, out);
 	assert_non_null(
 		strstr(out->str, "\nendive_held_tasks{why=\"unreached\"} 2\n"));
 	assert_non_null(strstr(
@@ -313,7 +313,7 @@
 	scan(f, 0);
 	scan(f, 1500);
 	g_string_truncate(out, 0);
-	hld_text(&f->sum, out);
+	hld_append_metrics(&f->sum, out);
 	assert_non_null(
 		strstr(out->str, "\nendive_held_longest_seconds 1.5\n"));
 	g_string_free(out, TRUE);
@@ -369,8 +369,8 @@
 	for (i = 0; i < HLD_REASONS; i++)
 		for (j = 0; j < i; j++)
 			assert_string_not_equal(hld_name(i), hld_name(j));
-	assert_true(hld_most_ms(HLD_NONE) > 0);
-	assert_true(hld_is_owed(HLD_NONE) && !hld_is_owed(HLD_RUNS));
+	assert_true(hld_limit_ms(HLD_NONE) > 0);
+	assert_true(hld_is_pending(HLD_NONE) && !hld_is_pending(HLD_RUNS));
 }
 
 #define T(fn) cmocka_unit_test_setup_teardown(fn, setup, teardown)
--- a/tests/unit/pac_test.c
+++ b/tests/unit/pac_test.c
@@ -70,7 +70,7 @@
 {
 	f->now += after_ms;
 	f->serving->figure = tail_ms;
-	pac_look(f->w, f->now, &pac_callbacks, f);
+	pac_update(f->w, f->now, &pac_callbacks, f);
 }
 
 /*
--- a/tests/unit/sch_test.c
+++ b/tests/unit/sch_test.c
@@ -26,15 +26,15 @@
 	return !w->info.draining;
 }
 
-static bool on_leaving(void *arg, const struct jtb_worker *w)
+static bool on_upkeep_due(void *arg, const struct jtb_worker *w)
 {
 	const struct fixture *f = arg;
 
 	return f->upkeep_due && strcmp(f->upkeep_due, w->info.id) == 0;
 }
 
-static bool on_ticketed(void *arg, const struct jtb_job *job, uint32_t turn,
-			uint32_t step, const struct jtb_worker *w)
+static bool on_has_ticket(void *arg, const struct jtb_job *job, uint32_t turn,
+			  uint32_t step, const struct jtb_worker *w)
 {
 	const struct fixture *f = arg;
 	char *one = g_strdup_printf("%s@%s", job->spec.id, w->info.id);
@@ -58,7 +58,7 @@
 			   w->info.id);
 }
 
-static void on_starved(void *arg, const char *pool)
+static void on_unschedulable(void *arg, const char *pool)
 {
 	struct fixture *f = arg;
 
@@ -74,10 +74,10 @@
 		.wall_ms = f->wall,
 		.arg = f,
 		.usable = on_usable,
-		.leaving = on_leaving,
-		.ticketed = on_ticketed,
+		.upkeep_due = on_upkeep_due,
+		.has_ticket = on_has_ticket,
 		.start = on_start,
-		.starved = on_starved,
+		.unschedulable = on_unschedulable,
 	};
 
 	g_string_truncate(f->log, 0);
@@ -476,14 +476,14 @@
 	run_plan(f);
 	run = g_ptr_array_index(jtb_worker(f->jtb, "w")->runs, 0);
 	run->ordered_ms = PLAN_MS;
-	assert_true(sch_tells_time(run, JTB_DONE, PLAN_MS - 1));
-	assert_false(sch_tells_time(run, JTB_DONE, PLAN_MS));
-	assert_false(sch_tells_time(run, JTB_STOPPED, PLAN_MS - 1));
+	assert_true(sch_is_time_sample(run, JTB_DONE, PLAN_MS - 1));
+	assert_false(sch_is_time_sample(run, JTB_DONE, PLAN_MS));
+	assert_false(sch_is_time_sample(run, JTB_STOPPED, PLAN_MS - 1));
 	run->attempt = 2;
-	assert_false(sch_tells_time(run, JTB_DONE, PLAN_MS - 1));
+	assert_false(sch_is_time_sample(run, JTB_DONE, PLAN_MS - 1));
 	run->attempt = 1;
 	run->job->spec.steps[0].flags = JTB_GANG;
-	assert_false(sch_tells_time(run, JTB_DONE, PLAN_MS - 1));
+	assert_false(sch_is_time_sample(run, JTB_DONE, PLAN_MS - 1));
 }
 
 /*
@@ -590,7 +590,7 @@
 	run_plan(f);
 	assert_int_equal(jtb_worker(f->jtb, "w1")->runs->len, 1);
 	assert_int_equal(jtb_worker(f->jtb, "w2")->runs->len, 1);
-	assert_int_equal(sch_apart(jtb_job(f->jtb, "a"), f->wall), 3);
+	assert_int_equal(sch_min_workers(jtb_job(f->jtb, "a"), f->wall), 3);
 }
 
 /* The limit of tasks per worker counts proposed starts. */
@@ -846,7 +846,7 @@
 	jobs_end(f->jtb, "r", 0, 0, 1, "w2", JTB_DONE);
 	assert_int_equal(jtb_job(f->jtb, "r")->turns_done, 1);
 	f->wall += 5000;
-	assert_int_equal(sch_apart(jtb_job(f->jtb, "r"), f->wall), 2);
+	assert_int_equal(sch_min_workers(jtb_job(f->jtb, "r"), f->wall), 2);
 }
 
 /*
@@ -1139,7 +1139,7 @@
 	 * fits.
 	 */
 	submit(f, "c", 1, 1000, 500, 0, 0);
-	set_observed(f, "b", SCH_FRESH_MS);
+	set_observed(f, "b", SCH_JUST_STARTED_MS);
 	f->elapsed_ms += 100;
 	run_plan(f);
 	assert_string_equal(f->log->str, "c.0.0@w1 ");
@@ -1152,7 +1152,7 @@
 	 * The suspect has been observed running, and its worker is usable
 	 * again.
 	 */
-	set_observed(f, "a", SCH_FRESH_MS);
+	set_observed(f, "a", SCH_JUST_STARTED_MS);
 	f->elapsed_ms += 100;
 	run_plan(f);
 	assert_non_null(strstr(f->log->str, "@w2"));
@@ -1179,7 +1179,7 @@
 	f->elapsed_ms += 100;
 	run_plan(f);
 	assert_string_equal(f->log->str, "");
-	set_observed(f, "b", SCH_FRESH_MS);
+	set_observed(f, "b", SCH_JUST_STARTED_MS);
 	f->elapsed_ms += 100;
 	run_plan(f);
 	assert_string_equal(f->log->str, "a.0.0@w1 ");
--- a/tests/unit/wkr_test.c
+++ b/tests/unit/wkr_test.c
@@ -110,12 +110,12 @@
 {
 	*clock_ms = WORKER_MS;
 	if (status == 421)
-		return WKR_OTHER_LIFE;
+		return WKR_OTHER_INSTANCE;
 	if (status == 500)
 		return WKR_UNREADABLE;
 	if (status == 403)
 		return WKR_NO_TICKET;
-	return status == 200 ? WKR_YES : WKR_NO_ROOM;
+	return status == 200 ? WKR_YES : WKR_NO_CAPACITY;
 }
 
 static bool on_report(struct lstr body, struct wkr_report *out)
@@ -154,7 +154,7 @@
 
 static const struct wkr_codec test_codec = {
 	.content_type = "text/plain",
-	.life_header = "Life",
+	.instance_header = "Life",
 	.write = on_write,
 	.answer = on_answer,
 	.report = on_report,
@@ -237,7 +237,7 @@
 	if (!f->gone)
 		f->gone_ms = tmr_now(f->tmr);
 	f->gone++;
-	f->gone_permanently += evd_for_good(e);
+	f->gone_permanently += evd_is_permanent(e);
 	f->why = e->why;
 }
 
@@ -264,7 +264,7 @@
 	f->tickets_refused++;
 }
 
-static int64_t on_sure(void *arg)
+static int64_t on_confirmed_ms(void *arg)
 {
 	struct fixture *f = arg;
 
@@ -283,8 +283,8 @@
 static const struct rly_ops rly_callbacks = {.send = on_carry};
 
 /* Uses the relay first, and the leader itself after a lost call. */
-static const char *on_carrier(void *arg, const struct jtb_worker *w,
-			      uint32_t n_lost)
+static const char *on_relay(void *arg, const struct jtb_worker *w,
+			    uint32_t n_lost)
 {
 	const struct fixture *f = arg;
 
@@ -298,8 +298,8 @@
 	.seen = on_seen,
 	.ticket = on_ticket,
 	.ticket_refused = on_ticket_refused,
-	.sure = on_sure,
-	.carrier = on_carrier,
+	.confirmed_ms = on_confirmed_ms,
+	.relay = on_relay,
 };
 
 static void apply_command(struct fixture *f, struct pk_out *cmd)
@@ -436,7 +436,7 @@
 	apply_command(f, &o);
 	f->run = jtb_find_run(f->jtb, &n, 1, "w");
 	assert_non_null(f->run);
-	wkr_run(f->wkr, f->run);
+	wkr_add_run(f->wkr, f->run);
 }
 
 /* Runs the event loop until a counter is above zero. */
@@ -533,9 +533,10 @@
 	net_run(f->base, 1600);
 	assert_true(f->relay_messages >= 1);
 	assert_int_equal(f->starts, 1);
-	assert_int_equal(f->run->phase, WKR_ON);
-	assert_int_equal(wkr_silent_since(f->wkr, jtb_worker(f->jtb, "w")), 0);
-	assert_int_equal(wkr_stats(f->wkr)->lapses, 0);
+	assert_int_equal(f->run->phase, WKR_ACCEPTED);
+	assert_int_equal(wkr_unreachable_since(f->wkr, jtb_worker(f->jtb, "w")),
+			 0);
+	assert_int_equal(wkr_stats(f->wkr)->expired, 0);
 }
 
 /*
@@ -587,7 +588,7 @@
 	net_run(f->base, SETTLE_MS);
 	assert_int_equal(f->starts, 1);
 	assert_int_equal(f->lost, 0);
-	assert_int_equal(f->run->phase, WKR_ON);
+	assert_int_equal(f->run->phase, WKR_ACCEPTED);
 	assert_int_equal(f->run->percent, 10);
 	assert_true(f->holds > before);
 }
@@ -701,7 +702,7 @@
 	apply_command(f, &o);
 	f->run = jtb_find_run(f->jtb, &n, 2, "w");
 	assert_non_null(f->run);
-	wkr_run(f->wkr, f->run);
+	wkr_add_run(f->wkr, f->run);
 	net_run(f->base, SETTLE_MS);
 	assert_int_equal(f->starts, 2);
 	count_margins(f, &none);
@@ -789,11 +790,11 @@
 	wait_for(f, &f->starts);
 	f->unreachable = true;
 	wait_for(f, &f->gone);
-	wkr_run_over(f->wkr, f->run);
+	wkr_remove_run(f->wkr, f->run);
 	pk_out_init(&o);
 	jtb_put_gone(&o, "w", false);
 	apply_command(f, &o);
-	wkr_worker(f->wkr, w);
+	wkr_update_worker(f->wkr, w);
 	f->unanswered_stops = 1;
 	f->unreachable = false;
 	while (f->stops < 2) {
@@ -815,7 +816,7 @@
 	struct fixture *f = *state;
 
 	f->unanswered_holds = true;
-	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	wkr_poll(f->wkr, jtb_worker(f->jtb, "w"));
 	net_run(f->base, 20);
 	assert_int_equal(f->unanswered->len, 1);
 	start_run(f);
@@ -827,7 +828,7 @@
 	wait_for(f, &f->seen);
 	net_run(f->base, SETTLE_MS);
 	assert_int_equal(f->lost, 0);
-	assert_int_equal(f->run->phase, WKR_ON);
+	assert_int_equal(f->run->phase, WKR_ACCEPTED);
 }
 
 /* A draining worker gets no message about runs that were never sent to it. */
@@ -868,7 +869,7 @@
 	struct fixture *f = *state;
 
 	f->lists_unknown = true;
-	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	wkr_poll(f->wkr, jtb_worker(f->jtb, "w"));
 	wait_for(f, &f->stops);
 }
 
@@ -1013,8 +1014,8 @@
 	f->lists_run = true;
 	start_run(f);
 	net_run(f->base, SETTLE_MS);
-	wkr_stop(f->wkr, f->run);
-	wkr_rest(f->wkr);
+	wkr_stop_run(f->wkr, f->run);
+	wkr_stop_leading(f->wkr);
 	wkr_lead(f->wkr, FENCE + 2);
 	net_run(f->base, SETTLE_MS);
 	assert_int_equal(f->stops, 0);
@@ -1049,7 +1050,7 @@
 	start_run(f);
 	net_run(f->base, SETTLE_MS);
 	put_worker(f, f->port, true);
-	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	wkr_poll(f->wkr, jtb_worker(f->jtb, "w"));
 	close_port(f);
 	wait_for(f, &f->gone);
 	assert_int_equal(f->why, EVD_LEASE);
@@ -1108,7 +1109,7 @@
 	f->lists_end = true;
 	wait_for(f, &f->ends);
 	holds = f->holds;
-	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	wkr_poll(f->wkr, jtb_worker(f->jtb, "w"));
 	net_run(f->base, SETTLE_MS);
 	assert_int_equal(f->holds, holds);
 	assert_int_equal(f->ack, 0);
@@ -1116,7 +1117,7 @@
 	pk_out_init(&o);
 	jtb_put_end(&o, "w", 1, &n, 1, JTB_DONE, lstr_n("", 0), 1);
 	apply_command(f, &o);
-	wkr_stored(f->wkr);
+	wkr_on_commit(f->wkr);
 	f->holds = 0;
 	wait_for(f, &f->holds);
 	assert_int_equal(f->ack, 1);
@@ -1148,7 +1149,7 @@
 	jtb_put_end(&o, "w", 1, &n, 1, JTB_DONE, lstr_n("", 0), 1);
 	apply_command(f, &o);
 	f->wkr->busy = 400;
-	wkr_stored(f->wkr);
+	wkr_on_commit(f->wkr);
 	l = g_ptr_array_index(f->wkr->sessions, 0);
 	assert_null(l->hold);
 	assert_true(l->hold_timer != 0);
@@ -1172,7 +1173,7 @@
 	f->unanswered_holds = true;
 	net_run(f->base, SETTLE_MS);
 	put_worker(f, f->port, true);
-	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	wkr_poll(f->wkr, jtb_worker(f->jtb, "w"));
 	taken = exhaust_descriptors(f);
 	net_run(f->base, WKR_HOLD_WAIT_MS + WKR_HOLD_TIMEOUT_MS + SETTLE_MS);
 	net_give_back(&taken);
@@ -1192,11 +1193,11 @@
 	net_run(f->base, SETTLE_MS);
 	assert_true(wkr_usable(f->wkr, w));
 	taken = exhaust_descriptors(f);
-	wkr_ask(f->wkr, jtb_worker(f->jtb, "w"));
+	wkr_poll(f->wkr, jtb_worker(f->jtb, "w"));
 	net_run(f->base, SETTLE_MS);
 	net_give_back(&taken);
-	assert_true(wkr_reached(f->wkr, w));
-	assert_int_equal(wkr_silent_since(f->wkr, w), 0);
+	assert_true(wkr_is_reachable(f->wkr, w));
+	assert_int_equal(wkr_unreachable_since(f->wkr, w), 0);
 	f->holds = 0;
 	wait_for(f, &f->holds);
 }
@@ -1248,7 +1249,7 @@
 	assert_string_equal(f->sent_ticket, "t1");
 	assert_int_equal(f->tickets_refused, 1);
 	assert_int_equal(f->lost, 1);
-	assert_int_equal(wkr_stats(f->wkr)->unticketed, 1);
+	assert_int_equal(wkr_stats(f->wkr)->ticket_refusals, 1);
 }
 
 /*
