--- a/bench/adv_bench.c
+++ b/bench/adv_bench.c
@@ -30,7 +30,7 @@
 static bool ticketed(void *arg, const struct jtb_job *job, uint32_t turn,
 		     uint32_t step, const struct jtb_worker *w)
 {
-	return adv_ticketed(arg, job, turn, step, w, WALL_MS);
+	return adv_has_ticket(arg, job, turn, step, w, WALL_MS);
 }
 
 static void starved(void *arg, const char *pool)
@@ -125,11 +125,11 @@
 /* Half of those named are approved, for each job in turn. */
 static void answer_all(struct adv *a, struct sch_view *v)
 {
-	struct adv_ask ask;
+	struct adv_query ask;
 	int n;
 	guint i;
 
-	for (n = 0; n < JOBS && adv_next(a, v, &ask); n++) {
+	for (n = 0; n < JOBS && adv_next_query(a, v, &ask); n++) {
 		GPtrArray *rows = g_ptr_array_new_with_free_func(adv_row_free);
 
 		for (i = 0; i < ask.workers->len; i += 2) {
@@ -140,9 +140,9 @@
 			row->ticket = g_strdup("ticket");
 			g_ptr_array_add(rows, row);
 		}
-		adv_answered(a, &ask, rows, v->now_ms, v->now_ms);
+		adv_accept_answer(a, &ask, rows, v->now_ms, v->now_ms);
 		g_ptr_array_free(rows, TRUE);
-		adv_ask_clear(&ask);
+		adv_query_clear(&ask);
 	}
 }
 
@@ -163,7 +163,7 @@
 		.start = start,
 		.starved = starved,
 	};
-	struct adv_ask ask;
+	struct adv_query ask;
 	double from;
 	int i;
 
@@ -176,8 +176,8 @@
 	for (i = 0; i < LOOKS; i++) {
 		/* after the pause of those that wanted nothing */
 		v.now_ms += 1000;
-		if (adv_next(a, &v, &ask))
-			adv_ask_clear(&ask);
+		if (adv_next_query(a, &v, &ask))
+			adv_query_clear(&ask);
 	}
 	printf("adv/%d/%s-look\t%.3f\tms\t%.1f\n", WORKERS, what,
 	       (bench_now_ms() - from) / LOOKS, STEP_MS);
--- a/src/adv.c
+++ b/src/adv.c
@@ -152,7 +152,8 @@
 static GArray *adv_list_choices(struct adv *a, const struct sch_view *v,
 				const struct adv_candidate *c);
 static void adv_fill_query(struct adv *a, const struct sch_view *v,
-			   const struct adv_candidate *c, struct adv_ask *out);
+			   const struct adv_candidate *c,
+			   struct adv_query *out);
 static bool adv_precedes(const struct adv_candidate *a,
 			 const struct adv_candidate *b);
 static bool adv_has_label(const struct adv_candidate *c,
@@ -162,7 +163,7 @@
 static uint32_t adv_count_fitting(uint32_t all, uint32_t used, uint32_t each);
 static uint32_t adv_count_running(const struct adv_candidate *c,
 				  const struct jtb_worker *w);
-static int64_t adv_issued_ms(const struct adv_ask *query, int64_t sent_ms,
+static int64_t adv_issued_ms(const struct adv_query *query, int64_t sent_ms,
 			     int64_t now_ms);
 static uint32_t adv_names_max(const struct jtb_queue *q);
 static bool adv_turn_started(const struct jtb_job *job, uint32_t turn);
@@ -177,7 +178,7 @@
 static void adv_set_verdict(struct adv_step *s, const char *worker,
 			    const char *ticket, int64_t until_ms);
 static double adv_approval_share(struct adv *a, const char *queue);
-static void adv_update_share(struct adv *a, const struct adv_ask *query,
+static void adv_update_share(struct adv *a, const struct adv_query *query,
 			     uint32_t queried, uint32_t approved);
 static void adv_prune(struct adv *a, int64_t now_ms);
 static bool adv_step_over(const struct adv *a, const struct adv_step *s);
@@ -246,7 +247,8 @@
  * Returns false if no query is needed. Designed for bursts in which many more
  * steps wait for advice than the service can answer for.
  */
-bool adv_next(struct adv *a, const struct sch_view *v, struct adv_ask *out)
+bool adv_next_query(struct adv *a, const struct sch_view *v,
+		    struct adv_query *out)
 {
 	struct adv_candidate best = {0};
 	GArray *jobs;
@@ -278,8 +280,8 @@
  * Stores an answer. A worker that was queried and is not in rows may never run
  * the step.
  */
-void adv_answered(struct adv *a, const struct adv_ask *query,
-		  const GPtrArray *rows, int64_t sent_ms, int64_t now_ms)
+void adv_accept_answer(struct adv *a, const struct adv_query *query,
+		       const GPtrArray *rows, int64_t sent_ms, int64_t now_ms)
 {
 	struct adv_step *s = adv_ensure_step(a, &query->step);
 	int64_t issued_ms = adv_issued_ms(query, sent_ms, now_ms);
@@ -317,7 +319,7 @@
  * so that other steps get their turn, and is never given up, as its job was
  * accepted.
  */
-void adv_reject_query(struct adv *a, const struct adv_ask *query,
+void adv_reject_query(struct adv *a, const struct adv_query *query,
 		      int64_t now_ms)
 {
 	struct adv_step *s = adv_ensure_step(a, &query->step);
@@ -368,8 +370,8 @@
 }
 
 /* Whether a task of a step may be placed on a worker now. */
-bool adv_ticketed(struct adv *a, const struct jtb_job *job, uint32_t turn,
-		  uint32_t step, const struct jtb_worker *w, int64_t now_ms)
+bool adv_has_ticket(struct adv *a, const struct jtb_job *job, uint32_t turn,
+		    uint32_t step, const struct jtb_worker *w, int64_t now_ms)
 {
 	struct jtb_name n = adv_step_name(job, turn, step);
 	const struct adv_step *s = adv_find_step(a, &n);
@@ -411,11 +413,11 @@
 }
 
 /* Frees the contents of a query. */
-void adv_ask_clear(struct adv_ask *query)
+void adv_query_clear(struct adv_query *query)
 {
 	if (query->workers)
 		g_ptr_array_free(query->workers, TRUE);
-	*query = (struct adv_ask){0};
+	*query = (struct adv_query){0};
 }
 
 /* Frees a row of an answer. */
@@ -711,7 +713,7 @@
  * Fills in a query: the workers with the most capacity, as many as are needed.
  */
 static void adv_fill_query(struct adv *a, const struct sch_view *v,
-			   const struct adv_candidate *c, struct adv_ask *out)
+			   const struct adv_candidate *c, struct adv_query *out)
 {
 	GArray *choices = adv_list_choices(a, v, c);
 	double share = adv_approval_share(a, c->job->spec.queue);
@@ -721,7 +723,7 @@
 	guint i;
 
 	g_array_sort(choices, adv_cmp_choices);
-	*out = (struct adv_ask){
+	*out = (struct adv_query){
 		.step = adv_step_name(c->job, c->turn, c->step),
 		.workers = g_ptr_array_new_with_free_func(g_free),
 		.valid_ms = c->queue->advice_valid_ms,
@@ -841,7 +843,7 @@
  * would have expired on arrival and the step would be queried in vain for ever.
  * A ticket that has expired nevertheless is refused by its worker and dropped.
  */
-static int64_t adv_issued_ms(const struct adv_ask *query, int64_t sent_ms,
+static int64_t adv_issued_ms(const struct adv_query *query, int64_t sent_ms,
 			     int64_t now_ms)
 {
 	return MAX(sent_ms, now_ms - MIN(query->takes_ms, query->valid_ms / 4));
@@ -993,7 +995,7 @@
  * Updates the share of approved workers; the newest answers have the most
  * weight.
  */
-static void adv_update_share(struct adv *a, const struct adv_ask *query,
+static void adv_update_share(struct adv *a, const struct adv_query *query,
 			     uint32_t queried, uint32_t approved)
 {
 	const struct jtb_job *job = jtb_job(a->jtb, query->step.id);
--- a/src/adv.h
+++ b/src/adv.h
@@ -37,7 +37,7 @@
 #define ADV_CONNS_MAX 4
 
 /* A query: which of these workers may run this step. */
-struct adv_ask {
+struct adv_query {
 	struct jtb_name step; /* without a task index */
 	GPtrArray *workers; /* char *, ids of workers' lifetimes */
 	int64_t takes_ms; /* expected time until the answer */
@@ -54,36 +54,37 @@
 void adv_free(struct adv *a);
 void adv_clear(struct adv *a);
 bool adv_needed(struct adv *a);
-bool adv_next(struct adv *a, const struct sch_view *v, struct adv_ask *out);
-void adv_answered(struct adv *a, const struct adv_ask *query,
-		  const GPtrArray *rows, int64_t sent_ms, int64_t now_ms);
-void adv_reject_query(struct adv *a, const struct adv_ask *query,
+bool adv_next_query(struct adv *a, const struct sch_view *v,
+		    struct adv_query *out);
+void adv_accept_answer(struct adv *a, const struct adv_query *query,
+		       const GPtrArray *rows, int64_t sent_ms, int64_t now_ms);
+void adv_reject_query(struct adv *a, const struct adv_query *query,
 		      int64_t now_ms);
 void adv_drop_ticket(struct adv *a, const struct jtb_run *run, int64_t now_ms);
 const char *adv_ticket(struct adv *a, const struct jtb_job *job, uint32_t turn,
 		       uint32_t step, const struct jtb_worker *w,
 		       int64_t now_ms);
-bool adv_ticketed(struct adv *a, const struct jtb_job *job, uint32_t turn,
-		  uint32_t step, const struct jtb_worker *w, int64_t now_ms);
+bool adv_has_ticket(struct adv *a, const struct jtb_job *job, uint32_t turn,
+		    uint32_t step, const struct jtb_worker *w, int64_t now_ms);
 uint32_t adv_waiting(struct adv *a, int64_t now_ms, int64_t wall_ms);
 uint32_t adv_step_count(const struct adv *a);
-void adv_ask_clear(struct adv_ask *query);
+void adv_query_clear(struct adv_query *query);
 void adv_row_free(gpointer p);
 
 /* Meaning of an answer of the advice service. */
 enum adv_result {
-	ADV_TOLD,
+	ADV_OK,
 	ADV_BUSY, /* too many calls wait at the service */
-	ADV_TURNED_DOWN, /* the service rejects this query */
-	ADV_SICK, /* the service is unavailable */
-	ADV_UNREADABLE, /* the answer is malformed */
+	ADV_REJECTED, /* the service rejects this query */
+	ADV_UNAVAILABLE, /* the service is unavailable */
+	ADV_MALFORMED, /* the answer is malformed */
 };
 
 /* Encoding of queries and answers. */
 struct adv_codec {
 	const char *content_type;
 	/* writes a query into body; returns the path to post it to */
-	const char *(*write)(const struct adv_ask *query,
+	const char *(*write)(const struct adv_query *query,
 			     struct evbuffer *body);
 	/*
 	 * Decodes an answer: appends struct adv_row to rows, and sets valid_ms,
--- a/src/adv_line.c
+++ b/src/adv_line.c
@@ -38,7 +38,7 @@
 	struct ups *ups;
 	struct ups_call *call; /* call in progress; or NULL */
 	struct evbuffer *body; /* of the call */
-	struct adv_ask query; /* query of the call */
+	struct adv_query query; /* query of the call */
 	int64_t sent_ms; /* when the call was sent */
 	int64_t not_before_ms; /* earliest time of the next call */
 	int64_t backoff_ms;
@@ -61,11 +61,11 @@
 };
 
 static const char *const adv_results[] = {
-	[ADV_TOLD] = "told",
+	[ADV_OK] = "told",
 	[ADV_BUSY] = "too many calls wait",
-	[ADV_TURNED_DOWN] = "turned down",
-	[ADV_SICK] = "can't now",
-	[ADV_UNREADABLE] = "not understood",
+	[ADV_REJECTED] = "turned down",
+	[ADV_UNAVAILABLE] = "can't now",
+	[ADV_MALFORMED] = "not understood",
 };
 
 /*
@@ -135,7 +135,7 @@
 		adv_schedule_poll(l, l->not_before_ms);
 		return;
 	}
-	if (adv_next(l->adv, v, &l->query))
+	if (adv_next_query(l->adv, v, &l->query))
 		adv_send_query(l);
 	else
 		l->not_before_ms = v->now_ms + ADV_POLL_INTERVAL_MS;
@@ -207,7 +207,7 @@
 {
 	struct adv_line *l = arg;
 	GPtrArray *rows = g_ptr_array_new_with_free_func(adv_row_free);
-	enum adv_result result = ADV_UNREADABLE;
+	enum adv_result result = ADV_MALFORMED;
 	struct lstr body = {0};
 
 	if (end == UPS_WHOLE && a->body) {
@@ -221,16 +221,16 @@
 	l->timeouts = end == UPS_TIMEOUT ? l->timeouts + 1 : 0;
 	if (end != UPS_WHOLE)
 		adv_on_failure(l, "no answer");
-	else if (result == ADV_TOLD)
+	else if (result == ADV_OK)
 		adv_on_answer(l, rows);
 	else
 		adv_on_failure(l, adv_results[result]);
 	if (end == UPS_WHOLE &&
-	    (result == ADV_TURNED_DOWN || result == ADV_UNREADABLE))
+	    (result == ADV_REJECTED || result == ADV_MALFORMED))
 		adv_reject_query(l->adv, &l->query, tmr_now(l->config.tmr));
 	g_ptr_array_free(rows, TRUE);
 	adv_release_call(l);
-	if (result == ADV_TOLD)
+	if (result == ADV_OK)
 		l->ops->changed(l->arg);
 }
 
@@ -243,7 +243,7 @@
 	l->backoff_ms = 0;
 	l->not_before_ms = 0;
 	cnt_time_ms(&l->stats.answers, now - l->sent_ms);
-	adv_answered(l->adv, &l->query, rows, l->sent_ms, now);
+	adv_accept_answer(l->adv, &l->query, rows, l->sent_ms, now);
 	msg_job(MSG_ADV_TOLD, l->query.step.id,
 		"job=%s turn=%u step=%u named=%u approved=%u took_ms=%" PRId64
 		" valid_ms=%" PRId64,
@@ -275,7 +275,7 @@
 	l->call = NULL;
 	evbuffer_free(l->body);
 	l->body = NULL;
-	adv_ask_clear(&l->query);
+	adv_query_clear(&l->query);
 }
 
 /* Schedules a call of the owner's poll, at ms on the timer service's clock. */
--- a/src/hub.c
+++ b/src/hub.c
@@ -75,7 +75,7 @@
 		&(struct wkr_config){
 			.base = config->base,
 			.tmr = h->tmr,
-			.codec = config->face->codec,
+			.codec = config->protocol->codec,
 			.jtb = h->jtb,
 			.hold_max_ms = config->hold_max_ms,
 			.conns_max = config->descriptors->share[FDB_TARGETS] -
@@ -89,7 +89,7 @@
 		&(struct adv_config){
 			.base = config->base,
 			.tmr = h->tmr,
-			.codec = config->face->advice_codec,
+			.codec = config->protocol->advice_codec,
 			.addr = config->advice,
 		},
 		h->adv, &hub_adv_ops, h);
@@ -207,7 +207,7 @@
  * thousands of reports without changes would otherwise take much of the
  * leader's time.
  */
-char *hub_reports_to(const struct hub *h, const char *worker)
+char *hub_report_addr(const struct hub *h, const char *worker)
 {
 	guint n = h->peers->len;
 	char *addr = NULL;
@@ -335,7 +335,7 @@
 	if (kind != PROTO_CALL)
 		return;
 	before = cpu_enter(CPU_CALLERS);
-	c = hub_call_new(h, HUB_CALLERS);
+	c = hub_call_new(h, HUB_FROM_ENTRY);
 	c->conn = conn;
 	c->no = pk_get_u(in);
 	c->method = lstr_dup(pk_get_str(in));
@@ -347,9 +347,9 @@
 		hub_call_disconnect(c);
 	else if (!h->leading)
 		/* The entry daemon learns on the same connection who leads. */
-		hub_status(h, c, 421);
+		hub_answer_status(h, c, 421);
 	else
-		h->config.face->call(h, c);
+		h->config.protocol->call(h, c);
 	cpu_leave(before);
 }
 
@@ -369,7 +369,7 @@
 {
 	struct hub *h = arg;
 	enum cpu_kind before = cpu_enter(CPU_BEATS);
-	struct hub_call *c = hub_call_new(h, HUB_CONTROL);
+	struct hub_call *c = hub_call_new(h, HUB_FROM_CONTROL);
 	struct srv_req_info info = srv_info(r);
 	struct evbuffer *body = srv_body(r);
 	size_t len = evbuffer_get_length(body);
@@ -379,7 +379,7 @@
 	c->method = g_strdup(info.method);
 	c->path = g_strdup(info.path);
 	c->body = g_bytes_new(evbuffer_pullup(body, -1), len);
-	h->config.face->call(h, c);
+	h->config.protocol->call(h, c);
 	cpu_leave(before);
 }
 
--- a/src/hub.h
+++ b/src/hub.h
@@ -17,16 +17,16 @@
 
 /*
  * Each replica holds the job table; only the leading replica decides. The
- * protocol layer (struct hub_face) translates the messages of callers,
+ * protocol layer (struct hub_protocol) translates the messages of callers,
  * workers and operators.
  */
 struct hub;
 struct hub_call;
 
 /* How a call reached the daemon. */
-enum hub_door {
-	HUB_CALLERS, /* relayed by an entry daemon */
-	HUB_CONTROL, /* sent to the control address */
+enum hub_origin {
+	HUB_FROM_ENTRY, /* relayed by an entry daemon */
+	HUB_FROM_CONTROL, /* sent to the control address */
 };
 
 /* An answer to a call. */
@@ -42,7 +42,7 @@
 typedef void (*hub_resume_fn)(struct hub *h, struct hub_call *c);
 
 /* How the protocol layer is called, and its encodings. */
-struct hub_face {
+struct hub_protocol {
 	/* takes a call on any replica; may answer later */
 	void (*call)(struct hub *h, struct hub_call *c);
 	const struct wkr_codec *codec;
@@ -54,7 +54,7 @@
 struct hub_config {
 	struct event_base *base;
 	const struct keyring *keys;
-	const struct hub_face *face;
+	const struct hub_protocol *protocol;
 	char *node;
 	char *zone;
 	char *wire; /* IP:PORT for the fleet's own processes */
@@ -85,7 +85,7 @@
 void hub_set_advice(struct hub *h, const char *addr);
 
 /* Used by the protocol layer. */
-enum hub_door hub_door(const struct hub_call *c);
+enum hub_origin hub_origin(const struct hub_call *c);
 const char *hub_method(const struct hub_call *c);
 const char *hub_host(const struct hub_call *c);
 const char *hub_path(const struct hub_call *c);
@@ -93,24 +93,24 @@
 void hub_set_user(struct hub_call *c, void *user);
 void *hub_user(const struct hub_call *c);
 void hub_answer(struct hub *h, struct hub_call *c, const struct hub_answer *a);
-void hub_status(struct hub *h, struct hub_call *c, int status);
+void hub_answer_status(struct hub *h, struct hub_call *c, int status);
 bool hub_leads(const struct hub *h);
 char *hub_leader_control(const struct hub *h);
-char *hub_reports_to(const struct hub *h, const char *worker);
+char *hub_report_addr(const struct hub *h, const char *worker);
 const struct jtb *hub_jobs(const struct hub *h);
 int64_t hub_wall_ms(void);
-struct pk_out *hub_put(struct hub *h);
+struct pk_out *hub_append_command(struct hub *h);
 void hub_commit(struct hub *h, struct hub_call *c, hub_resume_fn resume);
 void hub_read(struct hub *h, struct hub_call *c, hub_resume_fn resume);
 void hub_submit(struct hub *h, struct hub_call *c, const struct jtb_spec *spec,
 		hub_resume_fn resume);
 void hub_cancel(struct hub *h, struct hub_call *c, const char *id,
 		hub_resume_fn resume);
-void hub_told_worker(struct hub *h, struct hub_call *c,
-		     const struct jtb_worker_info *info, uint64_t sequence,
-		     int64_t clock_ms, hub_resume_fn resume);
+void hub_accept_report(struct hub *h, struct hub_call *c,
+		       const struct jtb_worker_info *info, uint64_t sequence,
+		       int64_t clock_ms, hub_resume_fn resume);
 bool hub_knows_worker(struct hub *h, const struct jtb_worker_info *info);
-void hub_told_leave(struct hub *h, struct hub_call *c, const char *id,
-		    hub_resume_fn resume);
+void hub_accept_leave(struct hub *h, struct hub_call *c, const char *id,
+		      hub_resume_fn resume);
 
 #endif
--- a/src/hub_call.c
+++ b/src/hub_call.c
@@ -9,7 +9,7 @@
  * Returns a new open call with one reference, released when the call is
  * answered or its client disconnects.
  */
-struct hub_call *hub_call_new(struct hub *h, enum hub_door origin)
+struct hub_call *hub_call_new(struct hub *h, enum hub_origin origin)
 {
 	struct hub_call *c = g_new0(struct hub_call, 1);
 
@@ -67,7 +67,7 @@
 }
 
 /* Returns how a call reached the daemon. */
-enum hub_door hub_door(const struct hub_call *c)
+enum hub_origin hub_origin(const struct hub_call *c)
 {
 	return c->origin;
 }
@@ -126,7 +126,7 @@
 }
 
 /* Answers a call with a status and no body. */
-void hub_status(struct hub *h, struct hub_call *c, int status)
+void hub_answer_status(struct hub *h, struct hub_call *c, int status)
 {
 	hub_answer(h, c, &(struct hub_answer){.status = status});
 }
--- a/src/hub_int.h
+++ b/src/hub_int.h
@@ -33,7 +33,7 @@
 /* A call of a caller, worker or operator, and its answer. */
 struct hub_call {
 	struct hub *h;
-	enum hub_door origin;
+	enum hub_origin origin;
 	struct wire_conn *conn; /* of an entry daemon; NULL: disconnected */
 	uint64_t no; /* number of the call on its connection */
 	struct srv_req *req; /* at the control address; NULL: disconnected */
@@ -153,7 +153,7 @@
 };
 
 /* hub_call */
-struct hub_call *hub_call_new(struct hub *h, enum hub_door origin);
+struct hub_call *hub_call_new(struct hub *h, enum hub_origin origin);
 void hub_call_unref(struct hub_call *c);
 void hub_call_disconnect(struct hub_call *c);
 void hub_conn_closed(struct hub *h, const struct wire_conn *conn);
--- a/src/hub_log.c
+++ b/src/hub_log.c
@@ -51,7 +51,7 @@
  * Returns the buffer to pack the next command into; the command is proposed
  * with the batch.
  */
-struct pk_out *hub_put(struct hub *h)
+struct pk_out *hub_append_command(struct hub *h)
 {
 	h->batch_n++;
 	hub_schedule_flush(h);
@@ -228,8 +228,9 @@
 
 		if (ok && !w->c->answered)
 			w->resume(h, w->c);
-		else if (!ok && !w->c->answered && w->c->origin == HUB_CONTROL)
-			hub_status(h, w->c, 503);
+		else if (!ok && !w->c->answered &&
+			 w->c->origin == HUB_FROM_CONTROL)
+			hub_answer_status(h, w->c, 503);
 		else if (!ok && !w->c->answered) {
 			h->counts[HUB_UNKNOWN_CALLS]++;
 			hub_call_disconnect(w->c);
--- a/src/hub_lost.c
+++ b/src/hub_lost.c
@@ -41,7 +41,7 @@
 	w->over = *e;
 	if (w->info.draining) {
 		hub_log_left(w);
-		jtb_put_gone(hub_put(h), w->info.id, for_good);
+		jtb_put_gone(hub_append_command(h), w->info.id, for_good);
 		return;
 	}
 	crs_lost(h->crs, w, for_good, tmr_now(h->tmr), &b);
@@ -53,7 +53,8 @@
 	    jtb_blame_alone(&b), for_good, evd_name(e->why),
 	    e->at_ms - e->as_of_ms, e->lag_ms);
 	hub_log_suspects(w, &b);
-	jtb_put_lost(hub_put(h), w->info.id, for_good, &b, hub_wall_ms());
+	jtb_put_lost(hub_append_command(h), w->info.id, for_good, &b,
+		     hub_wall_ms());
 	jtb_blame_clear(&b);
 }
 
@@ -65,7 +66,7 @@
 
 	evd_of(why, as_of_ms, &m, &w->over);
 	hub_log_left(w);
-	jtb_put_gone(hub_put(h), w->info.id, true);
+	jtb_put_gone(hub_append_command(h), w->info.id, true);
 }
 
 /*
@@ -79,7 +80,7 @@
 	w->leaves = true;
 	evd_of(EVD_LEFT, m.now_ms, &m, &w->over);
 	hub_log_left(w);
-	jtb_put_left(hub_put(h), w->info.id);
+	jtb_put_left(hub_append_command(h), w->info.id);
 }
 
 /* Logs the evidence that a worker is over which was not lost unexpectedly. */
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -401,9 +401,9 @@
 	size_t i;
 
 	for (i = 0; i < n; i++)
-		jtb_put_end(hub_put(h), w->info.id, e[i].no, &e[i].name,
-			    e[i].known ? e[i].attempt : 0, e[i].how, e[i].saved,
-			    wall);
+		jtb_put_end(hub_append_command(h), w->info.id, e[i].no,
+			    &e[i].name, e[i].known ? e[i].attempt : 0, e[i].how,
+			    e[i].saved, wall);
 }
 
 /* A run is over although its worker did not report its end. */
@@ -414,8 +414,8 @@
 
 	run->over = *e;
 	jtb_name_of(run, &n);
-	jtb_put_end(hub_put(h), run->worker->info.id, 0, &n, run->attempt,
-		    JTB_LOST, lstr_n("", 0), hub_wall_ms());
+	jtb_put_end(hub_append_command(h), run->worker->info.id, 0, &n,
+		    run->attempt, JTB_LOST, lstr_n("", 0), hub_wall_ms());
 	if (run->job->spec.steps[run->step].flags & JTB_GANG && !run->began_ms)
 		hub_stop_gang(h, run);
 }
@@ -593,7 +593,7 @@
 {
 	const struct hub *h = arg;
 
-	return adv_ticketed(h->adv, job, turn, step, w, tmr_now(h->tmr));
+	return adv_has_ticket(h->adv, job, turn, step, w, tmr_now(h->tmr));
 }
 
 /*
@@ -683,7 +683,7 @@
 	struct hub *h = arg;
 
 	jtb_plan(job, n, w);
-	jtb_put_start(hub_put(h), n, attempt, w->info.id);
+	jtb_put_start(hub_append_command(h), n, attempt, w->info.id);
 }
 
 /*
@@ -715,7 +715,8 @@
 	}
 	run->stop_planned = true;
 	jtb_name_of(run, &n);
-	jtb_put_stop(hub_put(h), &n, run->attempt, run->worker->info.id);
+	jtb_put_stop(hub_append_command(h), &n, run->attempt,
+		     run->worker->info.id);
 }
 
 /* Stops all runs of a job that is over. */
@@ -843,7 +844,7 @@
 	       g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
 		if (!jtb_may_forget(job, now, keep_ms))
 			continue;
-		jtb_put_forget(hub_put(h), job->spec.id);
+		jtb_put_forget(hub_append_command(h), job->spec.id);
 		n++;
 	}
 }
--- a/src/hub_take.c
+++ b/src/hub_take.c
@@ -34,7 +34,7 @@
 		"job=%s queue=%s steps=%u config=%" PRIu64 " live=%u", spec->id,
 		spec->queue, spec->n_steps, jtb_config(h->jtb)->version,
 		jtb_live(h->jtb)->len);
-	jtb_put_job(hub_put(h), spec, hub_wall_ms());
+	jtb_put_job(hub_append_command(h), spec, hub_wall_ms());
 	hub_commit(h, c, resume);
 }
 
@@ -47,7 +47,7 @@
 {
 	h->counts[HUB_CANCELS]++;
 	msg_job(MSG_HUB_CANCEL, id, "job=%s", id);
-	jtb_put_cancel(hub_put(h), id, hub_wall_ms());
+	jtb_put_cancel(hub_append_command(h), id, hub_wall_ms());
 	hub_commit(h, c, resume);
 }
 
@@ -56,9 +56,9 @@
  * a worker leaves must be stored before the report is acknowledged, since the
  * next leader must give it no work either.
  */
-void hub_told_worker(struct hub *h, struct hub_call *c,
-		     const struct jtb_worker_info *info, uint64_t sequence,
-		     int64_t clock_ms, hub_resume_fn resume)
+void hub_accept_report(struct hub *h, struct hub_call *c,
+		       const struct jtb_worker_info *info, uint64_t sequence,
+		       int64_t clock_ms, hub_resume_fn resume)
 {
 	struct jtb_worker *w = jtb_worker(h->jtb, info->id);
 
@@ -83,7 +83,7 @@
 		resume(h, c);
 		return;
 	}
-	jtb_put_worker(hub_put(h), info);
+	jtb_put_worker(hub_append_command(h), info);
 	hub_commit(h, c, resume);
 }
 
@@ -107,8 +107,8 @@
  * Accepts a worker's announcement of its end; the worker may still run tasks
  * for a moment.
  */
-void hub_told_leave(struct hub *h, struct hub_call *c, const char *id,
-		    hub_resume_fn resume)
+void hub_accept_leave(struct hub *h, struct hub_call *c, const char *id,
+		      hub_resume_fn resume)
 {
 	struct jtb_worker *w = jtb_worker(h->jtb, id);
 
--- a/src/hub_vm.c
+++ b/src/hub_vm.c
@@ -81,7 +81,7 @@
 		&(struct vms_config){
 			.base = h->config.base,
 			.tmr = h->tmr,
-			.codec = h->config.face->vm_codec,
+			.codec = h->config.protocol->vm_codec,
 			.addr = h->config.vms,
 			.node = h->config.node,
 		},
@@ -300,7 +300,7 @@
 	msg(MSG_HUB_WAVE, "wave=%" PRIu64 " vm=%s state=%s worker=%s", w->no,
 	    vm->vm, state == JTB_VM_DONE ? "done" : "begins",
 	    worker_before ? worker_before : "");
-	jtb_put_vm(hub_put(h), w->no, vm->vm, state, worker_before);
+	jtb_put_vm(hub_append_command(h), w->no, vm->vm, state, worker_before);
 }
 
 /* Whether a VM is spare now. */
--- a/src/main_endive-schedd.c
+++ b/src/main_endive-schedd.c
@@ -43,7 +43,7 @@
 	struct hub_config config = {
 		.base = d->base,
 		.keys = d->keys,
-		.face = &plt_face,
+		.protocol = &plt_face,
 		.node = s->node,
 		.zone = s->zone,
 		.wire = s->wire,
--- a/tests/fuzz/advice_fuzz.c
+++ b/tests/fuzz/advice_fuzz.c
@@ -13,7 +13,7 @@
 		plt_advice_codec.answer(200, input, rows, &valid_ms);
 	guint i;
 
-	g_assert_true(result == ADV_TOLD || result == ADV_UNREADABLE);
+	g_assert_true(result == ADV_OK || result == ADV_MALFORMED);
 	g_assert_true(valid_ms >= 0 && valid_ms <= INT32_MAX);
 	for (i = 0; i < rows->len; i++) {
 		const struct adv_row *row = g_ptr_array_index(rows, i);
--- a/tests/unit/adv_line_test.c
+++ b/tests/unit/adv_line_test.c
@@ -38,7 +38,7 @@
 	GPtrArray *open_requests; /* struct evhttp_request without an answer */
 };
 
-static const char *fake_write(const struct adv_ask *query,
+static const char *fake_write(const struct adv_query *query,
 			      struct evbuffer *body)
 {
 	evbuffer_add_printf(body, "%s %u", query->step.id, query->workers->len);
@@ -53,13 +53,13 @@
 
 	if (status != 200)
 		return status == 429   ? ADV_BUSY
-		       : status == 400 ? ADV_TURNED_DOWN
-				       : ADV_SICK;
+		       : status == 400 ? ADV_REJECTED
+				       : ADV_UNAVAILABLE;
 	row = g_new0(struct adv_row, 1);
 	row->worker = lstr_dup(body);
 	row->ticket = g_strdup("t");
 	g_ptr_array_add(rows, row);
-	return ADV_TOLD;
+	return ADV_OK;
 }
 
 static const struct adv_codec fake_codec = {
@@ -206,8 +206,8 @@
 
 static bool has_ticket(struct fixture *f, const char *id)
 {
-	return adv_ticketed(f->adv, jtb_job(f->jtb, id), 0, 0,
-			    jtb_worker(f->jtb, "w"), tmr_now(f->tmr));
+	return adv_has_ticket(f->adv, jtb_job(f->jtb, id), 0, 0,
+			      jtb_worker(f->jtb, "w"), tmr_now(f->tmr));
 }
 
 static void wait_for_ticket(struct fixture *f, const char *id)
--- a/tests/unit/adv_test.c
+++ b/tests/unit/adv_test.c
@@ -19,7 +19,7 @@
 	struct adv *adv;
 	GHashTable *closed;
 	struct fake_advice service;
-	struct adv_ask query;
+	struct adv_query query;
 	int64_t now;
 	int64_t wall;
 };
@@ -54,7 +54,7 @@
 {
 	struct fixture *f = *state;
 
-	adv_ask_clear(&f->query);
+	adv_query_clear(&f->query);
 	adv_free(f->adv);
 	jtb_free(f->jtb);
 	g_hash_table_destroy(f->closed);
@@ -77,8 +77,8 @@
 		.usable = is_usable,
 	};
 
-	adv_ask_clear(&f->query);
-	return adv_next(f->adv, &v, &f->query);
+	adv_query_clear(&f->query);
+	return adv_next_query(f->adv, &v, &f->query);
 }
 
 /* As next_query(), after SKIP_MS. */
@@ -96,7 +96,7 @@
 
 	f->now += f->query.takes_ms;
 	f->wall += f->query.takes_ms;
-	adv_answered(f->adv, &f->query, rows, sent_ms, f->now);
+	adv_accept_answer(f->adv, &f->query, rows, sent_ms, f->now);
 	g_ptr_array_free(rows, TRUE);
 }
 
@@ -138,8 +138,8 @@
 static bool has_ticket(struct fixture *f, const struct jtb_job *j,
 		       const char *worker)
 {
-	return adv_ticketed(f->adv, j, 0, 0, jtb_worker(f->jtb, worker),
-			    f->now);
+	return adv_has_ticket(f->adv, j, 0, 0, jtb_worker(f->jtb, worker),
+			      f->now);
 }
 
 static bool query_lists(const struct fixture *f, const char *worker)
--- a/tests/unit/fake_advice.h
+++ b/tests/unit/fake_advice.h
@@ -15,7 +15,7 @@
 
 /* Returns the service's answer to a query. */
 static inline GPtrArray *fake_advice_rows(struct fake_advice *f,
-					  const struct adv_ask *query)
+					  const struct adv_query *query)
 {
 	GPtrArray *rows = g_ptr_array_new_with_free_func(adv_row_free);
 	guint i;
--- a/tests/unit/plt_test.c
+++ b/tests/unit/plt_test.c
@@ -393,7 +393,7 @@
 
 static void advice_is_asked_for(void **state)
 {
-	struct adv_ask ask = {
+	struct adv_query ask = {
 		.step = {.id = "0a", .turn = 2, .step = 1},
 		.workers = g_ptr_array_new(),
 	};
@@ -427,16 +427,16 @@
 		enum adv_result result;
 		guint rows;
 	} cases[] = {
-		{200, "{approved=[[i1,t1],[i2,t2]],validity-ms=3000}", ADV_TOLD,
+		{200, "{approved=[[i1,t1],[i2,t2]],validity-ms=3000}", ADV_OK,
 		 2},
-		{200, "{approved=[]}", ADV_TOLD, 0},
-		{200, "{version=1}", ADV_TOLD, 0},
-		{200, "{approved=5}", ADV_UNREADABLE, 0},
-		{200, "{approved=[[i1,t1],[i2]]}", ADV_UNREADABLE, 1},
-		{200, "[]", ADV_UNREADABLE, 0},
+		{200, "{approved=[]}", ADV_OK, 0},
+		{200, "{version=1}", ADV_OK, 0},
+		{200, "{approved=5}", ADV_MALFORMED, 0},
+		{200, "{approved=[[i1,t1],[i2]]}", ADV_MALFORMED, 1},
+		{200, "[]", ADV_MALFORMED, 0},
 		{429, "{version=1}", ADV_BUSY, 0},
-		{400, "{version=1}", ADV_TURNED_DOWN, 0},
-		{503, "{version=1}", ADV_SICK, 0},
+		{400, "{version=1}", ADV_REJECTED, 0},
+		{503, "{version=1}", ADV_UNAVAILABLE, 0},
 	};
 	size_t i;
 
--- a/tools/endive-advice.c
+++ b/tools/endive-advice.c
@@ -33,10 +33,10 @@
 static void advice_on_ask(struct evhttp_request *req, void *arg);
 static void advice_next(struct advice *a);
 static void advice_due(void *arg, int64_t now);
-static GPtrArray *advice_rows(const struct advice *a, const struct adv_ask *ask,
-			      int64_t now);
+static GPtrArray *advice_rows(const struct advice *a,
+			      const struct adv_query *ask, int64_t now);
 static unsigned int advice_draw(const char *about);
-static bool advice_read(struct evhttp_request *req, struct adv_ask *ask);
+static bool advice_read(struct evhttp_request *req, struct adv_query *ask);
 static void advice_send(struct evhttp_request *req, int status,
 			struct evbuffer *body);
 static void advice_on_term(evutil_socket_t sig, short what, void *arg);
@@ -59,7 +59,7 @@
 static void advice_next(struct advice *a)
 {
 	struct evhttp_request *req = g_queue_peek_head(a->waiting);
-	struct adv_ask ask;
+	struct adv_query ask;
 	int64_t takes = a->answer_ms;
 
 	a->busy = req != NULL;
@@ -67,7 +67,7 @@
 		return;
 	if (advice_read(req, &ask))
 		takes += a->each_ms * ask.workers->len;
-	adv_ask_clear(&ask);
+	adv_query_clear(&ask);
 	tmr_once(a->tmr, takes, advice_due, a);
 }
 
@@ -77,7 +77,7 @@
 	struct advice *a = arg;
 	struct evhttp_request *req = g_queue_pop_head(a->waiting);
 	struct evbuffer *body = evbuffer_new();
-	struct adv_ask ask;
+	struct adv_query ask;
 	GPtrArray *rows;
 
 	if (!advice_read(req, &ask)) {
@@ -95,13 +95,13 @@
 		fflush(stdout);
 		g_ptr_array_free(rows, TRUE);
 	}
-	adv_ask_clear(&ask);
+	adv_query_clear(&ask);
 	advice_next(a);
 }
 
 /* Who may run the step: the same each time it is asked. */
-static GPtrArray *advice_rows(const struct advice *a, const struct adv_ask *ask,
-			      int64_t now)
+static GPtrArray *advice_rows(const struct advice *a,
+			      const struct adv_query *ask, int64_t now)
 {
 	GPtrArray *rows = g_ptr_array_new_with_free_func(adv_row_free);
 	guint i;
@@ -132,7 +132,7 @@
 }
 
 /* Reads a question; false: it isn't one. */
-static bool advice_read(struct evhttp_request *req, struct adv_ask *ask)
+static bool advice_read(struct evhttp_request *req, struct adv_query *ask)
 {
 	struct evbuffer *in = evhttp_request_get_input_buffer(req);
 	size_t len = evbuffer_get_length(in);
