--- a/src/job_int.h
+++ b/src/job_int.h
@@ -12,7 +12,7 @@
  * job or a worker is at fault.
  */
 #define JOB_ATTEMPTS_MAX 5
-/* Turns of the oldest job without free capacity before others are held back. */
+/* Turns of the oldest job without free capacity before others wait for it. */
 #define JOB_HOLD_TURNS 8
 /* Largest number of a pool, team or worker. */
 #define JOB_NUMBER_MAX 100000
--- a/src/job_place.c
+++ b/src/job_place.c
@@ -4,7 +4,7 @@
 #define JOB_LOOK_AHEAD 16
 /* Urgent jobs of each team for which others are preempted in one step. */
 #define JOB_URGENT_MAX 64
-/* Turns of the oldest job without free capacity before others are held back. */
+/* Turns of the oldest job without free capacity before others wait for it. */
 #define JOB_HOLD_TURNS 8
 /* Largest number of a pool, team or worker. */
 #define JOB_NUMBER_MAX 100000
@@ -80,8 +80,8 @@
  * every oldest_every placements the job that has waited longest goes first,
  * whatever its priority: urgent jobs may arrive for days, and archive jobs must
  * still finish. If that job is large and small jobs keep using the free
- * capacity, they are held back after JOB_HOLD_TURNS of its turns until it fits;
- * urgent jobs are not held back.
+ * capacity, they wait for it after JOB_HOLD_TURNS of its turns, until it fits;
+ * urgent jobs never wait for it.
  */
 int job_place_waiting(struct jobs *j, struct job_pool *p, int budget,
 		      struct job_out *out)
@@ -136,8 +136,8 @@
 
 /*
  * Whether a job fits on a worker that may get new jobs, once that is empty. If
- * not, holding other jobs back would stall the whole pool without helping the
- * job, as when its only large worker is drained or down.
+ * not, as when its only large worker is drained or down, other jobs don't wait
+ * for it: that would stall the whole pool without helping the job.
  */
 static bool job_fits_when_empty(const struct jobs *j, const struct job_pool *p,
 				const struct job *b)
--- a/tests/prop/job_prop.cc
+++ b/tests/prop/job_prop.cc
@@ -52,7 +52,7 @@
 	int64_t now = 0;
 	std::vector<Worker> workers;
 	std::map<uint64_t, struct job_spec> accepted;
-	std::map<uint64_t, int> told;
+	std::map<uint64_t, int> outcomes;
 	std::set<uint64_t> badJobs;
 	uint64_t nextId = 1;
 
@@ -139,7 +139,7 @@
 		if (w.cut)
 			return;
 		if (a.kind == JOB_ACT_START && at == w.tasks.end()) {
-			RC_ASSERT(!told.count(a.job));
+			RC_ASSERT(!outcomes.count(a.job));
 			w.tasks[key] = {now + roll(1, 20) * STEP_MS, true,
 					false, JOB_COMPLETE};
 			assertRunsOnce(a.job);
@@ -166,7 +166,7 @@
 				g_array_index(out.told, struct job_told, i);
 
 			RC_ASSERT(accepted.count(t.job) == 1u);
-			RC_ASSERT(++told[t.job] == 1);
+			RC_ASSERT(++outcomes[t.job] == 1);
 		}
 		job_out_clear(&out);
 	}
@@ -301,7 +301,7 @@
 		for (int t = 0; t < 3000; t++)
 			f.step();
 		for (auto &a : f.accepted)
-			open += f.told.count(a.first) == 0;
+			open += f.outcomes.count(a.first) == 0;
 		RC_ASSERT(open == 0);
 	});
 	return ok ? 0 : 1;
--- a/tests/unit/job_test.c
+++ b/tests/unit/job_test.c
@@ -94,7 +94,7 @@
 }
 
 /* Counts the outcomes reported for a job. */
-static int fixture_told(const struct fixture *f, uint64_t id)
+static int fixture_count_outcomes(const struct fixture *f, uint64_t id)
 {
 	int n = 0;
 	guint i;
@@ -157,7 +157,7 @@
 	job_set_worker(f->j, 9, 1, &larger, &f->out);
 	assert_int_equal(fixture_status(f, 1).state, JOB_REFUSED);
 	assert_int_equal(fixture_status(f, 1).why, JOB_TOO_LARGE);
-	assert_int_equal(fixture_told(f, 1), 1);
+	assert_int_equal(fixture_count_outcomes(f, 1), 1);
 	fixture_free(f);
 }
 
@@ -259,7 +259,7 @@
 
 /*
  * Guards against starvation of a large job by small jobs that use all capacity
- * as it becomes free. Small jobs are held back after a while, until a worker is
+ * as it becomes free. Small jobs have to wait after a while, until a worker is
  * empty.
  */
 static void small_jobs_do_not_starve_a_large_job(void **state)
@@ -288,9 +288,9 @@
 
 /*
  * Guards against a stalled pool: the only worker large enough for the oldest
- * job is drained, so holding back small jobs would not help the job.
+ * job is drained, so letting small jobs wait would not help it.
  */
-static void job_without_a_worker_holds_back_no_other(void **state)
+static void job_without_a_worker_blocks_no_other(void **state)
 {
 	struct fixture *f = fixture_new();
 	struct job_size larger = {32000, 64000, 0};
@@ -328,7 +328,7 @@
 	fixture_free(f);
 }
 
-static void exhausted_quota_holds_back_only_its_team(void **state)
+static void exhausted_quota_blocks_only_its_team(void **state)
 {
 	struct fixture *f = fixture_new();
 	struct job_spec s = spec(10, JOB_NORMAL, &quarter);
@@ -570,8 +570,8 @@
 	fixture_report(f, 2, JOB_COMPLETE);
 	assert_int_equal(fixture_status(f, 1).state, JOB_FINISHED);
 	assert_int_equal(fixture_status(f, 2).state, JOB_CANCELLED);
-	assert_int_equal(fixture_told(f, 1), 1);
-	assert_int_equal(fixture_told(f, 2), 1);
+	assert_int_equal(fixture_count_outcomes(f, 1), 1);
+	assert_int_equal(fixture_count_outcomes(f, 2), 1);
 	fixture_free(f);
 }
 
@@ -719,9 +719,9 @@
 		cmocka_unit_test(burst_of_urgent_jobs_preempts_in_one_step),
 		cmocka_unit_test(urgent_jobs_do_not_starve_archive_jobs),
 		cmocka_unit_test(small_jobs_do_not_starve_a_large_job),
-		cmocka_unit_test(job_without_a_worker_holds_back_no_other),
+		cmocka_unit_test(job_without_a_worker_blocks_no_other),
 		cmocka_unit_test(new_priority_applies_to_the_next_placement),
-		cmocka_unit_test(exhausted_quota_holds_back_only_its_team),
+		cmocka_unit_test(exhausted_quota_blocks_only_its_team),
 		cmocka_unit_test(black_hole_worker_is_suspected),
 		cmocka_unit_test(job_failing_on_three_workers_is_refused),
 		cmocka_unit_test(failing_jobs_make_no_worker_suspect),
--- a/tests/unit/replay.h
+++ b/tests/unit/replay.h
@@ -43,7 +43,7 @@
 	GHashTable *seconds; /* job id to run time in seconds + 1 */
 	GHashTable *submitted; /* job id to time of submission, ms + 1 */
 	int64_t slowest_urgent_ms;
-	int told; /* outcomes of jobs */
+	int outcomes; /* of jobs */
 	int64_t now;
 	int moves;
 	int bound; /* lower bound of the moves */
@@ -319,7 +319,7 @@
 	if (strcmp(w[1], "slowest-urgent-ms") == 0)
 		return (double)r->slowest_urgent_ms;
 	if (strcmp(w[1], "told") == 0)
-		return r->told;
+		return r->outcomes;
 	if (strncmp(w[1], "serving:", 8) == 0)
 		return flt_pool(r->f, replay_pool(r, w[1] + 8))->serving;
 	if (strncmp(w[1], "suspect:", 8) == 0)
@@ -447,7 +447,7 @@
 		for (i = 0; i < lists[w]->len; i++)
 			replay_order(r, &g_array_index(lists[w], struct job_act,
 						       i));
-	r->told += (int)r->job_out.told->len;
+	r->outcomes += (int)r->job_out.told->len;
 	job_out_clear(&r->job_out);
 }
 
