--- a/bench/adv_bench.c
+++ b/bench/adv_bench.c
@@ -103,7 +103,7 @@
 static void put_jobs(struct jtb *t)
 {
 	struct jtb_step step = {
-		.count = TASKS, .cpu = 500, .mem_mb = 100, .guess_ms = 3000};
+		.count = TASKS, .cpu = 500, .mem_mb = 100, .estimate_ms = 3000};
 	struct pk_out o;
 	int i;
 
--- a/bench/flo_bench.c
+++ b/bench/flo_bench.c
@@ -129,7 +129,7 @@
 static void put_burst(struct jtb *t)
 {
 	struct jtb_step step = {
-		.count = 5000, .cpu = 1000, .mem_mb = 100, .guess_ms = 3000};
+		.count = 5000, .cpu = 1000, .mem_mb = 100, .estimate_ms = 3000};
 	struct jtb_spec s = {.id = "burst",
 			     .queue = (char *)"queue0",
 			     .text = (char *)"",
--- a/bench/hld_bench.c
+++ b/bench/hld_bench.c
@@ -32,7 +32,7 @@
 static void start(void *arg, struct jtb_job *job, const struct jtb_name *n,
 		  uint32_t attempt, struct jtb_worker *w)
 {
-	jtb_plan(job, n, w);
+	jtb_propose_start(job, n, w);
 }
 
 static enum hld_reason bar(void *arg, const struct jtb_worker *w)
@@ -114,7 +114,7 @@
 		struct jtb_step step = {.count = each,
 					.cpu = 1000 + i % sizes,
 					.mem_mb = 100,
-					.guess_ms = 3000,
+					.estimate_ms = 3000,
 					.flags = flags};
 		char queue[24];
 		struct jtb_spec s = {.queue = queue,
@@ -179,6 +179,6 @@
 	measure("look-wide", 400, 1, 0);
 	measure("look-narrow", 10, 1, 0);
 	measure("look-sizes", 10, TASKS, 0);
-	measure("look-lasting", 400, 1, JTB_LASTS);
+	measure("look-lasting", 400, 1, JTB_LONG_RUNNING);
 	return 0;
 }
--- a/bench/job_bench.c
+++ b/bench/job_bench.c
@@ -57,7 +57,7 @@
 		job_set_team(j, i, &quota);
 	for (i = 0; i < WORKERS; i++) {
 		job_set_worker(j, i, i % POOLS, &capacity, out);
-		job_lease(j, i, LEASE_MS);
+		job_renew_lease(j, i, LEASE_MS);
 	}
 	return j;
 }
@@ -84,7 +84,7 @@
 
 	do {
 		at = now_ms();
-		done = job_step(j, now, STEP, out);
+		done = job_schedule(j, now, STEP, out);
 		longest = MAX(longest, now_ms() - at);
 	} while (!done);
 	return longest;
@@ -112,7 +112,7 @@
 	double sum = 0;
 	double at;
 	struct job_status s;
-	struct job_act act;
+	struct job_order act;
 	uint64_t id;
 	guint i;
 
@@ -122,10 +122,10 @@
 		submit(j, id, 1, JOB_URGENT, out);
 		run(j, 2, out);
 		for (i = 0; i < out->urgent->len; i++) {
-			act = g_array_index(out->urgent, struct job_act, i);
-			if (act.kind == JOB_ACT_STOP)
-				job_report(j, act.job, act.attempt, JOB_STOPPED,
-					   true, out);
+			act = g_array_index(out->urgent, struct job_order, i);
+			if (act.kind == JOB_ORDER_STOP)
+				job_report_end(j, act.job, act.attempt,
+					       JOB_STOPPED, true, out);
 		}
 		run(j, 3, out);
 		at = now_ms() - at;
@@ -147,7 +147,7 @@
 	for (id = 50000; id < 50000 + FLOOD; id++)
 		job_cancel(j, id, out);
 	line("cancel_mean", (now_ms() - at) * 1e3 / FLOOD, "us", 0);
-	line("cancel_answered", out->told->len, "jobs", FLOOD);
+	line("cancel_answered", out->outcomes->len, "jobs", FLOOD);
 }
 
 int main(void)
@@ -172,7 +172,7 @@
 	bench_urgent(j, &out);
 	bench_flood(j, &out);
 	at = now_ms();
-	job_step(j, 4, STEP, &out);
+	job_schedule(j, 4, STEP, &out);
 	line("idle_step", now_ms() - at, "ms", 10);
 	at = now_ms();
 	pk_out_init(&o);
--- a/bench/sch_bench.c
+++ b/bench/sch_bench.c
@@ -34,7 +34,7 @@
 static void start(void *arg, struct jtb_job *job, const struct jtb_name *n,
 		  uint32_t attempt, struct jtb_worker *w)
 {
-	jtb_plan(job, n, w);
+	jtb_propose_start(job, n, w);
 }
 
 static void put_config(struct jtb *t)
@@ -100,8 +100,8 @@
 	struct jtb_step step = {.count = TASKS,
 				.cpu = 500,
 				.mem_mb = 100,
-				.guess_ms = 3000,
-				.per_worker = per_worker,
+				.estimate_ms = 3000,
+				.max_per_worker = per_worker,
 				.label = (char *)label};
 	struct pk_out o;
 	int i;
--- a/src/adv.c
+++ b/src/adv.c
@@ -400,7 +400,7 @@
 		struct adv_cand c = {.job = job};
 
 		c.queue = jtb_queue(jtb_config(a->jtb), job->spec.queue);
-		if (!c.queue || !c.queue->advised || jtb_ended(job))
+		if (!c.queue || !c.queue->advised || jtb_job_ended(job))
 			continue;
 		c.urgency = sch_urgency(c.queue, job, wall_ms);
 		c.late = !sch_lasts(job) && !job->spec.repeats &&
@@ -414,7 +414,8 @@
 static bool adv_stuck(struct adv *a, const struct adv_cand *c, int64_t now_ms,
 		      int64_t wall_ms)
 {
-	const struct jtb_part *part = jtb_part(c->job, c->turn, c->step);
+	const struct jtb_step_state *part =
+		jtb_step_state(c->job, c->turn, c->step);
 	struct jtb_name n = adv_step_name(c->job, c->turn, c->step);
 	const struct adv_step *s = adv_find(a, &n);
 	GHashTableIter it;
@@ -422,7 +423,7 @@
 
 	if (c->job->turns[c->turn].done & (1ULL << c->step) ||
 	    !jtb_step_due(c->job, c->turn, c->step, wall_ms) ||
-	    (part && part->n_done + part->n_runs + part->n_planned >=
+	    (part && part->n_done + part->n_runs + part->n_proposed >=
 			     c->job->spec.steps[c->step].count))
 		return false;
 	if (!s)
@@ -525,7 +526,8 @@
 			if (job->spec.steps[s].after & ~done & (1ULL << p))
 				out[s] = MAX(
 					out[s],
-					out[p] + job->spec.steps[p].guess_ms);
+					out[p] +
+						job->spec.steps[p].estimate_ms);
 	}
 }
 
@@ -604,14 +606,15 @@
  */
 static uint32_t adv_open(const struct adv_cand *c)
 {
-	const struct jtb_part *part = jtb_part(c->job, c->turn, c->step);
+	const struct jtb_step_state *part =
+		jtb_step_state(c->job, c->turn, c->step);
 	const struct jtb_step *step = &c->job->spec.steps[c->step];
 	uint32_t open = step->count;
 
 	if (part)
 		open -= MIN(open,
-			    part->n_done + part->n_runs + part->n_planned);
-	return step->flags & JTB_LASTS ? MAX(open, 1) : open;
+			    part->n_done + part->n_runs + part->n_proposed);
+	return step->flags & JTB_LONG_RUNNING ? MAX(open, 1) : open;
 }
 
 /*
@@ -718,18 +721,20 @@
 {
 	const struct jtb_step *s = &c->job->spec.steps[c->step];
 	uint32_t now = c->due;
-	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
+	uint32_t cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu;
 	uint32_t room = s->count;
 
-	room = MIN(room, adv_fit(w->info.cpu, now * (w->used_cpu + w->plan_cpu),
-				 cpu));
-	room = MIN(room, adv_fit(w->info.mem_mb,
-				 now * (w->used_mem + w->plan_mem), s->mem_mb));
-	room = MIN(room, adv_fit(w->info.gpus,
-				 now * (w->used_gpus + w->plan_gpus), s->gpus));
-	if (s->per_worker)
-		room = MIN(room,
-			   s->per_worker - MIN(s->per_worker, adv_here(c, w)));
+	room = MIN(room, adv_fit(w->info.cpu,
+				 now * (w->used_cpu + w->proposed_cpu), cpu));
+	room = MIN(room,
+		   adv_fit(w->info.mem_mb,
+			   now * (w->used_mem + w->proposed_mem), s->mem_mb));
+	room = MIN(room,
+		   adv_fit(w->info.gpus,
+			   now * (w->used_gpus + w->proposed_gpus), s->gpus));
+	if (s->max_per_worker)
+		room = MIN(room, s->max_per_worker - MIN(s->max_per_worker,
+							 adv_here(c, w)));
 	return room;
 }
 
@@ -791,7 +796,7 @@
  */
 static bool adv_begun(const struct jtb_job *job, uint32_t turn)
 {
-	const struct jtb_part *parts = job->turns[turn].parts;
+	const struct jtb_step_state *parts = job->turns[turn].steps;
 	uint32_t s;
 
 	for (s = 0; parts && s < job->spec.n_steps; s++)
@@ -839,7 +844,7 @@
 {
 	char key[ADV_KEY_MAX];
 
-	if (a->last_known && jtb_name_same(&a->last_name, n))
+	if (a->last_known && jtb_name_equal(&a->last_name, n))
 		return a->last;
 	adv_key(n, key);
 	a->last = g_hash_table_lookup(a->steps, key);
@@ -958,7 +963,7 @@
 {
 	const struct jtb_job *job = jtb_job(a->jtb, s->name.id);
 
-	return !job || jtb_ended(job) || s->name.turn >= job->n_turns ||
+	return !job || jtb_job_ended(job) || s->name.turn >= job->n_turns ||
 	       job->turns[s->name.turn].done & (1ULL << s->name.step);
 }
 
--- a/src/crs.c
+++ b/src/crs.c
@@ -72,7 +72,7 @@
 	if (!crashed && c->ops->alive && c->ops->alive(c->arg, w))
 		return;
 	loss = g_new0(struct crs_loss, 1);
-	out->shared = !crashed || crs_shared(c, w);
+	out->correlated = !crashed || crs_shared(c, w);
 	crs_look(c, w, out);
 	loss->at_ms = now_ms;
 	loss->rack = g_strdup(sch_rack_of(w));
@@ -135,7 +135,7 @@
 		if (seen == SCH_NOT_SENT || seen >= SCH_FRESH_MS)
 			continue;
 		/* it counts, and finds nobody guilty */
-		out->shared |= seen == SCH_UNKNOWN;
+		out->correlated |= seen == SCH_UNKNOWN;
 		jtb_name_of(run, &n);
 		g_array_append_val(out->suspects, n);
 	}
--- a/src/evd.c
+++ b/src/evd.c
@@ -71,7 +71,7 @@
 bool evd_unsent(const struct jtb_run *run, const struct evd_moment *m,
 		struct evd *out)
 {
-	if (run->may_be_there)
+	if (run->may_have_started)
 		return false;
 	evd_of(EVD_UNSENT, run->ordered_ms, m, out);
 	return true;
@@ -100,9 +100,9 @@
  */
 bool evd_may_arrive(const struct jtb_run *run)
 {
-	return run->sends && !run->began_ms &&
+	return run->orders_sent && !run->first_running_ms &&
 	       (run->phase == WKR_SENT ||
-		(run->phase == WKR_NEW && run->may_be_there));
+		(run->phase == WKR_NEW && run->may_have_started));
 }
 
 /*
--- a/src/flo.c
+++ b/src/flo.c
@@ -316,7 +316,7 @@
 	guint i;
 
 	if (!w || !w->runs->len)
-		return !w || (w->plan_cpu == 0 && w->plan_mem == 0);
+		return !w || (w->proposed_cpu == 0 && w->proposed_mem == 0);
 	if (now - m->from_ms > FLO_PATIENCE_MS) {
 		m->over = true;
 		return false;
@@ -324,7 +324,7 @@
 	for (i = 0; i < w->runs->len; i++) {
 		struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-		if (!jtb_leaves(run) && flo_makes_way(f, m, run, now))
+		if (!jtb_run_is_stopping(run) && flo_makes_way(f, m, run, now))
 			f->ops->stop(f->arg, run, "its VM is needed elsewhere");
 	}
 	return false;
@@ -339,9 +339,9 @@
 {
 	uint32_t flags = run->job->spec.steps[run->step].flags;
 
-	if (flags & JTB_LASTS)
+	if (flags & JTB_LONG_RUNNING)
 		return f->ops->may_stop(f->arg, run);
-	return m->urgent && flags & JTB_SAVES && !(flags & JTB_GANG) &&
+	return m->urgent && flags & JTB_CHECKPOINTS && !(flags & JTB_GANG) &&
 	       flo_left_ms(run, now) > FLO_STOP_MS;
 }
 
--- a/src/flo_load.c
+++ b/src/flo_load.c
@@ -73,7 +73,7 @@
 
 		if (w)
 			flo_pool_at(f, vm->pool)->used +=
-				(w->used_cpu + w->plan_cpu) / 1000.0;
+				(w->used_cpu + w->proposed_cpu) / 1000.0;
 		if (m && !m->over)
 			flo_pool_at(f, m->from)->going++;
 		/* one that is being emptied for its upkeep gives no room */
@@ -99,7 +99,7 @@
 		struct flo_pool *p;
 		double cores;
 
-		if (!q || jtb_ended(job))
+		if (!q || jtb_job_ended(job))
 			continue;
 		p = flo_pool_at(f, q->pool);
 		p->jobs++;
@@ -145,12 +145,13 @@
 	uint32_t s;
 
 	for (t = 0; t < job->n_turns; t++)
-		for (s = 0; job->turns[t].parts && s < job->spec.n_steps; s++) {
+		for (s = 0; job->turns[t].steps && s < job->spec.n_steps; s++) {
 			const struct jtb_step *step = &job->spec.steps[s];
-			const struct jtb_part *part = &job->turns[t].parts[s];
+			const struct jtb_step_state *part =
+				&job->turns[t].steps[s];
 
-			if (!(step->flags & JTB_FILLS))
-				cores += (part->n_runs + part->n_planned) *
+			if (!(step->flags & JTB_BEST_EFFORT))
+				cores += (part->n_runs + part->n_proposed) *
 					 (step->cpu / 1000.0);
 		}
 	return cores;
@@ -191,7 +192,7 @@
 {
 	double each = step->count;
 
-	if (step->cpu && !(step->flags & JTB_FILLS))
+	if (step->cpu && !(step->flags & JTB_BEST_EFFORT))
 		each = MIN(each, p->cores * 1000 / p->vms / step->cpu);
 	if (step->mem_mb)
 		each = MIN(each, p->mem_mb / p->vms / step->mem_mb);
@@ -255,11 +256,11 @@
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 	int64_t left;
 
-	if (!run->began_ms)
-		return s->guess_ms;
+	if (!run->first_running_ms)
+		return s->estimate_ms;
 	if (run->percent < FLO_TOLD_PERCENT)
-		return s->guess_ms - (now - run->began_ms);
-	left = (run->moved_ms - run->began_ms) * (100 - run->percent) /
-	       run->percent;
-	return left - (now - run->moved_ms);
+		return s->estimate_ms - (now - run->first_running_ms);
+	left = (run->progress_ms - run->first_running_ms) *
+	       (100 - run->percent) / run->percent;
+	return left - (now - run->progress_ms);
 }
--- a/src/flo_pick.c
+++ b/src/flo_pick.c
@@ -72,16 +72,16 @@
 
 	if (!w)
 		return *vm->worker ? -1 : 0;
-	if (w->kept_ms && f->ticked_ms - w->kept_ms < FLO_KEPT_MS)
+	if (w->reserved_ms && f->ticked_ms - w->reserved_ms < FLO_KEPT_MS)
 		return -1;
 	for (i = 0; i < w->runs->len; i++) {
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *s = &run->job->spec.steps[run->step];
 
 		/* Work that lasts stays where it is. */
-		if (s->flags & JTB_LASTS)
+		if (s->flags & JTB_LONG_RUNNING)
 			return -1;
-		if (!(s->flags & JTB_SAVES))
+		if (!(s->flags & JTB_CHECKPOINTS))
 			empty_ms =
 				MAX(empty_ms, flo_left_ms(run, f->ticked_ms));
 		cost += 1;
--- a/src/flo_rate.c
+++ b/src/flo_rate.c
@@ -56,9 +56,9 @@
 	if (!q || sch_lasts(job) || wall - job->accepted_ms > FLO_RATE_MS)
 		return;
 	p = flo_pool_at(f, q->pool);
-	p->rate += job->work * 1000 / FLO_RATE_MS;
+	p->rate += job->core_seconds * 1000 / FLO_RATE_MS;
 	p->rate_jobs += 1;
-	p->chain_ms += (job->chain_ms - p->chain_ms) * FLO_CHAIN_SHARE;
+	p->chain_ms += (job->critical_path_ms - p->chain_ms) * FLO_CHAIN_SHARE;
 }
 
 /*
--- a/src/hld.c
+++ b/src/hld.c
@@ -111,14 +111,14 @@
 				     uint32_t turn, uint32_t step);
 static void hld_look_lasting(struct hld_look *l, struct jtb_job *job,
 			     uint32_t turn, uint32_t step);
-static struct jtb_held *hld_held(struct jtb_job *job);
+static struct jtb_pending_reason *hld_held(struct jtb_job *job);
 static enum hld_reason hld_seen(struct hld_look *l, struct jtb_job *job,
 				uint32_t turn, uint32_t step);
 static bool hld_alike(const struct jtb_step *a, const struct jtb_step *b);
 static struct hld_pool *hld_pool_of(struct hld_look *l,
 				    const struct jtb_job *job);
 static void hld_note(struct hld_look *l, const struct jtb_job *job,
-		     const struct jtb_name *n, struct jtb_held *h,
+		     const struct jtb_name *n, struct jtb_pending_reason *h,
 		     enum hld_reason why);
 
 /* A reason's name in logs and metrics. */
@@ -175,7 +175,8 @@
 			       const struct jtb_name *n, enum hld_reason step)
 {
 	const struct jtb_step *s = &job->spec.steps[n->step];
-	const struct jtb_part *part = jtb_part(job, n->turn, n->step);
+	const struct jtb_step_state *part =
+		jtb_step_state(job, n->turn, n->step);
 	const struct jtb_task *task = part ? &part->tasks[n->index] : NULL;
 
 	if (task && task->done)
@@ -184,12 +185,12 @@
 		return v->run(v->sch->arg, task->run);
 	if (step != HLD_NONE)
 		return step;
-	if (task && task->planned)
+	if (task && task->start_proposed)
 		return HLD_PROPOSED;
 	if (s->flags & JTB_GANG && part &&
-	    part->n_runs + part->n_planned + part->n_done)
+	    part->n_runs + part->n_proposed + part->n_done)
 		return HLD_GANG;
-	if (task && v->sch->now_ms - task->free_ms < SCH_AGAIN_MS)
+	if (task && v->sch->now_ms - task->last_end_ms < SCH_AGAIN_MS)
 		return HLD_JUST_ENDED;
 	return HLD_NONE;
 }
@@ -202,7 +203,7 @@
 	const struct jtb_queue *q =
 		jtb_queue(jtb_config(v->sch->jtb), job->spec.queue);
 
-	if (jtb_ended(job) || job->turns[turn].done & 1ULL << step)
+	if (jtb_job_ended(job) || job->turns[turn].done & 1ULL << step)
 		return HLD_OVER;
 	if (v->sch->wall_ms < jtb_turn_due(job, turn))
 		return HLD_NOT_DUE;
@@ -237,7 +238,7 @@
 	places = g_ptr_array_new();
 	if (!sch_places(&p->sch, job, turn, step, NULL, places))
 		best = HLD_GANG_ROOM;
-	else if (s->flags & JTB_ONE_RACK && job->rack_ms)
+	else if (s->flags & JTB_RACK_SENSITIVE && job->rack_wait_since_ms)
 		best = HLD_RACK;
 	g_ptr_array_free(places, TRUE);
 	return best;
@@ -252,14 +253,14 @@
 {
 	if (s->label && !sch_has_label(w, s->label))
 		return HLD_LABEL;
-	if ((!(s->flags & JTB_FILLS) && w->info.cpu < s->cpu) ||
+	if ((!(s->flags & JTB_BEST_EFFORT) && w->info.cpu < s->cpu) ||
 	    w->info.mem_mb < s->mem_mb || w->info.gpus < s->gpus)
 		return HLD_TOO_LARGE;
 	if (!sch_usable(v->sch, w))
 		return hld_barred(v, w);
 	if (sch_shunned(&p->sch, w, s, false))
 		return HLD_SHUNNED;
-	if (w->barred)
+	if (w->excluded)
 		return HLD_TICKET;
 	if (!sch_allowed(w, s))
 		return HLD_APART;
@@ -286,8 +287,8 @@
 static bool hld_kept(const struct hld_view *v, const struct jtb_job *job,
 		     const struct jtb_worker *w)
 {
-	return w->kept_for && w->kept_for != job->seq + 1 &&
-	       v->sch->now_ms - w->kept_ms <= HLD_KEPT_MS;
+	return w->reserved_for && w->reserved_for != job->seq + 1 &&
+	       v->sch->now_ms - w->reserved_ms <= HLD_KEPT_MS;
 }
 
 /* Takes stock of a pool's workers. */
@@ -355,8 +356,9 @@
 		for (i = 0; i < w->runs->len; i++) {
 			const struct jtb_run *r = g_ptr_array_index(w->runs, i);
 
-			sum->tasks[HLD_SILENT] += !(
-				r->job->spec.steps[r->step].flags & JTB_LASTS);
+			sum->tasks[HLD_SILENT] +=
+				!(r->job->spec.steps[r->step].flags &
+				  JTB_LONG_RUNNING);
 		}
 	}
 }
@@ -393,8 +395,8 @@
 	for (i = 0; i < live->len; i++) {
 		struct jtb_job *job = g_ptr_array_index(live, i);
 
-		g_free(job->held);
-		job->held = NULL;
+		g_free(job->pending_reasons);
+		job->pending_reasons = NULL;
 	}
 }
 
@@ -409,20 +411,21 @@
 	uint32_t t;
 	uint32_t s;
 
-	if (jtb_ended(job))
+	if (jtb_job_ended(job))
 		return;
 	for (t = 0;
 	     t < job->n_turns && l->v->sch->wall_ms >= jtb_turn_due(job, t);
 	     t++) {
 		for (s = 0; s < job->spec.n_steps; s++) {
-			const struct jtb_part *part = jtb_part(job, t, s);
+			const struct jtb_step_state *part =
+				jtb_step_state(job, t, s);
 			enum hld_reason why;
 
-			if (job->spec.steps[s].flags & JTB_LASTS) {
+			if (job->spec.steps[s].flags & JTB_LONG_RUNNING) {
 				hld_look_lasting(l, job, t, s);
 				continue;
 			}
-			moves = moves || (part && part->n_planned);
+			moves = moves || (part && part->n_proposed);
 			why = hld_look_part(l, job, t, s);
 			if (!hld_is_owed(first))
 				first = why;
@@ -430,7 +433,7 @@
 	}
 	if (moves)
 		first = HLD_RUNS;
-	if (job->held || hld_is_owed(first))
+	if (job->pending_reasons || hld_is_owed(first))
 		hld_note(l, job, NULL, hld_held(job), first);
 }
 
@@ -438,14 +441,14 @@
 static enum hld_reason hld_look_part(struct hld_look *l, struct jtb_job *job,
 				     uint32_t turn, uint32_t step)
 {
-	const struct jtb_part *part = jtb_part(job, turn, step);
+	const struct jtb_step_state *part = jtb_step_state(job, turn, step);
 	uint32_t waits = job->spec.steps[step].count;
 	enum hld_reason why = hld_step(l->v, job, turn, step);
 
 	if (part) {
-		uint32_t busy = part->n_done + part->n_runs + part->n_planned;
+		uint32_t busy = part->n_done + part->n_runs + part->n_proposed;
 
-		l->sum->tasks[HLD_PROPOSED] += part->n_planned;
+		l->sum->tasks[HLD_PROPOSED] += part->n_proposed;
 		waits -= MIN(waits, busy);
 		if (waits && why == HLD_NONE && busy &&
 		    job->spec.steps[step].flags & JTB_GANG)
@@ -465,14 +468,14 @@
 static void hld_look_lasting(struct hld_look *l, struct jtb_job *job,
 			     uint32_t turn, uint32_t step)
 {
-	struct jtb_held *held = hld_held(job) + 1;
+	struct jtb_pending_reason *held = hld_held(job) + 1;
 	struct jtb_name n = {.turn = turn, .step = step};
 	enum hld_reason all = hld_step(l->v, job, turn, step);
 	enum hld_reason pool = HLD_OVER;
 	uint32_t s;
 
 	for (s = 0; s < step; s++)
-		if (job->spec.steps[s].flags & JTB_LASTS)
+		if (job->spec.steps[s].flags & JTB_LONG_RUNNING)
 			held += job->spec.steps[s].count;
 	g_strlcpy(n.id, job->spec.id, sizeof(n.id));
 	for (; n.index < job->spec.steps[step].count; n.index++) {
@@ -487,17 +490,17 @@
 }
 
 /* What is kept of a job: of the whole, then of each task that lasts. */
-static struct jtb_held *hld_held(struct jtb_job *job)
+static struct jtb_pending_reason *hld_held(struct jtb_job *job)
 {
 	uint32_t n = 1;
 	uint32_t s;
 
-	for (s = 0; s < job->spec.n_steps && !job->held; s++)
-		if (job->spec.steps[s].flags & JTB_LASTS)
+	for (s = 0; s < job->spec.n_steps && !job->pending_reasons; s++)
+		if (job->spec.steps[s].flags & JTB_LONG_RUNNING)
 			n += job->spec.steps[s].count;
-	if (!job->held)
-		job->held = g_new0(struct jtb_held, n);
-	return job->held;
+	if (!job->pending_reasons)
+		job->pending_reasons = g_new0(struct jtb_pending_reason, n);
+	return job->pending_reasons;
 }
 
 /*
@@ -513,22 +516,24 @@
 	const struct jtb_queue *q =
 		jtb_queue(jtb_config(l->v->sch->jtb), job->spec.queue);
 	/* tickets and room for all of a gang are a step's own matter */
-	bool own = s->flags & (JTB_GANG | JTB_LASTS) || q->advised;
+	bool own = s->flags & (JTB_GANG | JTB_LONG_RUNNING) || q->advised;
 	guint cell = (s->cpu * 31 + s->mem_mb * 17 + s->gpus * 7 +
 		      (s->label ? g_str_hash(s->label) : 0) +
-		      (s->flags & JTB_FILLS)) %
+		      (s->flags & JTB_BEST_EFFORT)) %
 		     HLD_SEEN;
 	enum hld_reason why;
 
-	if (!own && !s->per_worker && p->seen[cell].step &&
+	if (!own && !s->max_per_worker && p->seen[cell].step &&
 	    hld_alike(p->seen[cell].step, s))
 		return p->seen[cell].why;
-	if (!(s->flags & JTB_LASTS) && l->fresh >= HLD_FRESH_MAX)
-		return job->held && hld_is_owed(job->held->why) ? job->held->why
-								: HLD_NO_ROOM;
+	if (!(s->flags & JTB_LONG_RUNNING) && l->fresh >= HLD_FRESH_MAX)
+		return job->pending_reasons &&
+				       hld_is_owed(job->pending_reasons->reason)
+			       ? job->pending_reasons->reason
+			       : HLD_NO_ROOM;
 	l->fresh++;
 	why = hld_place(l->v, p, job, turn, step);
-	if (!own && !s->per_worker) {
+	if (!own && !s->max_per_worker) {
 		p->seen[cell].step = s;
 		p->seen[cell].why = why;
 	}
@@ -540,7 +545,7 @@
 {
 	return a->cpu == b->cpu && a->mem_mb == b->mem_mb &&
 	       a->gpus == b->gpus &&
-	       (a->flags & JTB_FILLS) == (b->flags & JTB_FILLS) &&
+	       (a->flags & JTB_BEST_EFFORT) == (b->flags & JTB_BEST_EFFORT) &&
 	       g_strcmp0(a->label, b->label) == 0;
 }
 
@@ -560,26 +565,27 @@
 
 /* Notes what holds something back now, and tells of it if it is due. */
 static void hld_note(struct hld_look *l, const struct jtb_job *job,
-		     const struct jtb_name *n, struct jtb_held *h,
+		     const struct jtb_name *n, struct jtb_pending_reason *h,
 		     enum hld_reason why)
 {
 	int64_t now = l->v->sch->now_ms;
 
 	if (!hld_is_owed(why)) {
-		*h = (struct jtb_held){0};
+		*h = (struct jtb_pending_reason){0};
 		return;
 	}
-	if (!h->owed_ms)
-		h->owed_ms = now;
-	if (h->why != why || !h->since_ms) {
-		h->since_ms = now;
-		h->told_ms = 0;
+	if (!h->pending_since_ms)
+		h->pending_since_ms = now;
+	if (h->reason != why || !h->reason_since_ms) {
+		h->reason_since_ms = now;
+		h->logged_ms = 0;
 	}
-	h->why = (uint8_t)why;
-	l->sum->longest_ms = MAX(l->sum->longest_ms, now - h->owed_ms);
-	if (now - h->owed_ms < HLD_TELL_MS ||
-	    (h->told_ms && now - h->told_ms < HLD_TELL_AGAIN_MS))
+	h->reason = (uint8_t)why;
+	l->sum->longest_ms = MAX(l->sum->longest_ms, now - h->pending_since_ms);
+	if (now - h->pending_since_ms < HLD_TELL_MS ||
+	    (h->logged_ms && now - h->logged_ms < HLD_TELL_AGAIN_MS))
 		return;
-	h->told_ms = now;
-	l->tell(l->arg, job, n, why, now - h->since_ms, now - h->owed_ms);
+	h->logged_ms = now;
+	l->tell(l->arg, job, n, why, now - h->reason_since_ms,
+		now - h->pending_since_ms);
 }
--- a/src/hub_held.c
+++ b/src/hub_held.c
@@ -81,7 +81,7 @@
 		return why;
 	if (!wkr_reached(h->wkr, run->worker))
 		return HLD_SILENT;
-	return jtb_leaves(run) ? HLD_STOPPING : why;
+	return jtb_run_is_stopping(run) ? HLD_STOPPING : why;
 }
 
 /*
@@ -97,7 +97,7 @@
 	char task[JTB_ID_MAX + 40] = "all";
 
 	if (n)
-		jtb_name_text(n, task, sizeof(task));
+		jtb_name_format(n, task, sizeof(task));
 	msg_job_at(__FILE__, __LINE__, MSG_HUB_HELD, job->spec.id,
 		   n ? MSG_FAILURE : MSG_SAMPLED,
 		   "job=%s task=%s queue=%s pool=%s why=%s why_ms=%" PRId64
--- a/src/hub_lost.c
+++ b/src/hub_lost.c
@@ -30,13 +30,13 @@
 	struct jtb_blame b;
 
 	/* several calls may find the same end of it */
-	if (w->lost)
+	if (w->removal_proposed)
 		return;
-	w->lost = for_good;
-	w->over = *e;
+	w->removal_proposed = for_good;
+	w->removal_evidence = *e;
 	if (w->info.draining) {
 		hub_tell_left(w);
-		jtb_put_gone(hub_put(h), w->info.id, for_good);
+		jtb_put_worker_lost(hub_put(h), w->info.id, for_good);
 		return;
 	}
 	crs_lost(h->crs, w, for_good, tmr_now(h->tmr), &b);
@@ -44,11 +44,12 @@
 	msg(MSG_HUB_CRASH,
 	    "worker=%s addr=%s runs=%u suspects=%u shared=%d alone=%d "
 	    "for_good=%d why=%s as_of_ms=%" PRId64 " lag_ms=%" PRId64,
-	    w->info.id, w->info.addr, w->runs->len, b.suspects->len, b.shared,
-	    jtb_blame_alone(&b), for_good, evd_name(e->why),
+	    w->info.id, w->info.addr, w->runs->len, b.suspects->len,
+	    b.correlated, jtb_blame_single_job(&b), for_good, evd_name(e->why),
 	    e->at_ms - e->as_of_ms, e->lag_ms);
 	hub_tell_suspects(w, &b);
-	jtb_put_lost(hub_put(h), w->info.id, for_good, &b, hub_wall_ms());
+	jtb_put_worker_crashed(hub_put(h), w->info.id, for_good, &b,
+			       hub_wall_ms());
 	jtb_blame_clear(&b);
 }
 
@@ -58,9 +59,9 @@
 {
 	struct evd_moment m = hub_moment(h);
 
-	evd_of(why, as_of_ms, &m, &w->over);
+	evd_of(why, as_of_ms, &m, &w->removal_evidence);
 	hub_tell_left(w);
-	jtb_put_gone(hub_put(h), w->info.id, true);
+	jtb_put_worker_lost(hub_put(h), w->info.id, true);
 }
 
 /* A worker has said that it ends: it is over once nothing may run there. */
@@ -68,10 +69,10 @@
 {
 	struct evd_moment m = hub_moment(h);
 
-	w->leaves = true;
-	evd_of(EVD_LEFT, m.now_ms, &m, &w->over);
+	w->leaving = true;
+	evd_of(EVD_LEFT, m.now_ms, &m, &w->removal_evidence);
 	hub_tell_left(w);
-	jtb_put_left(hub_put(h), w->info.id);
+	jtb_put_worker_leaving(hub_put(h), w->info.id);
 }
 
 /* Tells of a worker that wasn't lost by itself why it is taken for over. */
@@ -80,8 +81,10 @@
 	msg(MSG_HUB_LEFT,
 	    "worker=%s addr=%s runs=%u why=%s as_of_ms=%" PRId64
 	    " lag_ms=%" PRId64,
-	    w->info.id, w->info.addr, w->runs->len, evd_name(w->over.why),
-	    w->over.at_ms - w->over.as_of_ms, w->over.lag_ms);
+	    w->info.id, w->info.addr, w->runs->len,
+	    evd_name(w->removal_evidence.why),
+	    w->removal_evidence.at_ms - w->removal_evidence.as_of_ms,
+	    w->removal_evidence.lag_ms);
 }
 
 /* What evidence that is found now is judged by. */
@@ -155,11 +158,11 @@
 		guint j;
 
 		jtb_name_of(run, &n);
-		jtb_name_text(&n, text, sizeof(text));
+		jtb_name_format(&n, text, sizeof(text));
 		for (j = 0; j < b->suspects->len; j++)
-			if (jtb_name_same(&n,
-					  &g_array_index(b->suspects,
-							 struct jtb_name, j)))
+			if (jtb_name_equal(&n,
+					   &g_array_index(b->suspects,
+							  struct jtb_name, j)))
 				msg_job(MSG_HUB_SUSPECTED, n.id,
 					"task=%s attempt=%u worker=%s "
 					"crashes=%u",
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -70,7 +70,7 @@
 	.late_end = hub_late_end,
 	.job_changed = hub_job_changed,
 	.worker_changed = hub_worker_changed,
-	.worker_gone = hub_worker_gone,
+	.worker_removed = hub_worker_gone,
 	.config_changed = hub_config_changed,
 };
 
@@ -111,7 +111,7 @@
 	h->leading = true;
 	h->led_ms = tmr_now(h->tmr);
 	h->counts[HUB_LEADS]++;
-	jtb_unplan_all(h->jtb);
+	jtb_drop_proposals(h->jtb);
 	est_clear(h->est);
 	crs_clear(h->crs);
 	adv_line_lead(h->advice);
@@ -122,10 +122,10 @@
 	for (i = 0; i < live->len; i++) {
 		struct jtb_job *job = g_ptr_array_index(live, i);
 
-		if (jtb_ended(job))
+		if (jtb_job_ended(job))
 			hub_stop_job(h, job);
-		job->begun_ms = job->started ? HUB_BEGUN_BEFORE : 0;
-		job->unseen = false;
+		job->first_start_ms = job->started ? HUB_BEGUN_BEFORE : 0;
+		job->start_unconfirmed = false;
 	}
 	msg(MSG_HUB_LEAD,
 	    "term=%" PRIu64 " config=%" PRIu64 " workers=%u live=%u", term,
@@ -143,7 +143,7 @@
 	rly_rest(h->rly);
 	adv_line_rest(h->advice);
 	hub_vm_rest(h);
-	jtb_unplan_all(h->jtb);
+	jtb_drop_proposals(h->jtb);
 	g_hash_table_remove_all(h->dirty);
 	g_hash_table_remove_all(h->heard);
 	msg(MSG_HUB_REST, "term=%" PRIu64, rep_term(h->rep));
@@ -163,7 +163,7 @@
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w)) {
 		hub_check_runs(h, w, now);
 		/* what ran there as it said that it ends is over */
-		if (w->leaves && w->info.draining && !w->runs->len)
+		if (w->leaving && w->info.draining && !w->runs->len)
 			hub_worker_leaves(h, w);
 	}
 	hub_scale(h);
@@ -199,19 +199,19 @@
 		return;
 	h->counts[HUB_STARTS]++;
 	run->ordered_ms = tmr_now(h->tmr);
-	if (!run->job->begun_ms) {
-		run->job->begun_ms = hub_wall_ms();
-		run->job->unseen = true;
+	if (!run->job->first_start_ms) {
+		run->job->first_start_ms = hub_wall_ms();
+		run->job->start_unconfirmed = true;
 		hub_time(h, HUB_FIRST_START,
-			 run->job->begun_ms - run->job->accepted_ms);
+			 run->job->first_start_ms - run->job->accepted_ms);
 	}
 	jtb_name_of(run, &n);
-	jtb_name_text(&n, task, sizeof(task));
+	jtb_name_format(&n, task, sizeof(task));
 	msg_job(MSG_HUB_START, run->job->spec.id,
 		"task=%s attempt=%u worker=%s used_cpu=%u", task, run->attempt,
 		run->worker->info.id, run->worker->used_cpu);
 	wkr_run(h->wkr, run);
-	if (jtb_ended(run->job))
+	if (jtb_job_ended(run->job))
 		hub_stop(h, run, "job is over");
 }
 
@@ -225,8 +225,8 @@
 		return;
 	h->counts[HUB_ENDS]++;
 	h->counts[HUB_FAILED_RUNS] += how == JTB_FAILED_RUN;
-	h->counts[HUB_LOST_RUNS] += how == JTB_LOST || how == JTB_LAPSED;
-	turn->parts[run->step].tasks[run->index].free_ms = tmr_now(h->tmr);
+	h->counts[HUB_LOST_RUNS] += how == JTB_LOST || how == JTB_LEASE_EXPIRED;
+	turn->steps[run->step].tasks[run->index].last_end_ms = tmr_now(h->tmr);
 	if (how == JTB_DONE)
 		hub_time(h, HUB_RUN, tmr_now(h->tmr) - run->ordered_ms);
 	else
@@ -245,14 +245,16 @@
 static void hub_tell_end(const struct hub *h, const struct jtb_run *run,
 			 enum jtb_end how)
 {
-	const struct evd *e = run->over.why ? &run->over : &run->worker->over;
+	const struct evd *e = run->end_evidence.why
+				      ? &run->end_evidence
+				      : &run->worker->removal_evidence;
 	int64_t now = tmr_now(h->tmr);
 	char task[JTB_ID_MAX + 40];
 	char why[160] = " why=worker-told";
 	struct jtb_name n;
 
 	jtb_name_of(run, &n);
-	jtb_name_text(&n, task, sizeof(task));
+	jtb_name_format(&n, task, sizeof(task));
 	if (how == JTB_LOST)
 		g_snprintf(why, sizeof(why),
 			   " why=%s as_of_ms=%" PRId64 " concluded_ms=%" PRId64
@@ -264,9 +266,9 @@
 		" percent=%d asked=%d seen_ms=%" PRId64
 		" phase=%s sends=%u unanswered=%u%s",
 		task, run->attempt, run->worker->info.id, jtb_end_name(how),
-		now - run->ordered_ms, run->percent, jtb_leaves(run),
-		wkr_seen_ms(h->wkr, run), hub_phases[run->phase], run->sends,
-		run->unanswered, why);
+		now - run->ordered_ms, run->percent, jtb_run_is_stopping(run),
+		wkr_seen_ms(h->wkr, run), hub_phases[run->phase],
+		run->orders_sent, run->orders_unanswered, why);
 }
 
 /* A stop is stored: its worker may be told. */
@@ -289,7 +291,7 @@
 	if (!h->leading)
 		return;
 	h->counts[HUB_LATE_ENDS]++;
-	jtb_name_text(n, task, sizeof(task));
+	jtb_name_format(n, task, sizeof(task));
 	msg_job(MSG_HUB_LATE_END, n->id, "task=%s attempt=%u worker=%s how=%s",
 		task, attempt, w->info.id, jtb_end_name(how));
 }
@@ -301,7 +303,7 @@
 
 	if (!h->leading)
 		return;
-	if (jtb_ended(job)) {
+	if (jtb_job_ended(job)) {
 		hub_job_over(h, job);
 		hub_stop_job(h, job);
 	}
@@ -313,11 +315,12 @@
 {
 	int64_t objective = hub_objective_ms(h, job);
 	int64_t took = job->ended_ms - job->accepted_ms;
-	int64_t waited =
-		job->begun_ms > 0 ? job->begun_ms - job->accepted_ms : -1;
+	int64_t waited = job->first_start_ms > 0
+				 ? job->first_start_ms - job->accepted_ms
+				 : -1;
 	/* of a queue that is gone nobody can say what is late */
 	int64_t late = objective ? MAX(0, took - objective) : 0;
-	uint32_t crashes = jtb_crashes(job);
+	uint32_t crashes = jtb_max_crashes(job);
 	bool fails = job->state == JTB_FAILED ||
 		     (job->state == JTB_COMPLETED && late > 0);
 
@@ -332,8 +335,8 @@
 		   " after_ms=%" PRId64 " chain_ms=%u objective_ms=%" PRId64
 		   " again=%u crashes=%u",
 		   job->spec.id, job->spec.queue, jtb_state_name(job->state),
-		   waited, took, job->chain_ms, objective, jtb_runs_again(job),
-		   crashes);
+		   waited, took, job->critical_path_ms, objective,
+		   jtb_count_reruns(job), crashes);
 }
 
 /* A worker is new or told something else of itself. */
@@ -398,11 +401,12 @@
 	struct hub *h = arg;
 	struct jtb_name n;
 
-	run->over = *e;
+	run->end_evidence = *e;
 	jtb_name_of(run, &n);
 	jtb_put_end(hub_put(h), run->worker->info.id, 0, &n, run->attempt,
 		    JTB_LOST, lstr_n("", 0), hub_wall_ms());
-	if (run->job->spec.steps[run->step].flags & JTB_GANG && !run->began_ms)
+	if (run->job->spec.steps[run->step].flags & JTB_GANG &&
+	    !run->first_running_ms)
 		hub_stop_gang(h, run);
 }
 
@@ -412,7 +416,8 @@
  */
 static void hub_stop_gang(struct hub *h, const struct jtb_run *run)
 {
-	const struct jtb_part *part = jtb_part(run->job, run->turn, run->step);
+	const struct jtb_step_state *part =
+		jtb_step_state(run->job, run->turn, run->step);
 	uint32_t i;
 
 	for (i = 0; i < run->job->spec.steps[run->step].count; i++) {
@@ -648,7 +653,7 @@
 {
 	struct hub *h = arg;
 
-	jtb_plan(job, n, w);
+	jtb_propose_start(job, n, w);
 	jtb_put_start(hub_put(h), n, attempt, w->info.id);
 }
 
@@ -661,10 +666,10 @@
 {
 	struct hub *h = arg;
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
-	bool agree = s->flags & JTB_LASTS && !jtb_ended(run->job);
+	bool agree = s->flags & JTB_LONG_RUNNING && !jtb_job_ended(run->job);
 	struct jtb_name n;
 
-	if (run->stop || (agree && jtb_leaves(run)))
+	if (run->stop_wanted || (agree && jtb_run_is_stopping(run)))
 		return;
 	h->counts[HUB_STOPS]++;
 	msg_job(MSG_HUB_STOP, run->job->spec.id,
@@ -672,13 +677,13 @@
 		"worker=%s percent=%d away=%u may_miss=%u why=\"%s\"",
 		run->job->spec.id, run->turn, run->step, run->index,
 		run->attempt, run->worker->info.id, run->percent,
-		s->flags & JTB_LASTS ? upk_away(h->upk, run) : 0, s->may_miss,
-		why);
+		s->flags & JTB_LONG_RUNNING ? upk_away(h->upk, run) : 0,
+		s->may_miss, why);
 	if (!agree) {
 		wkr_stop(h->wkr, run);
 		return;
 	}
-	run->stop_planned = true;
+	run->stop_proposed = true;
 	jtb_name_of(run, &n);
 	jtb_put_stop(hub_put(h), &n, run->attempt, run->worker->info.id);
 }
@@ -693,8 +698,8 @@
 	if (!job->n_runs)
 		return;
 	for (t = 0; t < job->n_turns; t++) {
-		for (s = 0; job->turns[t].parts && s < job->spec.n_steps; s++) {
-			struct jtb_part *part = &job->turns[t].parts[s];
+		for (s = 0; job->turns[t].steps && s < job->spec.n_steps; s++) {
+			struct jtb_step_state *part = &job->turns[t].steps[s];
 
 			for (i = 0; i < job->spec.steps[s].count; i++)
 				if (part->tasks[i].run)
@@ -712,15 +717,15 @@
 {
 	guint i;
 
-	if (sch_suspect(w, now) != w->suspect) {
-		w->suspect = !w->suspect;
+	if (sch_suspect(w, now) != w->suspect_logged) {
+		w->suspect_logged = !w->suspect_logged;
 		msg(MSG_HUB_SUSPECT, "worker=%s suspect=%d failed=%u",
-		    w->info.id, w->suspect, w->fails);
+		    w->info.id, w->suspect_logged, w->failed_jobs);
 	}
 	for (i = 0; i < w->runs->len; i++) {
 		struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-		if (!run->stop && hub_hung(run, now))
+		if (!run->stop_wanted && hub_hung(run, now))
 			hub_stop(h, run, "it stands still");
 	}
 }
@@ -732,7 +737,7 @@
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 
 	if (sch_tells_time(run, how, h->led_ms))
-		est_learn(h->est, run->job->spec.queue, s->guess_ms,
+		est_learn(h->est, run->job->spec.queue, s->estimate_ms,
 			  tmr_now(h->tmr) - run->ordered_ms);
 }
 
@@ -751,13 +756,13 @@
 		for (s = 0; s < job->spec.n_steps; s++) {
 			const struct jtb_step *step = &job->spec.steps[s];
 			double work = (double)step->count * step->cpu *
-				      step->guess_ms;
+				      step->estimate_ms;
 
 			guessed += work;
 			scaled += work * est_scale(h->est, job->spec.queue,
-						   step->guess_ms);
+						   step->estimate_ms);
 		}
-		job->scale = guessed > 0 ? scaled / guessed : 1;
+		job->estimate_ratio = guessed > 0 ? scaled / guessed : 1;
 	}
 }
 
@@ -766,12 +771,12 @@
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 	int64_t patience =
-		MAX(HUB_HUNG_MS, (int64_t)s->guess_ms * HUB_HUNG_FACTOR);
+		MAX(HUB_HUNG_MS, (int64_t)s->estimate_ms * HUB_HUNG_FACTOR);
 
-	if (s->flags & (JTB_LASTS | JTB_GANG | JTB_FILLS) || !run->began_ms ||
-	    run->percent >= 100 || run->pace < 100)
+	if (s->flags & (JTB_LONG_RUNNING | JTB_GANG | JTB_BEST_EFFORT) ||
+	    !run->first_running_ms || run->percent >= 100 || run->pace < 100)
 		return false;
-	return now - run->moved_ms > patience;
+	return now - run->progress_ms > patience;
 }
 
 /* How long a job may take to be in time, ms; 0: its queue is gone. */
--- a/src/hub_take.c
+++ b/src/hub_take.c
@@ -58,7 +58,7 @@
 {
 	struct jtb_worker *w = jtb_worker(h->jtb, info->id);
 
-	if (jtb_was_removed(h->jtb, info->id)) {
+	if (jtb_worker_was_removed(h->jtb, info->id)) {
 		msg(MSG_HUB_ODD,
 		    "what=\"word of a worker that is over\" worker=%s addr=%s "
 		    "sequence=%" PRIu64,
@@ -74,7 +74,7 @@
 		wkr_clock(h->wkr, w, clock_ms);
 	else
 		hub_addr_taken(h, info);
-	if (w && jtb_worker_known(&w->info, info)) {
+	if (w && jtb_worker_info_is_current(&w->info, info)) {
 		h->counts[HUB_REPORTS]++;
 		then(h, c);
 		return;
@@ -92,7 +92,7 @@
 {
 	const struct jtb_worker *w = jtb_worker(h->jtb, info->id);
 	char *leader = rep_leader_addr(h->rep);
-	bool knows = leader && w && jtb_worker_known(&w->info, info);
+	bool knows = leader && w && jtb_worker_info_is_current(&w->info, info);
 
 	g_free(leader);
 	h->counts[HUB_REPORTS] += knows;
--- a/src/hub_vm.c
+++ b/src/hub_vm.c
@@ -226,14 +226,15 @@
 		on ? on : vms_last_of_worker(h->vms, w->info.id);
 	int64_t asked = vms_listed_ms(h->vms);
 
-	w->unlisted = vm || !since || since >= asked ? 0 : w->unlisted + 1;
+	w->unlisted_count =
+		vm || !since || since >= asked ? 0 : w->unlisted_count + 1;
 	*out = (struct evd_vm){
 		.asked_ms = asked,
 		.listed = vm != NULL,
 		.up = vm && vm->state == VMS_UP,
 		.other = vm && !on && *vm->worker,
 		.unread = vms_unread(h->vms),
-		.without = w->unlisted,
+		.without = w->unlisted_count,
 	};
 }
 
--- a/src/job.c
+++ b/src/job.c
@@ -21,10 +21,10 @@
 static void job_action_report(struct jobs *j, struct job *b,
 			      struct job_out *out);
 static void job_release(struct jobs *j, struct job *b);
-static void job_add_order(const struct job *b, enum job_act_kind kind,
+static void job_add_order(const struct job *b, enum job_order_kind kind,
 			  struct job_out *out);
-static enum job_why job_check_admission(const struct jobs *j,
-					const struct job_spec *spec);
+static enum job_reason job_check_admission(const struct jobs *j,
+					   const struct job_spec *spec);
 static bool job_is_schedulable(const struct jobs *j, const struct job *b);
 static void job_charge_usage(struct jobs *j, struct job *b,
 			     const struct job_size *used);
@@ -61,15 +61,15 @@
 	[JOB_ACTION_REPORT] = job_action_report,
 };
 
-static const char *const job_reason_texts[JOB_WHYS] = {
+static const char *const job_reason_texts[JOB_REASONS] = {
 	[JOB_OK] = "accepted",
 	[JOB_UNKNOWN_POOL] = "no such pool",
 	[JOB_UNKNOWN_TEAM] = "no such team",
 	[JOB_TOO_LARGE] = "too large for any worker of the pool",
-	[JOB_QUOTA] = "larger than the team's whole quota",
-	[JOB_FULL] = "too many jobs wait; submit again later",
-	[JOB_BAD] = "failed on different workers",
-	[JOB_UNSURE] = "began and failed, and is not idempotent",
+	[JOB_OVER_QUOTA] = "larger than the team's whole quota",
+	[JOB_QUEUE_FULL] = "too many jobs wait; submit again later",
+	[JOB_FAILED_REPEATEDLY] = "failed on different workers",
+	[JOB_NOT_IDEMPOTENT] = "began and failed, and is not idempotent",
 };
 
 /* Creates a table without pools, teams and workers. */
@@ -189,7 +189,7 @@
 
 		if (b->state != JOB_WAITING || job_is_schedulable(j, b))
 			continue;
-		b->why = JOB_TOO_LARGE;
+		b->reason = JOB_TOO_LARGE;
 		job_apply_event(j, b, JOB_REFUSE, out);
 	}
 	g_list_free(all);
@@ -212,7 +212,7 @@
 }
 
 /* Extends a worker's lease; at its end the worker stops its jobs by itself. */
-void job_lease(struct jobs *j, int worker, int64_t until_ms)
+void job_renew_lease(struct jobs *j, int worker, int64_t until_ms)
 {
 	struct job_worker *w = job_worker(j, worker);
 
@@ -232,14 +232,14 @@
  * Accepts a job, or returns why it is refused. A second submission of an id
  * gets the same answer, so that a caller may resend after a lost answer.
  */
-enum job_why job_submit(struct jobs *j, const struct job_spec *spec,
-			int64_t now_ms, struct job_out *out)
+enum job_reason job_submit(struct jobs *j, const struct job_spec *spec,
+			   int64_t now_ms, struct job_out *out)
 {
 	struct job *b = job_find(j, spec->id);
-	enum job_why why;
+	enum job_reason why;
 
 	if (b)
-		return b->state == JOB_REFUSED ? b->why : JOB_OK;
+		return b->state == JOB_REFUSED ? b->reason : JOB_OK;
 	why = job_check_admission(j, spec);
 	if (why != JOB_OK) {
 		job_audit(out, "job %" G_GUINT64_FORMAT " refused: %s",
@@ -276,8 +276,8 @@
  * or JOB_FAIL. begun matters for JOB_FAIL only: whether the job had started.
  * A late report, of an earlier attempt, is ignored.
  */
-void job_report(struct jobs *j, uint64_t id, uint32_t attempt,
-		enum job_event ev, bool begun, struct job_out *out)
+void job_report_end(struct jobs *j, uint64_t id, uint32_t attempt,
+		    enum job_event ev, bool begun, struct job_out *out)
 {
 	struct job *b = job_find(j, id);
 
@@ -299,8 +299,8 @@
  * its declared cpu most is throttled, which need not be the reported one;
  * urgent jobs are never throttled.
  */
-void job_usage(struct jobs *j, uint64_t id, uint32_t attempt,
-	       const struct job_size *used, struct job_out *out)
+void job_report_usage(struct jobs *j, uint64_t id, uint32_t attempt,
+		      const struct job_size *used, struct job_out *out)
 {
 	struct job *b = job_find(j, id);
 	struct job *worst = NULL;
@@ -322,14 +322,15 @@
 			worst = at;
 	}
 	if (worst && worst->spec.cls != JOB_URGENT)
-		job_add_order(worst, JOB_ACT_THROTTLE, out);
+		job_add_order(worst, JOB_ORDER_THROTTLE, out);
 }
 
 /*
  * Handles expired leases and places waiting jobs, about budget of them at most,
  * to bound the time in the event loop. Returns true if nothing is left to do.
  */
-bool job_step(struct jobs *j, int64_t now_ms, int budget, struct job_out *out)
+bool job_schedule(struct jobs *j, int64_t now_ms, int budget,
+		  struct job_out *out)
 {
 	guint i;
 
@@ -358,10 +359,10 @@
 		struct job *b = l->data;
 
 		if (b->state == JOB_RUNNING)
-			job_add_order(b, JOB_ACT_START, out);
+			job_add_order(b, JOB_ORDER_START, out);
 		if (b->worker >= 0 &&
 		    (b->state == JOB_STOPPING || b->state == JOB_CANCELLING))
-			job_add_order(b, JOB_ACT_STOP, out);
+			job_add_order(b, JOB_ORDER_STOP, out);
 	}
 	g_list_free(all);
 }
@@ -375,7 +376,7 @@
 		return false;
 	*out = (struct job_status){
 		.state = b->state,
-		.why = b->why,
+		.reason = b->reason,
 		.worker = b->worker,
 		.attempt = b->attempt,
 		.stops = b->stops,
@@ -390,7 +391,7 @@
 }
 
 /* Gives a suspect worker jobs again, after an operator repaired it. */
-void job_trust(struct jobs *j, int worker)
+void job_clear_suspect(struct jobs *j, int worker)
 {
 	struct job_worker *w = job_worker(j, worker);
 
@@ -418,7 +419,7 @@
 }
 
 /* Returns a reason as text for logs and answers. */
-const char *job_why_text(enum job_why why)
+const char *job_reason_text(enum job_reason why)
 {
 	return job_reason_texts[why];
 }
@@ -432,9 +433,9 @@
 /* Initializes the arrays. */
 void job_out_init(struct job_out *out)
 {
-	out->urgent = g_array_new(FALSE, FALSE, sizeof(struct job_act));
-	out->acts = g_array_new(FALSE, FALSE, sizeof(struct job_act));
-	out->told = g_array_new(FALSE, FALSE, sizeof(struct job_told));
+	out->urgent = g_array_new(FALSE, FALSE, sizeof(struct job_order));
+	out->orders = g_array_new(FALSE, FALSE, sizeof(struct job_order));
+	out->outcomes = g_array_new(FALSE, FALSE, sizeof(struct job_outcome));
 	out->audit = g_ptr_array_new_with_free_func(g_free);
 }
 
@@ -442,8 +443,8 @@
 void job_out_clear(struct job_out *out)
 {
 	g_array_set_size(out->urgent, 0);
-	g_array_set_size(out->acts, 0);
-	g_array_set_size(out->told, 0);
+	g_array_set_size(out->orders, 0);
+	g_array_set_size(out->outcomes, 0);
 	g_ptr_array_set_size(out->audit, 0);
 }
 
@@ -451,8 +452,8 @@
 void job_out_done(struct job_out *out)
 {
 	g_array_free(out->urgent, TRUE);
-	g_array_free(out->acts, TRUE);
-	g_array_free(out->told, TRUE);
+	g_array_free(out->orders, TRUE);
+	g_array_free(out->outcomes, TRUE);
 	g_ptr_array_free(out->audit, TRUE);
 }
 
@@ -546,13 +547,13 @@
 /* Orders the start of a job. */
 static void job_action_start(struct jobs *j, struct job *b, struct job_out *out)
 {
-	job_add_order(b, JOB_ACT_START, out);
+	job_add_order(b, JOB_ORDER_START, out);
 }
 
 /* Orders the stop of a job. */
 static void job_action_stop(struct jobs *j, struct job *b, struct job_out *out)
 {
-	job_add_order(b, JOB_ACT_STOP, out);
+	job_add_order(b, JOB_ORDER_STOP, out);
 }
 
 /* Puts a job back into its queue. */
@@ -566,11 +567,11 @@
 static void job_action_report(struct jobs *j, struct job *b,
 			      struct job_out *out)
 {
-	struct job_told outcome = {
-		.job = b->spec.id, .outcome = b->state, .why = b->why};
+	struct job_outcome outcome = {
+		.job = b->spec.id, .outcome = b->state, .reason = b->reason};
 
 	job_release(j, b);
-	g_array_append_val(out->told, outcome);
+	g_array_append_val(out->outcomes, outcome);
 }
 
 /* Releases what a job uses of its worker's capacity and its team's quota. */
@@ -614,10 +615,10 @@
  * preempt others for them, are sent before the orders of a flood of
  * cancellations.
  */
-static void job_add_order(const struct job *b, enum job_act_kind kind,
+static void job_add_order(const struct job *b, enum job_order_kind kind,
 			  struct job_out *out)
 {
-	struct job_act act = {
+	struct job_order act = {
 		.kind = kind,
 		.job = b->spec.id,
 		.attempt = b->attempt,
@@ -625,14 +626,14 @@
 	};
 
 	bool urgent = b->state == JOB_STOPPING ||
-		      (kind == JOB_ACT_START && b->spec.cls == JOB_URGENT);
+		      (kind == JOB_ORDER_START && b->spec.cls == JOB_URGENT);
 
-	g_array_append_val(urgent ? out->urgent : out->acts, act);
+	g_array_append_val(urgent ? out->urgent : out->orders, act);
 }
 
 /* Refuses a job that can never run on submission, before it waits. */
-static enum job_why job_check_admission(const struct jobs *j,
-					const struct job_spec *spec)
+static enum job_reason job_check_admission(const struct jobs *j,
+					   const struct job_spec *spec)
 {
 	struct job probe = {.spec = *spec};
 
@@ -643,11 +644,11 @@
 	    !job_team(j, spec->team)->known)
 		return JOB_UNKNOWN_TEAM;
 	if (!job_fits(&spec->size, &job_team(j, spec->team)->quota))
-		return JOB_QUOTA;
+		return JOB_OVER_QUOTA;
 	if (!job_is_schedulable(j, &probe))
 		return JOB_TOO_LARGE;
 	if (j->counts[JOB_WAITING] >= j->config.waiting_max)
-		return JOB_FULL;
+		return JOB_QUEUE_FULL;
 	return JOB_OK;
 }
 
--- a/src/job.h
+++ b/src/job.h
@@ -52,16 +52,16 @@
 };
 
 /* Why a job is refused, on submission or after a failure. */
-enum job_why {
+enum job_reason {
 	JOB_OK,
 	JOB_UNKNOWN_POOL,
 	JOB_UNKNOWN_TEAM,
 	JOB_TOO_LARGE, /* exceeds every worker of the pool */
-	JOB_QUOTA, /* exceeds the whole quota of the team */
-	JOB_FULL, /* too many jobs are waiting; may be submitted again later */
-	JOB_BAD, /* failed on different workers */
-	JOB_UNSURE, /* not idempotent, and had started before it failed */
-	JOB_WHYS
+	JOB_OVER_QUOTA, /* exceeds the whole quota of the team */
+	JOB_QUEUE_FULL, /* too many jobs are waiting; may be retried later */
+	JOB_FAILED_REPEATEDLY, /* failed on different workers */
+	JOB_NOT_IDEMPOTENT, /* and had started before it failed */
+	JOB_REASONS
 };
 
 struct job_size {
@@ -89,38 +89,38 @@
 	int64_t margin_ms; /* maximum clock difference */
 };
 
-enum job_act_kind {
-	JOB_ACT_START,
-	JOB_ACT_STOP, /* with a checkpoint, if the job supports that */
-	JOB_ACT_THROTTLE, /* limit usage to the declared size */
+enum job_order_kind {
+	JOB_ORDER_START,
+	JOB_ORDER_STOP, /* with a checkpoint, if the job supports that */
+	JOB_ORDER_THROTTLE, /* limit usage to the declared size */
 };
 
 /* An order to a worker, which executes each (job, attempt, kind) once. */
-struct job_act {
-	enum job_act_kind kind;
+struct job_order {
+	enum job_order_kind kind;
 	uint64_t job;
 	uint32_t attempt;
 	int worker;
 };
 
 /* The final outcome of a job; reported to its team once. */
-struct job_told {
+struct job_outcome {
 	uint64_t job;
 	enum job_state outcome;
-	enum job_why why;
+	enum job_reason reason;
 };
 
 /* Output of the calls below; the caller sends it and clears it. */
 struct job_out {
-	GArray *urgent; /* struct job_act, to be sent before the others */
-	GArray *acts; /* struct job_act */
-	GArray *told; /* struct job_told */
+	GArray *urgent; /* struct job_order, to be sent before the others */
+	GArray *orders; /* struct job_order */
+	GArray *outcomes; /* struct job_outcome */
 	GPtrArray *audit; /* char *, owned: lines for the audit log */
 };
 
 struct job_status {
 	enum job_state state;
-	enum job_why why;
+	enum job_reason reason;
 	int worker; /* -1: none */
 	uint32_t attempt;
 	int stops; /* preemptions so far */
@@ -137,23 +137,24 @@
 		    const struct job_size *capacity, struct job_out *out);
 void job_set_priority(struct jobs *j, int team, enum job_class cls,
 		      int priority);
-void job_lease(struct jobs *j, int worker, int64_t until_ms);
+void job_renew_lease(struct jobs *j, int worker, int64_t until_ms);
 void job_drain(struct jobs *j, int worker, bool drain);
-enum job_why job_submit(struct jobs *j, const struct job_spec *spec,
-			int64_t now_ms, struct job_out *out);
+enum job_reason job_submit(struct jobs *j, const struct job_spec *spec,
+			   int64_t now_ms, struct job_out *out);
 void job_cancel(struct jobs *j, uint64_t id, struct job_out *out);
-void job_report(struct jobs *j, uint64_t id, uint32_t attempt,
-		enum job_event ev, bool begun, struct job_out *out);
-void job_usage(struct jobs *j, uint64_t id, uint32_t attempt,
-	       const struct job_size *used, struct job_out *out);
-bool job_step(struct jobs *j, int64_t now_ms, int budget, struct job_out *out);
+void job_report_end(struct jobs *j, uint64_t id, uint32_t attempt,
+		    enum job_event ev, bool begun, struct job_out *out);
+void job_report_usage(struct jobs *j, uint64_t id, uint32_t attempt,
+		      const struct job_size *used, struct job_out *out);
+bool job_schedule(struct jobs *j, int64_t now_ms, int budget,
+		  struct job_out *out);
 void job_resend(struct jobs *j, struct job_out *out);
 bool job_status(const struct jobs *j, uint64_t id, struct job_status *out);
 bool job_is_suspect(const struct jobs *j, int worker);
-void job_trust(struct jobs *j, int worker);
+void job_clear_suspect(struct jobs *j, int worker);
 bool job_forget(struct jobs *j, uint64_t id);
 int job_count(const struct jobs *j, enum job_state state);
-const char *job_why_text(enum job_why why);
+const char *job_reason_text(enum job_reason why);
 const char *job_state_name(enum job_state state);
 void jobs_pack(const struct jobs *j, struct pk_out *o);
 struct jobs *jobs_unpack(struct lstr bytes, GError **err);
--- a/src/job_blame.c
+++ b/src/job_blame.c
@@ -31,10 +31,10 @@
 	job_check_worker(j, b, out);
 	faulty = job_check_job(j, b, out) || b->failures >= JOB_ATTEMPTS_MAX;
 	if (begun && !b->spec.idempotent)
-		b->why = JOB_UNSURE;
+		b->reason = JOB_NOT_IDEMPOTENT;
 	else if (faulty)
-		b->why = JOB_BAD;
-	job_apply_event(j, b, b->why == JOB_OK ? JOB_FAIL : JOB_REFUSE, out);
+		b->reason = JOB_FAILED_REPEATEDLY;
+	job_apply_event(j, b, b->reason == JOB_OK ? JOB_FAIL : JOB_REFUSE, out);
 }
 
 /*
--- a/src/job_int.h
+++ b/src/job_int.h
@@ -29,7 +29,7 @@
 struct job {
 	struct job_spec spec;
 	enum job_state state;
-	enum job_why why;
+	enum job_reason reason;
 	uint64_t seq; /* position in the order of acceptance */
 	uint64_t placement; /* position in the order of placement */
 	uint32_t attempt;
@@ -80,7 +80,7 @@
 	uint64_t seq;
 	uint64_t placements;
 	int counts[JOB_STATES];
-	int next_pool; /* pool that job_step starts with */
+	int next_pool; /* pool that job_schedule starts with */
 };
 
 /* job.c: the table and the state machine of a job */
--- a/src/job_pack.c
+++ b/src/job_pack.c
@@ -152,7 +152,7 @@
 	pk_bool(o, b->spec.idempotent);
 	pk_bool(o, b->spec.checkpoints);
 	pk_i(o, b->state);
-	pk_i(o, b->why);
+	pk_i(o, b->reason);
 	pk_u(o, b->seq);
 	pk_u(o, b->placement);
 	pk_u(o, b->attempt);
@@ -194,7 +194,7 @@
 	b->failed_on = job_unpack_failures(&a);
 	if (!pk_in_ok(&a) || job_find(j, b->spec.id) || cls < 0 ||
 	    cls >= JOB_CLASSES || state < 0 || state >= JOB_STATES || why < 0 ||
-	    why >= JOB_WHYS || b->worker < -1 ||
+	    why >= JOB_REASONS || b->worker < -1 ||
 	    b->worker >= (int)j->workers->len || b->spec.team < 0 ||
 	    b->spec.team >= (int)j->teams->len || b->spec.pool < 0 ||
 	    b->spec.pool >= (int)j->pools->len ||
@@ -204,7 +204,7 @@
 	}
 	b->spec.cls = (enum job_class)cls;
 	b->state = (enum job_state)state;
-	b->why = (enum job_why)why;
+	b->reason = (enum job_reason)why;
 	j->seq = MAX(j->seq, b->seq);
 	j->counts[b->state]++;
 	g_hash_table_insert(j->by_id, &b->spec.id, b);
--- a/src/jtb.c
+++ b/src/jtb.c
@@ -19,7 +19,7 @@
 	.late_end = jtb_ignore_late_end,
 	.job_changed = jtb_ignore_job,
 	.worker_changed = jtb_ignore_worker,
-	.worker_gone = jtb_ignore_worker,
+	.worker_removed = jtb_ignore_worker,
 	.config_changed = jtb_ignore_config,
 };
 
@@ -135,7 +135,7 @@
 }
 
 /* Whether a worker id was removed permanently. */
-bool jtb_was_removed(const struct jtb *t, const char *worker)
+bool jtb_worker_was_removed(const struct jtb *t, const char *worker)
 {
 	return g_hash_table_contains(t->removed, worker);
 }
@@ -187,7 +187,7 @@
 }
 
 /* Counts the jobs of a queue that have no confirmed start yet. */
-uint32_t jtb_pending(const struct jtb *t, const char *queue)
+uint32_t jtb_count_pending(const struct jtb *t, const char *queue)
 {
 	uint32_t n = 0;
 	guint i;
@@ -195,7 +195,8 @@
 	for (i = 0; i < t->live->len; i++) {
 		const struct jtb_job *job = g_ptr_array_index(t->live, i);
 
-		if (!jtb_ended(job) && (!job->started || job->unseen) &&
+		if (!jtb_job_ended(job) &&
+		    (!job->started || job->start_unconfirmed) &&
 		    strcmp(job->spec.queue, queue) == 0)
 			n++;
 	}
@@ -219,15 +220,15 @@
 }
 
 /* Whether a stop of a run is wanted, proposed or committed. */
-bool jtb_leaves(const struct jtb_run *run)
+bool jtb_run_is_stopping(const struct jtb_run *run)
 {
-	return run->stop || run->stop_planned || run->stopping;
+	return run->stop_wanted || run->stop_proposed || run->stopping;
 }
 
 /* Whether a task fits into a worker's free capacity, by committed runs only. */
 bool jtb_fits(const struct jtb_worker *w, const struct jtb_step *s)
 {
-	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
+	uint32_t cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu;
 
 	return w->used_cpu + cpu <= w->info.cpu &&
 	       w->used_mem + s->mem_mb <= w->info.mem_mb &&
@@ -235,17 +236,17 @@
 }
 
 /* Whether a worker's runs exceed its capacity, since that was reduced. */
-bool jtb_overfull(const struct jtb_worker *w)
+bool jtb_is_overcommitted(const struct jtb_worker *w)
 {
 	return w->used_cpu > w->info.cpu || w->used_mem > w->info.mem_mb ||
 	       w->used_gpus > w->info.gpus;
 }
 
 /* Returns a step's state in one turn; NULL if nothing of the turn started. */
-struct jtb_part *jtb_part(const struct jtb_job *job, uint32_t turn,
-			  uint32_t step)
+struct jtb_step_state *jtb_step_state(const struct jtb_job *job, uint32_t turn,
+				      uint32_t step)
 {
-	return job->turns[turn].parts ? &job->turns[turn].parts[step] : NULL;
+	return job->turns[turn].steps ? &job->turns[turn].steps[step] : NULL;
 }
 
 /*
@@ -256,11 +257,11 @@
  */
 bool jtb_may_forget(struct jtb_job *job, int64_t now_ms, int64_t keep_ms)
 {
-	if (!jtb_ended(job) || job->n_runs)
+	if (!jtb_job_ended(job) || job->n_runs)
 		return false;
-	if (!job->over_ms)
-		job->over_ms = now_ms;
-	return now_ms - job->over_ms > keep_ms;
+	if (!job->ended_seen_ms)
+		job->ended_seen_ms = now_ms;
+	return now_ms - job->ended_seen_ms > keep_ms;
 }
 
 /* Returns when a turn of a job is due, ms since 1970; 0: immediately. */
@@ -282,7 +283,7 @@
 }
 
 /* Counts the runs of a job beyond the first run of each task. */
-uint32_t jtb_runs_again(const struct jtb_job *job)
+uint32_t jtb_count_reruns(const struct jtb_job *job)
 {
 	uint32_t again = 0;
 	uint32_t t;
@@ -290,7 +291,7 @@
 	uint32_t i;
 
 	for (t = 0; t < job->n_turns; t++) {
-		const struct jtb_part *states = job->turns[t].parts;
+		const struct jtb_step_state *states = job->turns[t].steps;
 
 		for (s = 0; states && s < job->spec.n_steps; s++)
 			for (i = 0; i < job->spec.steps[s].count; i++)
@@ -300,7 +301,7 @@
 }
 
 /* Returns the highest crash count of a job's tasks. */
-uint32_t jtb_crashes(const struct jtb_job *job)
+uint32_t jtb_max_crashes(const struct jtb_job *job)
 {
 	uint32_t most = 0;
 	guint i;
@@ -368,15 +369,15 @@
 	    n->index >= job->spec.steps[n->step].count)
 		return NULL;
 	turn = &job->turns[n->turn];
-	if (!turn->parts) {
+	if (!turn->steps) {
 		if (!make)
 			return NULL;
-		turn->parts = g_new0(struct jtb_part, job->spec.n_steps);
+		turn->steps = g_new0(struct jtb_step_state, job->spec.n_steps);
 		for (i = 0; i < job->spec.n_steps; i++)
-			turn->parts[i].tasks = g_new0(struct jtb_task,
+			turn->steps[i].tasks = g_new0(struct jtb_task,
 						      job->spec.steps[i].count);
 	}
-	return &turn->parts[n->step].tasks[n->index];
+	return &turn->steps[n->step].tasks[n->index];
 }
 
 /* Adds a run of a task and charges its size to the worker. */
@@ -398,14 +399,14 @@
 		.serial = t->next_serial++,
 		.percent = -1,
 		.pace = 100,
-		.pace_told = 100,
-		.figure = -1,
+		.pace_sent = 100,
+		.metric_value = -1,
 	};
 	task->run = run;
-	job->turns[name->turn].parts[name->step].n_runs++;
+	job->turns[name->turn].steps[name->step].n_runs++;
 	job->n_runs++;
 	g_ptr_array_add(w->runs, run);
-	w->used_cpu += step->flags & JTB_FILLS ? 0 : step->cpu;
+	w->used_cpu += step->flags & JTB_BEST_EFFORT ? 0 : step->cpu;
 	w->used_mem += step->mem_mb;
 	w->used_gpus += step->gpus;
 	return run;
--- a/src/jtb.h
+++ b/src/jtb.h
@@ -48,7 +48,7 @@
 /* A pool of VMs that run jobs. */
 struct jtb_pool {
 	char *name;
-	bool guarded; /* its workers refuse tasks that exceed their capacity */
+	bool enforces_capacity; /* its workers refuse tasks that don't fit */
 	bool standby; /* its VMs are switched off */
 };
 
@@ -65,12 +65,12 @@
 };
 
 enum jtb_step_flag {
-	JTB_SAVES = 1 << 0, /* its tasks write checkpoints */
+	JTB_CHECKPOINTS = 1 << 0, /* its tasks write checkpoints */
 	JTB_GANG = 1 << 1, /* gang scheduling: all tasks run or none */
-	JTB_ONE_RACK = 1 << 2, /* slower when spread over several racks */
-	JTB_COPIES = 1 << 3, /* speculative copies of a task are allowed */
-	JTB_LASTS = 1 << 4, /* long-running: runs until the job is cancelled */
-	JTB_FILLS = 1 << 5, /* best effort: uses only idle processor time */
+	JTB_RACK_SENSITIVE = 1 << 2, /* slower when spread over several racks */
+	JTB_SPECULATIVE = 1 << 3, /* speculative copies of a task are allowed */
+	JTB_LONG_RUNNING = 1 << 4, /* runs until the job is cancelled */
+	JTB_BEST_EFFORT = 1 << 5, /* uses only idle processor time */
 };
 
 /* A step of a job: a number of tasks of one kind. */
@@ -79,9 +79,9 @@
 	uint32_t cpu; /* thousandths of a core */
 	uint32_t mem_mb;
 	uint32_t gpus;
-	uint32_t guess_ms; /* caller's estimate of a task's run time */
-	uint32_t per_worker; /* maximum tasks on one worker; 0: no limit */
-	uint32_t tail_ms; /* tail latency objective of a service; 0: none */
+	uint32_t estimate_ms; /* caller's estimate of a task's run time */
+	uint32_t max_per_worker; /* maximum tasks on one worker; 0: no limit */
+	uint32_t slo_ms; /* tail latency objective of a service; 0: none */
 	uint32_t may_miss; /* tasks that may be unavailable at a time */
 	uint32_t flags; /* enum jtb_step_flag */
 	uint64_t after; /* bit mask of steps that must be done first */
@@ -115,9 +115,9 @@
 	JTB_DONE,
 	JTB_FAILED_RUN,
 	JTB_STOPPED,
-	JTB_LAPSED, /* its lease expired */
-	JTB_BROKEN, /* another task of its gang ended */
-	JTB_ALONE, /* not all tasks of its gang could be started */
+	JTB_LEASE_EXPIRED,
+	JTB_GANG_BROKEN, /* another task of its gang ended */
+	JTB_GANG_INCOMPLETE, /* not all tasks of its gang could be started */
 	JTB_LOST, /* its worker was lost, or the run never started */
 	JTB_ENDS
 };
@@ -126,13 +126,13 @@
 
 struct jtb_task {
 	struct jtb_run *run; /* or NULL */
-	char *saved; /* most recent usable checkpoint; or NULL */
+	char *checkpoint; /* most recent usable checkpoint; or NULL */
 	uint32_t attempt; /* number of its most recent run */
-	uint32_t fails;
+	uint32_t failures;
 	bool done;
-	bool planned; /* leader's: a start is proposed, not yet committed */
-	struct jtb_worker *planned_on; /* NULL: that worker was removed */
-	int64_t free_ms; /* leader's: end of its most recent run */
+	bool start_proposed; /* leader's: a start is not yet committed */
+	struct jtb_worker *proposed_worker; /* NULL: that worker was removed */
+	int64_t last_end_ms; /* leader's: end of its most recent run */
 };
 
 /*
@@ -143,29 +143,29 @@
 	uint32_t step;
 	uint32_t index;
 	uint32_t crashes; /* workers lost while this task was starting */
-	uint32_t shared; /* those of them lost together with other workers */
+	uint32_t correlated_crashes; /* those lost together with others */
 };
 
 /* State of one step in one turn of a job. */
-struct jtb_part {
+struct jtb_step_state {
 	struct jtb_task *tasks;
 	uint32_t n_done;
 	uint32_t n_runs;
-	uint32_t n_planned; /* leader's: starts that are proposed */
+	uint32_t n_proposed; /* leader's: starts that are proposed */
 };
 
 /* State of one turn of a job. */
 struct jtb_turn {
-	struct jtb_part *parts; /* one a step; NULL: nothing was started */
+	struct jtb_step_state *steps; /* one a step; NULL: none started */
 	uint64_t done; /* bit mask of steps that are done */
 };
 
 /* Why a job or task is pending, and since when; leader's. */
-struct jtb_held {
-	int64_t owed_ms; /* pending since; 0: not pending */
-	int64_t since_ms; /* pending for this reason since */
-	int64_t told_ms; /* last log line about it; 0: none yet */
-	uint8_t why; /* enum hld_reason */
+struct jtb_pending_reason {
+	int64_t pending_since_ms; /* pending since; 0: not pending */
+	int64_t reason_since_ms; /* pending for this reason since */
+	int64_t logged_ms; /* last log line about it; 0: none yet */
+	uint8_t reason; /* enum hld_reason */
 };
 
 struct jtb_job {
@@ -174,21 +174,21 @@
 	uint64_t seq; /* position in the order of acceptance */
 	int64_t accepted_ms; /* since 1970, by the leader's clock */
 	int64_t ended_ms;
-	int64_t over_ms; /* leader's: first seen as ended; 0: not yet */
-	double scale; /* leader's: actual over estimated run time; 0: 1 */
-	int64_t begun_ms; /* leader's: first start since 1970; 0: none */
+	int64_t ended_seen_ms; /* leader's: first seen as ended; 0: not yet */
+	double estimate_ratio; /* leader's: actual to estimated time; 0: 1 */
+	int64_t first_start_ms; /* leader's: first start since 1970; 0: none */
 	struct jtb_turn *turns; /* one a repetition; at least one */
 	uint32_t n_turns;
 	uint32_t turns_done;
 	uint32_t n_runs;
 	GArray *suspects; /* struct jtb_suspect; NULL: there never was one */
 	bool started; /* the start of one of its tasks was committed */
-	bool unseen; /* leader's: and no worker confirmed a start yet */
+	bool start_unconfirmed; /* leader's: and no worker confirmed one */
 	/* leader's, or NULL: of the job, then of each long-running task */
-	struct jtb_held *held;
-	int64_t rack_ms; /* leader's: a gang waits for a rack since; or 0 */
-	double work; /* estimated core-seconds of one turn */
-	uint32_t chain_ms; /* estimated length of the critical path */
+	struct jtb_pending_reason *pending_reasons;
+	int64_t rack_wait_since_ms; /* leader's: of a gang for a rack; or 0 */
+	double core_seconds; /* estimated core-seconds of one turn */
+	uint32_t critical_path_ms; /* estimated length of the critical path */
 };
 
 struct jtb_worker_info {
@@ -205,31 +205,31 @@
 
 struct jtb_worker {
 	struct jtb_worker_info info;
-	uint64_t end_no; /* number of the last end that was applied */
+	uint64_t last_end_no; /* number of the last end that was applied */
 	GPtrArray *runs; /* struct jtb_run */
-	bool lost; /* leader's: its removal is proposed */
-	struct evd over; /* leader's: evidence for that removal */
-	bool leaves; /* leader's: it announced its shutdown */
-	uint32_t unlisted; /* leader's: VM lists in a row that lack it */
-	uint32_t cleared; /* times that all its runs were ended as lost */
+	bool removal_proposed; /* leader's: its removal is proposed */
+	struct evd removal_evidence; /* leader's: evidence for that removal */
+	bool leaving; /* leader's: it announced its shutdown */
+	uint32_t unlisted_count; /* leader's: VM lists in a row that lack it */
+	uint32_t runs_lost_count; /* times all its runs were ended as lost */
 	uint32_t used_cpu;
 	uint32_t used_mem;
 	uint32_t used_gpus;
-	uint32_t plan_cpu; /* leader's: reserved for proposed starts */
-	uint32_t plan_mem;
-	uint32_t plan_gpus;
-	uint32_t same_step; /* leader's: its tasks of the step being placed */
-	uint32_t fails; /* leader's: different jobs that failed in a row */
-	uint64_t failed_job; /* seq + 1 of the last of these jobs */
-	uint32_t fails_seen; /* value of that count in the last plan */
-	int64_t failed_ms; /* time at which that count last changed */
-	bool suspect; /* leader's: logged as failing every job */
-	bool barred; /* leader's: has no ticket for the step being placed */
-	uint64_t trial_for; /* leader's: seq + 1 of the job retried alone */
-	int64_t trial_ms; /* last time it was reserved for that retry */
-	bool trial_begun; /* whether a task of that job was started on it */
-	uint64_t kept_for; /* leader's: seq + 1 of the job it is reserved for */
-	int64_t kept_ms; /* last time it was reserved for that job */
+	uint32_t proposed_cpu; /* leader's: reserved for proposed starts */
+	uint32_t proposed_mem;
+	uint32_t proposed_gpus;
+	uint32_t tasks_of_step; /* leader's: of the step being placed */
+	uint32_t failed_jobs; /* leader's: different jobs, in a row */
+	uint64_t last_failed_job; /* seq + 1 of the last of these jobs */
+	uint32_t failed_jobs_seen; /* value of that count in the last plan */
+	int64_t failed_jobs_changed_ms; /* last change of that count */
+	bool suspect_logged; /* leader's: logged as failing every job */
+	bool excluded; /* leader's: has no ticket for the step being placed */
+	uint64_t isolated_for; /* leader's: seq + 1 of the job retried alone */
+	int64_t isolated_ms; /* last time it was reserved for that retry */
+	bool isolated_started; /* a task of that job was started on it */
+	uint64_t reserved_for; /* leader's: seq + 1 of that job */
+	int64_t reserved_ms; /* last time it was reserved for that job */
 	void *owner; /* leader's data */
 };
 
@@ -245,22 +245,22 @@
 	/* leader's from here on */
 	uint64_t serial;
 	uint8_t phase; /* enum wkr_phase */
-	bool stop; /* a stop is wanted */
+	bool stop_wanted; /* a stop order is to be sent to its worker */
 	bool inherited; /* an earlier leader started it: start time unknown */
-	bool stop_planned; /* a stop is proposed, not yet committed */
-	bool may_be_there; /* its worker may have received the start */
-	uint16_t sends; /* start and stop orders sent */
-	uint16_t unanswered; /* those of them without an answer */
-	struct evd over; /* evidence that it is over */
+	bool stop_proposed; /* a stop is proposed, not yet committed */
+	bool may_have_started; /* its worker may have received the start */
+	uint16_t orders_sent; /* start and stop orders sent */
+	uint16_t orders_unanswered; /* those of them without an answer */
+	struct evd end_evidence; /* evidence that it is over */
 	int64_t ordered_ms;
-	int64_t began_ms; /* first reported as running */
-	int64_t seen_ms; /* last reported as running */
-	int64_t moved_ms; /* last change of its progress */
+	int64_t first_running_ms; /* first reported as running */
+	int64_t last_running_ms; /* last reported as running */
+	int64_t progress_ms; /* last change of its progress */
 	int32_t percent; /* progress; -1: not reported */
-	int32_t figure; /* tail latency in ms, or processor in use */
+	int32_t metric_value; /* tail latency in ms, or processor in use */
 	int32_t pace; /* limit of its work rate, percent */
-	int32_t pace_told; /* limit last sent to its worker; -1: unknown */
-	int64_t paced_ms; /* last change of that limit */
+	int32_t pace_sent; /* limit last sent to its worker; -1: unknown */
+	int64_t pace_changed_ms; /* last change of that limit */
 };
 
 /* Identifies a task: job, turn, step and index in the step. */
@@ -275,11 +275,11 @@
 struct jtb_blame {
 	GArray *suspects; /* struct jtb_name: may have crashed the worker */
 	GArray *cleared; /* struct jtb_name: former suspects that did not */
-	bool shared; /* lost with other workers: most likely no task's fault */
+	bool correlated; /* lost with others: most likely no task's fault */
 };
 
 enum jtb_vm_state {
-	JTB_VM_WAITS,
+	JTB_VM_WAITING,
 	JTB_VM_BEGUN, /* its upkeep was ordered and accepted */
 	JTB_VM_DONE,
 };
@@ -312,7 +312,7 @@
 			 enum jtb_end how);
 	void (*job_changed)(void *arg, struct jtb_job *job);
 	void (*worker_changed)(void *arg, struct jtb_worker *w);
-	void (*worker_gone)(void *arg, struct jtb_worker *w);
+	void (*worker_removed)(void *arg, struct jtb_worker *w);
 	void (*config_changed)(void *arg);
 };
 
@@ -330,29 +330,29 @@
 GPtrArray *jtb_live(const struct jtb *t);
 GPtrArray *jtb_waves(const struct jtb *t);
 struct jtb_wave *jtb_wave(const struct jtb *t, uint64_t no);
-bool jtb_was_removed(const struct jtb *t, const char *worker);
+bool jtb_worker_was_removed(const struct jtb *t, const char *worker);
 const struct jtb_queue *jtb_queue(const struct jtb_config *c, const char *name);
 const struct jtb_queue *jtb_route(const struct jtb_config *c, const char *host,
 				  const char *path);
 const struct jtb_pool *jtb_pool(const struct jtb_config *c, const char *name);
 const char *jtb_pool_of(const struct jtb *t, const struct jtb_job *job);
-uint32_t jtb_pending(const struct jtb *t, const char *queue);
+uint32_t jtb_count_pending(const struct jtb *t, const char *queue);
 struct jtb_run *jtb_find_run(const struct jtb *t, const struct jtb_name *name,
 			     uint32_t attempt, const char *worker);
-uint32_t jtb_runs_again(const struct jtb_job *job);
-uint32_t jtb_crashes(const struct jtb_job *job);
+uint32_t jtb_count_reruns(const struct jtb_job *job);
+uint32_t jtb_max_crashes(const struct jtb_job *job);
 const struct jtb_suspect *jtb_suspect(const struct jtb_job *job, uint32_t step,
 				      uint32_t index);
 bool jtb_step_due(const struct jtb_job *job, uint32_t turn, uint32_t step,
 		  int64_t wall_ms);
-void jtb_plan(struct jtb_job *job, const struct jtb_name *n,
-	      struct jtb_worker *w);
-struct jtb_part *jtb_part(const struct jtb_job *job, uint32_t turn,
-			  uint32_t step);
-void jtb_unplan_all(struct jtb *t);
-bool jtb_leaves(const struct jtb_run *run);
+void jtb_propose_start(struct jtb_job *job, const struct jtb_name *n,
+		       struct jtb_worker *w);
+struct jtb_step_state *jtb_step_state(const struct jtb_job *job, uint32_t turn,
+				      uint32_t step);
+void jtb_drop_proposals(struct jtb *t);
+bool jtb_run_is_stopping(const struct jtb_run *run);
 bool jtb_fits(const struct jtb_worker *w, const struct jtb_step *s);
-bool jtb_overfull(const struct jtb_worker *w);
+bool jtb_is_overcommitted(const struct jtb_worker *w);
 bool jtb_may_forget(struct jtb_job *job, int64_t now_ms, int64_t keep_ms);
 int64_t jtb_turn_due(const struct jtb_job *job, uint32_t turn);
 
@@ -368,10 +368,11 @@
 		 const struct jtb_name *name, uint32_t attempt,
 		 enum jtb_end how, struct lstr checkpoint, int64_t wall_ms);
 void jtb_put_worker(struct pk_out *o, const struct jtb_worker_info *i);
-void jtb_put_gone(struct pk_out *o, const char *worker, bool permanent);
-void jtb_put_left(struct pk_out *o, const char *worker);
-void jtb_put_lost(struct pk_out *o, const char *worker, bool permanent,
-		  const struct jtb_blame *blame, int64_t wall_ms);
+void jtb_put_worker_lost(struct pk_out *o, const char *worker, bool permanent);
+void jtb_put_worker_leaving(struct pk_out *o, const char *worker);
+void jtb_put_worker_crashed(struct pk_out *o, const char *worker,
+			    bool permanent, const struct jtb_blame *blame,
+			    int64_t wall_ms);
 void jtb_put_wave(struct pk_out *o, const struct jtb_wave *w);
 void jtb_put_vm(struct pk_out *o, uint64_t wave, const char *vm,
 		enum jtb_vm_state state, const char *worker_before);
@@ -386,20 +387,20 @@
 void jtb_spec_clear(struct jtb_spec *s);
 void jtb_blame_init(struct jtb_blame *b);
 void jtb_blame_clear(struct jtb_blame *b);
-bool jtb_blame_alone(const struct jtb_blame *b);
+bool jtb_blame_single_job(const struct jtb_blame *b);
 void jtb_worker_info_clear(struct jtb_worker_info *i);
-bool jtb_worker_known(const struct jtb_worker_info *known,
-		      const struct jtb_worker_info *told);
+bool jtb_worker_info_is_current(const struct jtb_worker_info *known,
+				const struct jtb_worker_info *reported);
 struct jtb_wave *jtb_wave_new(uint64_t no);
 struct jtb_wave_vm *jtb_wave_add(struct jtb_wave *w, const char *vm);
 struct jtb_wave_vm *jtb_wave_find(const struct jtb_wave *w, const char *vm);
 void jtb_wave_free(gpointer p);
 void jtb_name_of(const struct jtb_run *run, struct jtb_name *out);
-void jtb_name_text(const struct jtb_name *name, char *out, size_t size);
-bool jtb_name_same(const struct jtb_name *a, const struct jtb_name *b);
+void jtb_name_format(const struct jtb_name *name, char *out, size_t size);
+bool jtb_name_equal(const struct jtb_name *a, const struct jtb_name *b);
 bool jtb_name_parse(struct lstr text, struct jtb_name *out);
 const char *jtb_state_name(enum jtb_job_state state);
 const char *jtb_end_name(enum jtb_end how);
-bool jtb_ended(const struct jtb_job *job);
+bool jtb_job_ended(const struct jtb_job *job);
 
 #endif
--- a/src/jtb_cmd.c
+++ b/src/jtb_cmd.c
@@ -92,7 +92,7 @@
  * Appends a command for a worker that announced its shutdown: the worker is
  * removed, or drained if it still has runs.
  */
-void jtb_put_left(struct pk_out *o, const char *worker)
+void jtb_put_worker_leaving(struct pk_out *o, const char *worker)
 {
 	pk_arr(o, 2);
 	pk_u(o, JTB_CMD_WORKER_LEAVING);
@@ -103,7 +103,7 @@
  * Appends a command that ends all runs of a worker as lost. With permanent set
  * the worker is removed and its id is never accepted again.
  */
-void jtb_put_gone(struct pk_out *o, const char *worker, bool permanent)
+void jtb_put_worker_lost(struct pk_out *o, const char *worker, bool permanent)
 {
 	pk_arr(o, 3);
 	pk_u(o, JTB_CMD_WORKER_LOST);
@@ -116,8 +116,9 @@
  * and counts a crash for each suspected task. wall_ms, ms since 1970, is the
  * end of the jobs that fail by it.
  */
-void jtb_put_lost(struct pk_out *o, const char *worker, bool permanent,
-		  const struct jtb_blame *blame, int64_t wall_ms)
+void jtb_put_worker_crashed(struct pk_out *o, const char *worker,
+			    bool permanent, const struct jtb_blame *blame,
+			    int64_t wall_ms)
 {
 	pk_arr(o, 7);
 	pk_u(o, JTB_CMD_WORKER_LOST);
@@ -125,7 +126,7 @@
 	pk_bool(o, permanent);
 	jtb_pack_names(o, blame->suspects);
 	jtb_pack_names(o, blame->cleared);
-	pk_bool(o, blame->shared);
+	pk_bool(o, blame->correlated);
 	pk_i(o, wall_ms);
 }
 
@@ -164,7 +165,7 @@
 	if (!jtb_unpack_names(in, b->suspects) ||
 	    !jtb_unpack_names(in, b->cleared))
 		return false;
-	b->shared = pk_get_bool(in);
+	b->correlated = pk_get_bool(in);
 	return pk_in_ok(in);
 }
 
@@ -234,7 +235,7 @@
 
 		pk_arr(o, 3);
 		pk_cstr(o, pool->name);
-		pk_bool(o, pool->guarded);
+		pk_bool(o, pool->enforces_capacity);
 		pk_bool(o, pool->standby);
 	}
 }
@@ -279,7 +280,7 @@
 		struct jtb_pool *p = g_new0(struct jtb_pool, 1);
 
 		p->name = jtb_unpack_text(&row);
-		p->guarded = pk_get_bool(&row);
+		p->enforces_capacity = pk_get_bool(&row);
 		p->standby = pk_get_bool(&row);
 		jtb_config_add_pool(c, p);
 		at.bad |= !pk_in_ok(&row);
@@ -481,9 +482,9 @@
 	pk_u(o, s->cpu);
 	pk_u(o, s->mem_mb);
 	pk_u(o, s->gpus);
-	pk_u(o, s->guess_ms);
-	pk_u(o, s->per_worker);
-	pk_u(o, s->tail_ms);
+	pk_u(o, s->estimate_ms);
+	pk_u(o, s->max_per_worker);
+	pk_u(o, s->slo_ms);
 	pk_u(o, s->may_miss);
 	pk_u(o, s->flags);
 	pk_u(o, s->after);
@@ -501,9 +502,9 @@
 	s->cpu = (uint32_t)pk_get_u(&at);
 	s->mem_mb = (uint32_t)pk_get_u(&at);
 	s->gpus = (uint32_t)pk_get_u(&at);
-	s->guess_ms = (uint32_t)pk_get_u(&at);
-	s->per_worker = (uint32_t)pk_get_u(&at);
-	s->tail_ms = (uint32_t)pk_get_u(&at);
+	s->estimate_ms = (uint32_t)pk_get_u(&at);
+	s->max_per_worker = (uint32_t)pk_get_u(&at);
+	s->slo_ms = (uint32_t)pk_get_u(&at);
 	s->may_miss = (uint32_t)pk_get_u(&at);
 	s->flags = (uint32_t)pk_get_u(&at);
 	s->after = pk_get_u(&at);
--- a/src/jtb_do.c
+++ b/src/jtb_do.c
@@ -159,7 +159,7 @@
 	struct jtb_job *job = jtb_job(t, key);
 
 	g_free(key);
-	if (job && !jtb_ended(job))
+	if (job && !jtb_job_ended(job))
 		jtb_end_job(t, job, JTB_CANCELLED, wall_ms);
 	return pk_in_ok(in);
 }
@@ -182,7 +182,7 @@
 	g_free(key);
 	job = jtb_job(t, n.id);
 	task = job ? jtb_task_at(job, &n, true) : NULL;
-	if (task && task->planned)
+	if (task && task->start_proposed)
 		jtb_drop_proposed_start(job, &n, w);
 	if (!task || !w || !jtb_may_start(t, job, task, &n, attempt, w))
 		return pk_in_ok(in);
@@ -210,7 +210,7 @@
 	/* tasks of a gang start all together or not at all: see wkr_order */
 	if (!(step->flags & JTB_GANG) && !jtb_fits(w, step))
 		return false;
-	if (jtb_ended(job) || task->done || task->run ||
+	if (jtb_job_ended(job) || task->done || task->run ||
 	    attempt <= task->attempt || w->info.draining)
 		return false;
 	if ((after & job->turns[n->turn].done) != after)
@@ -234,7 +234,7 @@
 	g_free(worker);
 	if (!run)
 		return pk_in_ok(in);
-	run->stop_planned = false;
+	run->stop_proposed = false;
 	if (run->stopping || !jtb_may_stop(run))
 		return pk_in_ok(in);
 	run->stopping = true;
@@ -250,8 +250,8 @@
 static bool jtb_may_stop(const struct jtb_run *run)
 {
 	const struct jtb_step *step = &run->job->spec.steps[run->step];
-	const struct jtb_part *state =
-		&run->job->turns[run->turn].parts[run->step];
+	const struct jtb_step_state *state =
+		&run->job->turns[run->turn].steps[run->step];
 	uint32_t unavailable = 0;
 	uint32_t i;
 
@@ -285,9 +285,9 @@
 	wall_ms = pk_get_i(in);
 	ok = ok && pk_in_ok(in) && how < JTB_ENDS;
 	/* the worker reported an end that was applied before */
-	known = w && no <= w->end_no;
+	known = w && no <= w->last_end_no;
 	if (ok && w && no)
-		w->end_no = MAX(w->end_no, no);
+		w->last_end_no = MAX(w->last_end_no, no);
 	if (ok)
 		run = jtb_find_run(t, &n, attempt, worker);
 	g_free(worker);
@@ -298,8 +298,8 @@
 		return ok;
 	task = jtb_task_at(run->job, &n, false);
 	if (checkpoint.len) {
-		g_free(task->saved);
-		task->saved = lstr_dup(checkpoint);
+		g_free(task->checkpoint);
+		task->checkpoint = lstr_dup(checkpoint);
 	}
 	jtb_end_run(t, run, (enum jtb_end)how, wall_ms);
 	return true;
@@ -322,7 +322,7 @@
 	if (!task || task->done || !attempt || attempt > task->attempt ||
 	    (task->run && task->run->attempt == attempt))
 		return;
-	if (step->flags & JTB_LASTS ||
+	if (step->flags & JTB_LONG_RUNNING ||
 	    (how != JTB_DONE && how != JTB_FAILED_RUN))
 		return;
 	t->watch->late_end(t->arg, w, n, attempt, how);
@@ -340,7 +340,7 @@
 				const struct jtb_name *n)
 {
 	const struct jtb_step *step = &job->spec.steps[n->step];
-	struct jtb_part *state = &job->turns[n->turn].parts[n->step];
+	struct jtb_step_state *state = &job->turns[n->turn].steps[n->step];
 	uint32_t i;
 
 	for (i = 0; i < step->count; i++) {
@@ -445,7 +445,7 @@
 static void jtb_end_runs_crashed(struct jtb *t, struct jtb_worker *w,
 				 const struct jtb_blame *blame, int64_t wall_ms)
 {
-	bool single_job = jtb_blame_alone(blame);
+	bool single_job = jtb_blame_single_job(blame);
 	guint i;
 
 	for (i = 0; i < blame->suspects->len; i++)
@@ -453,7 +453,7 @@
 			jtb_count_crash(t, w,
 					&g_array_index(blame->suspects,
 						       struct jtb_name, i),
-					blame->shared);
+					blame->correlated);
 	for (i = 0; i < blame->cleared->len; i++) {
 		const struct jtb_name *n =
 			&g_array_index(blame->cleared, struct jtb_name, i);
@@ -506,7 +506,7 @@
 		return;
 	s = jtb_add_suspect(jtb_job(t, n->id), n->step, n->index);
 	s->crashes++;
-	s->shared += shared;
+	s->correlated_crashes += shared;
 }
 
 /*
@@ -521,10 +521,11 @@
 	const struct jtb_suspect *s =
 		job ? jtb_suspect(job, n->step, n->index) : NULL;
 
-	if (!s || jtb_ended(job))
+	if (!s || jtb_job_ended(job))
 		return;
 	if (s->crashes >= JTB_CRASHES_MAX ||
-	    (single_job && s->crashes - s->shared >= JTB_CRASHES_SINGLE))
+	    (single_job &&
+	     s->crashes - s->correlated_crashes >= JTB_CRASHES_SINGLE))
 		jtb_end_job(t, job, JTB_FAILED, wall_ms);
 }
 
@@ -535,11 +536,11 @@
 	if (permanent)
 		g_hash_table_add(t->removed, g_strdup(id));
 	if (permanent && w) {
-		t->watch->worker_gone(t->arg, w);
+		t->watch->worker_removed(t->arg, w);
 		jtb_clear_proposals_on(t, w);
 		g_hash_table_remove(t->workers, id);
 	} else if (w) {
-		w->cleared++;
+		w->runs_lost_count++;
 		t->watch->worker_changed(t->arg, w);
 	}
 }
@@ -597,7 +598,7 @@
 	char *id = lstr_dup(pk_get_str(in));
 	struct jtb_job *job = jtb_job(t, id);
 
-	if (job && jtb_ended(job) && job->n_runs == 0)
+	if (job && jtb_job_ended(job) && job->n_runs == 0)
 		g_hash_table_remove(t->jobs, id);
 	g_free(id);
 	return pk_in_ok(in);
@@ -617,22 +618,22 @@
 	task = jtb_task_at(job, &n, false);
 	t->watch->run_ends(t->arg, run, how);
 	task->run = NULL;
-	job->turns[run->turn].parts[run->step].n_runs--;
+	job->turns[run->turn].steps[run->step].n_runs--;
 	job->n_runs--;
 	g_ptr_array_remove_fast(w->runs, run);
-	w->used_cpu -= step->flags & JTB_FILLS ? 0 : step->cpu;
+	w->used_cpu -= step->flags & JTB_BEST_EFFORT ? 0 : step->cpu;
 	w->used_mem -= step->mem_mb;
 	w->used_gpus -= step->gpus;
 	g_free(run);
-	job->unseen = job->unseen && how == JTB_LOST;
+	job->start_unconfirmed = job->start_unconfirmed && how == JTB_LOST;
 	jtb_count_failures(w, job, task, how);
 	if (how == JTB_DONE)
 		jtb_remove_suspect(job, n.step, n.index);
-	if (how == JTB_DONE && !(step->flags & JTB_LASTS))
+	if (how == JTB_DONE && !(step->flags & JTB_LONG_RUNNING))
 		jtb_finish_task(t, job, &n, wall_ms);
 	else if (how == JTB_FAILED_RUN)
 		jtb_fail_task(t, job, step, task, wall_ms);
-	if (jtb_ended(job))
+	if (jtb_job_ended(job))
 		jtb_drop_live(t, job);
 }
 
@@ -644,12 +645,12 @@
 			       const struct jtb_task *task, enum jtb_end how)
 {
 	if (how == JTB_DONE) {
-		w->fails = 0;
-		w->failed_job = 0;
-	} else if (how == JTB_FAILED_RUN && !task->fails &&
-		   w->failed_job != job->seq + 1) {
-		w->fails++;
-		w->failed_job = job->seq + 1;
+		w->failed_jobs = 0;
+		w->last_failed_job = 0;
+	} else if (how == JTB_FAILED_RUN && !task->failures &&
+		   w->last_failed_job != job->seq + 1) {
+		w->failed_jobs++;
+		w->last_failed_job = job->seq + 1;
 	}
 }
 
@@ -662,7 +663,7 @@
 {
 	const struct jtb_step *step = &job->spec.steps[n->step];
 	struct jtb_turn *turn = &job->turns[n->turn];
-	struct jtb_part *state = &turn->parts[n->step];
+	struct jtb_step_state *state = &turn->steps[n->step];
 	uint64_t all_steps = job->spec.n_steps == JTB_STEPS_MAX
 				     ? UINT64_MAX
 				     : (1ULL << job->spec.n_steps) - 1;
@@ -682,7 +683,7 @@
 	turn->done |= 1ULL << n->step;
 	if (turn->done == all_steps)
 		job->turns_done++;
-	if (job->turns_done == job->n_turns && !jtb_ended(job))
+	if (job->turns_done == job->n_turns && !jtb_job_ended(job))
 		jtb_end_job(t, job, JTB_COMPLETED, wall_ms);
 	else
 		jtb_notify_job(t, job);
@@ -695,10 +696,11 @@
 {
 	const struct jtb_queue *q = jtb_queue(t->config, job->spec.queue);
 
-	task->fails++;
-	if (step->flags & JTB_LASTS || !q || jtb_ended(job) || task->done)
+	task->failures++;
+	if (step->flags & JTB_LONG_RUNNING || !q || jtb_job_ended(job) ||
+	    task->done)
 		return;
-	if (task->fails >= MAX(1, q->attempts))
+	if (task->failures >= MAX(1, q->attempts))
 		jtb_end_job(t, job, JTB_FAILED, wall_ms);
 }
 
--- a/src/jtb_plan.c
+++ b/src/jtb_plan.c
@@ -7,31 +7,33 @@
  */
 
 /* Called for each task with a proposed start. */
-typedef void (*jtb_proposal_fn)(struct jtb_part *state, struct jtb_task *task,
+typedef void (*jtb_proposal_fn)(struct jtb_step_state *state,
+				struct jtb_task *task,
 				const struct jtb_worker *w);
 
 static void jtb_each_proposal(struct jtb_job *job, jtb_proposal_fn fn,
 			      const struct jtb_worker *w);
-static void jtb_drop_proposal(struct jtb_part *state, struct jtb_task *task,
+static void jtb_drop_proposal(struct jtb_step_state *state,
+			      struct jtb_task *task,
 			      const struct jtb_worker *w);
-static void jtb_clear_proposal_worker(struct jtb_part *state,
+static void jtb_clear_proposal_worker(struct jtb_step_state *state,
 				      struct jtb_task *task,
 				      const struct jtb_worker *w);
 
 /* Records a proposed start of a task and reserves its size on the worker. */
-void jtb_plan(struct jtb_job *job, const struct jtb_name *n,
-	      struct jtb_worker *w)
+void jtb_propose_start(struct jtb_job *job, const struct jtb_name *n,
+		       struct jtb_worker *w)
 {
 	const struct jtb_step *step = &job->spec.steps[n->step];
 	struct jtb_task *task = jtb_task_at(job, n, true);
 
-	g_assert(!task->planned && !task->run && !task->done);
-	task->planned = true;
-	task->planned_on = w;
-	job->turns[n->turn].parts[n->step].n_planned++;
-	w->plan_cpu += step->flags & JTB_FILLS ? 0 : step->cpu;
-	w->plan_mem += step->mem_mb;
-	w->plan_gpus += step->gpus;
+	g_assert(!task->start_proposed && !task->run && !task->done);
+	task->start_proposed = true;
+	task->proposed_worker = w;
+	job->turns[n->turn].steps[n->step].n_proposed++;
+	w->proposed_cpu += step->flags & JTB_BEST_EFFORT ? 0 : step->cpu;
+	w->proposed_mem += step->mem_mb;
+	w->proposed_gpus += step->gpus;
 }
 
 /*
@@ -44,20 +46,20 @@
 	const struct jtb_step *step = &job->spec.steps[n->step];
 	struct jtb_task *task = jtb_task_at(job, n, true);
 
-	task->planned = false;
-	job->turns[n->turn].parts[n->step].n_planned--;
+	task->start_proposed = false;
+	job->turns[n->turn].steps[n->step].n_proposed--;
 	if (!w)
 		return;
-	w->plan_cpu -= step->flags & JTB_FILLS ? 0 : step->cpu;
-	w->plan_mem -= step->mem_mb;
-	w->plan_gpus -= step->gpus;
+	w->proposed_cpu -= step->flags & JTB_BEST_EFFORT ? 0 : step->cpu;
+	w->proposed_mem -= step->mem_mb;
+	w->proposed_gpus -= step->gpus;
 }
 
 /*
  * Drops everything that is proposed: starts, stops and removals of workers.
  * Called as leadership is lost or begins.
  */
-void jtb_unplan_all(struct jtb *t)
+void jtb_drop_proposals(struct jtb *t)
 {
 	GHashTableIter it;
 	struct jtb_worker *w;
@@ -66,16 +68,16 @@
 
 	g_hash_table_iter_init(&it, t->workers);
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w)) {
-		w->plan_cpu = 0;
-		w->plan_mem = 0;
-		w->plan_gpus = 0;
-		w->lost = false;
-		w->over = (struct evd){0};
+		w->proposed_cpu = 0;
+		w->proposed_mem = 0;
+		w->proposed_gpus = 0;
+		w->removal_proposed = false;
+		w->removal_evidence = (struct evd){0};
 		for (i = 0; i < w->runs->len; i++) {
 			struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-			run->stop_planned = false;
-			run->over = (struct evd){0};
+			run->stop_proposed = false;
+			run->end_evidence = (struct evd){0};
 		}
 	}
 	/* ended jobs too: the log may still deliver their starts */
@@ -103,31 +105,31 @@
 	uint32_t i;
 
 	for (t = 0; t < job->n_turns; t++) {
-		for (s = 0; job->turns[t].parts && s < job->spec.n_steps; s++) {
-			struct jtb_part *state = &job->turns[t].parts[s];
+		for (s = 0; job->turns[t].steps && s < job->spec.n_steps; s++) {
+			struct jtb_step_state *state = &job->turns[t].steps[s];
 
 			for (i = 0;
-			     state->n_planned && i < job->spec.steps[s].count;
+			     state->n_proposed && i < job->spec.steps[s].count;
 			     i++)
-				if (state->tasks[i].planned)
+				if (state->tasks[i].start_proposed)
 					fn(state, &state->tasks[i], w);
 		}
 	}
 }
 
 /* Drops the proposed start of a task. */
-static void jtb_drop_proposal(struct jtb_part *state, struct jtb_task *task,
-			      const struct jtb_worker *w)
+static void jtb_drop_proposal(struct jtb_step_state *state,
+			      struct jtb_task *task, const struct jtb_worker *w)
 {
-	task->planned = false;
-	state->n_planned--;
+	task->start_proposed = false;
+	state->n_proposed--;
 }
 
 /* Clears the worker of a proposed start. */
-static void jtb_clear_proposal_worker(struct jtb_part *state,
+static void jtb_clear_proposal_worker(struct jtb_step_state *state,
 				      struct jtb_task *task,
 				      const struct jtb_worker *w)
 {
-	if (task->planned_on == w)
-		task->planned_on = NULL;
+	if (task->proposed_worker == w)
+		task->proposed_worker = NULL;
 }
--- a/src/jtb_snap.c
+++ b/src/jtb_snap.c
@@ -79,7 +79,7 @@
 static void jtb_pack_worker(struct pk_out *o, const struct jtb_worker *w)
 {
 	pk_arr(o, 2);
-	pk_u(o, w->end_no);
+	pk_u(o, w->last_end_no);
 	jtb_pack_info(o, &w->info);
 }
 
@@ -116,7 +116,7 @@
 		pk_u(o, s->step);
 		pk_u(o, s->index);
 		pk_u(o, s->crashes);
-		pk_u(o, s->shared);
+		pk_u(o, s->correlated_crashes);
 	}
 }
 
@@ -127,14 +127,14 @@
 	uint32_t s;
 	uint32_t i;
 
-	if (!turn->parts) {
+	if (!turn->steps) {
 		pk_arr(o, 0);
 		return;
 	}
 	pk_arr(o, 1 + job->spec.n_steps);
 	pk_u(o, turn->done);
 	for (s = 0; s < job->spec.n_steps; s++) {
-		const struct jtb_part *state = &turn->parts[s];
+		const struct jtb_step_state *state = &turn->steps[s];
 
 		pk_arr(o, job->spec.steps[s].count);
 		for (i = 0; i < job->spec.steps[s].count; i++) {
@@ -143,8 +143,8 @@
 			pk_arr(o, 6);
 			pk_bool(o, task->done);
 			pk_u(o, task->attempt);
-			pk_u(o, task->fails);
-			pk_cstr(o, task->saved);
+			pk_u(o, task->failures);
+			pk_cstr(o, task->checkpoint);
 			pk_cstr(o, task->run ? task->run->worker->info.id : "");
 			pk_bool(o, task->run && task->run->stopping);
 		}
@@ -198,7 +198,7 @@
 	struct jtb_worker *w = g_new0(struct jtb_worker, 1);
 
 	w->runs = g_ptr_array_new();
-	w->end_no = pk_get_u(&at);
+	w->last_end_no = pk_get_u(&at);
 	if (!jtb_unpack_info(&at, &w->info)) {
 		jtb_worker_free(w);
 		return false;
@@ -232,7 +232,7 @@
 	/* data folders of versions without crash records end here */
 	if (ok && pk_in_left(&at))
 		ok = jtb_unpack_suspects(job, &at);
-	if (!jtb_ended(job) || job->n_runs)
+	if (!jtb_job_ended(job) || job->n_runs)
 		g_ptr_array_add(t->live, job);
 	return ok && pk_in_ok(&at);
 }
@@ -250,7 +250,7 @@
 		struct jtb_suspect *s = jtb_add_suspect(job, step, index);
 
 		s->crashes = (uint32_t)pk_get_u(&row);
-		s->shared = (uint32_t)pk_get_u(&row);
+		s->correlated_crashes = (uint32_t)pk_get_u(&row);
 		ok = pk_in_ok(&row);
 	}
 	return ok;
@@ -272,15 +272,15 @@
 		return ok;
 	g_strlcpy(n.id, job->spec.id, sizeof(n.id));
 	turn->done = pk_get_u(&at);
-	turn->parts = g_new0(struct jtb_part, job->spec.n_steps);
+	turn->steps = g_new0(struct jtb_step_state, job->spec.n_steps);
 	for (n.step = 0; n.step < job->spec.n_steps; n.step++) {
-		struct jtb_part *state = &turn->parts[n.step];
+		struct jtb_step_state *state = &turn->steps[n.step];
 
 		state->tasks =
 			g_new0(struct jtb_task, job->spec.steps[n.step].count);
 	}
 	for (n.step = 0; ok && n.step < job->spec.n_steps; n.step++) {
-		struct jtb_part *state = &turn->parts[n.step];
+		struct jtb_step_state *state = &turn->steps[n.step];
 		struct pk_in rows = pk_get_arr(&at);
 
 		g_assert(state->tasks);
@@ -309,9 +309,9 @@
 
 	task->done = pk_get_bool(&at);
 	task->attempt = (uint32_t)pk_get_u(&at);
-	task->fails = (uint32_t)pk_get_u(&at);
+	task->failures = (uint32_t)pk_get_u(&at);
 	checkpoint = pk_get_str(&at);
-	task->saved = checkpoint.len ? lstr_dup(checkpoint) : NULL;
+	task->checkpoint = checkpoint.len ? lstr_dup(checkpoint) : NULL;
 	id = lstr_dup(pk_get_str(&at));
 	w = *id ? jtb_worker(t, id) : NULL;
 	g_free(id);
--- a/src/jtb_type.c
+++ b/src/jtb_type.c
@@ -12,9 +12,9 @@
 };
 
 static const char *const jtb_end_names[JTB_ENDS] = {
-	[JTB_DONE] = "done",	   [JTB_FAILED_RUN] = "failed",
-	[JTB_STOPPED] = "stopped", [JTB_LAPSED] = "lapsed",
-	[JTB_BROKEN] = "broken",   [JTB_ALONE] = "alone",
+	[JTB_DONE] = "done",	      [JTB_FAILED_RUN] = "failed",
+	[JTB_STOPPED] = "stopped",    [JTB_LEASE_EXPIRED] = "lapsed",
+	[JTB_GANG_BROKEN] = "broken", [JTB_GANG_INCOMPLETE] = "alone",
 	[JTB_LOST] = "lost",
 };
 
@@ -134,8 +134,8 @@
  * A report that isn't draining, after one that was, is out of date: a worker
  * that drains never goes back.
  */
-bool jtb_worker_known(const struct jtb_worker_info *known,
-		      const struct jtb_worker_info *reported)
+bool jtb_worker_info_is_current(const struct jtb_worker_info *known,
+				const struct jtb_worker_info *reported)
 {
 	return jtb_worker_info_equal(known, reported) ||
 	       (known->draining && !reported->draining);
@@ -213,13 +213,13 @@
 	for (i = 0; i < spec->n_steps; i++) {
 		const struct jtb_step *s = &spec->steps[i];
 
-		job->work +=
-			s->count * (s->cpu / 1000.0) * (s->guess_ms / 1000.0);
+		job->core_seconds += s->count * (s->cpu / 1000.0) *
+				     (s->estimate_ms / 1000.0);
 		for (j = 0; j < i; j++)
 			if (s->after & (1ULL << j))
 				ends[i] = MAX(ends[i], ends[j]);
-		ends[i] += s->guess_ms;
-		job->chain_ms = MAX(job->chain_ms, ends[i]);
+		ends[i] += s->estimate_ms;
+		job->critical_path_ms = MAX(job->critical_path_ms, ends[i]);
 	}
 	return job;
 }
@@ -233,17 +233,17 @@
 	uint32_t i;
 
 	for (t = 0; t < job->n_turns; t++) {
-		for (s = 0; job->turns[t].parts && s < job->spec.n_steps; s++) {
-			struct jtb_part *state = &job->turns[t].parts[s];
+		for (s = 0; job->turns[t].steps && s < job->spec.n_steps; s++) {
+			struct jtb_step_state *state = &job->turns[t].steps[s];
 
 			for (i = 0; i < job->spec.steps[s].count; i++)
-				g_free(state->tasks[i].saved);
+				g_free(state->tasks[i].checkpoint);
 			g_free(state->tasks);
 		}
-		g_free(job->turns[t].parts);
+		g_free(job->turns[t].steps);
 	}
 	g_free(job->turns);
-	g_free(job->held);
+	g_free(job->pending_reasons);
 	if (job->suspects)
 		g_array_free(job->suspects, TRUE);
 	jtb_spec_clear(&job->spec);
@@ -270,14 +270,14 @@
 }
 
 /* Formats a task's name as JOB.TURN.STEP.INDEX. */
-void jtb_name_text(const struct jtb_name *name, char *out, size_t size)
+void jtb_name_format(const struct jtb_name *name, char *out, size_t size)
 {
 	g_snprintf(out, size, "%s.%u.%u.%u", name->id, name->turn, name->step,
 		   name->index);
 }
 
 /* Whether two names denote the same task. */
-bool jtb_name_same(const struct jtb_name *a, const struct jtb_name *b)
+bool jtb_name_equal(const struct jtb_name *a, const struct jtb_name *b)
 {
 	return a->index == b->index && a->step == b->step &&
 	       a->turn == b->turn && strcmp(a->id, b->id) == 0;
@@ -327,7 +327,7 @@
 }
 
 /* Whether a job is completed, failed or cancelled; its runs may go on. */
-bool jtb_ended(const struct jtb_job *job)
+bool jtb_job_ended(const struct jtb_job *job)
 {
 	return job->state >= JTB_COMPLETED;
 }
@@ -337,7 +337,7 @@
 {
 	b->suspects = g_array_new(FALSE, TRUE, sizeof(struct jtb_name));
 	b->cleared = g_array_new(FALSE, TRUE, sizeof(struct jtb_name));
-	b->shared = false;
+	b->correlated = false;
 }
 
 /* Frees the members of an attribution of a crash. */
@@ -351,12 +351,12 @@
  * Whether the tasks of a single job are the only possible cause of a crash:
  * no other worker was lost with it and all suspects are of one job.
  */
-bool jtb_blame_alone(const struct jtb_blame *b)
+bool jtb_blame_single_job(const struct jtb_blame *b)
 {
 	const struct jtb_name *first;
 	guint i;
 
-	if (b->shared || !b->suspects->len)
+	if (b->correlated || !b->suspects->len)
 		return false;
 	first = &g_array_index(b->suspects, struct jtb_name, 0);
 	for (i = 1; i < b->suspects->len; i++)
--- a/src/pac.c
+++ b/src/pac.c
@@ -34,12 +34,13 @@
 		struct jtb_run *run = g_ptr_array_index(w->runs, i);
 		int pace;
 
-		if (!pac_fills(run) || now_ms - run->paced_ms < PAC_EVERY_MS)
+		if (!pac_fills(run) ||
+		    now_ms - run->pace_changed_ms < PAC_EVERY_MS)
 			continue;
 		pace = pac_next(run->pace, worst);
 		if (pace == run->pace)
 			continue;
-		run->paced_ms = now_ms;
+		run->pace_changed_ms = now_ms;
 		ops->pace(arg, run, pace);
 	}
 }
@@ -47,14 +48,15 @@
 /* Whether a run answers callers. */
 static bool pac_serves(const struct jtb_run *run)
 {
-	return run->job->spec.steps[run->step].tail_ms && run->figure >= 0 &&
-	       run->percent >= 100;
+	return run->job->spec.steps[run->step].slo_ms &&
+	       run->metric_value >= 0 && run->percent >= 100;
 }
 
 /* Whether a run fills what others leave. */
 static bool pac_fills(const struct jtb_run *run)
 {
-	return run->job->spec.steps[run->step].flags & JTB_FILLS && !run->stop;
+	return run->job->spec.steps[run->step].flags & JTB_BEST_EFFORT &&
+	       !run->stop_wanted;
 }
 
 /* The highest share of its bound that any serving run has reached. */
@@ -67,10 +69,10 @@
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
 		if (pac_serves(run))
-			worst = MAX(worst,
-				    (double)run->figure /
-					    run->job->spec.steps[run->step]
-						    .tail_ms);
+			worst = MAX(
+				worst,
+				(double)run->metric_value /
+					run->job->spec.steps[run->step].slo_ms);
 	}
 	return worst;
 }
--- a/src/sch.c
+++ b/src/sch.c
@@ -72,7 +72,7 @@
 		const struct jtb_job *job = g_ptr_array_index(live, i);
 		const char *pool = jtb_pool_of(p->v->jtb, job);
 
-		if (jtb_ended(job) || !pool || strcmp(pool, p->name) != 0 ||
+		if (jtb_job_ended(job) || !pool || strcmp(pool, p->name) != 0 ||
 		    !sch_lasts_waiting(job, p->v->wall_ms))
 			continue;
 		p->v->starved(p->v->arg, p->name);
@@ -88,11 +88,12 @@
 
 	for (t = 0; t < job->n_turns && wall_ms >= jtb_turn_due(job, t); t++)
 		for (s = 0; s < job->spec.n_steps; s++) {
-			const struct jtb_part *part = jtb_part(job, t, s);
+			const struct jtb_step_state *part =
+				jtb_step_state(job, t, s);
 
-			if (job->spec.steps[s].flags & JTB_LASTS &&
+			if (job->spec.steps[s].flags & JTB_LONG_RUNNING &&
 			    jtb_step_due(job, t, s, wall_ms) &&
-			    (!part || part->n_runs + part->n_planned <
+			    (!part || part->n_runs + part->n_proposed <
 					      job->spec.steps[s].count))
 				return true;
 		}
@@ -110,7 +111,7 @@
 	for (i = 0; i < live->len; i++) {
 		struct sch_cand c = {.job = g_ptr_array_index(live, i)};
 
-		if (jtb_ended(c.job))
+		if (jtb_job_ended(c.job))
 			continue;
 		c.queue = jtb_queue(config, c.job->spec.queue);
 		if (!c.queue || strcmp(c.queue->pool, p->name) != 0)
@@ -183,8 +184,8 @@
 			if (job->turns[t].done & (1ULL << s) ||
 			    !jtb_step_due(job, t, s, p->v->wall_ms))
 				continue;
-			if (!(job->spec.steps[s].flags & JTB_LASTS) &&
-			    !jtb_crashes(job) &&
+			if (!(job->spec.steps[s].flags & JTB_LONG_RUNNING) &&
+			    !jtb_max_crashes(job) &&
 			    sch_missed(p, &job->spec.steps[s]))
 				continue;
 			if (job->spec.steps[s].flags & JTB_GANG)
@@ -199,12 +200,12 @@
 static void sch_part(struct sch_pool *p, struct jtb_job *job, uint32_t turn,
 		     uint32_t step)
 {
-	const struct jtb_part *part = jtb_part(job, turn, step);
+	const struct jtb_step_state *part = jtb_step_state(job, turn, step);
 	uint32_t count = job->spec.steps[step].count;
 	struct jtb_name n = {.turn = turn, .step = step};
 	struct jtb_worker *w;
 
-	if (part && part->n_done + part->n_runs + part->n_planned >= count)
+	if (part && part->n_done + part->n_runs + part->n_proposed >= count)
 		return;
 	if (!sch_tickets(p, job, turn, step))
 		return;
@@ -213,25 +214,26 @@
 	for (n.index = 0; n.index < count; n.index++) {
 		const struct jtb_task *task = NULL;
 
-		part = jtb_part(job, turn, step);
+		part = jtb_step_state(job, turn, step);
 		if (part)
 			task = &part->tasks[n.index];
-		if (task && (task->done || task->run || task->planned ||
-			     p->v->now_ms - task->free_ms < SCH_AGAIN_MS))
+		if (task && (task->done || task->run || task->start_proposed ||
+			     p->v->now_ms - task->last_end_ms < SCH_AGAIN_MS))
 			continue;
 		if (sch_suspected(job, step, n.index)) {
 			w = sch_trial(p, job, &job->spec.steps[step],
-				      task && task->fails);
+				      task && task->failures);
 			/* it waits, and says nothing of the pool's room */
 			if (!w) {
-				if (job->spec.steps[step].flags & JTB_LASTS)
+				if (job->spec.steps[step].flags &
+				    JTB_LONG_RUNNING)
 					p->v->starved(p->v->arg, p->name);
 				continue;
 			}
 		} else {
-			w = sch_place(p, job, step, task && task->fails);
+			w = sch_place(p, job, step, task && task->failures);
 		}
-		if (!w && job->spec.steps[step].flags & JTB_LASTS) {
+		if (!w && job->spec.steps[step].flags & JTB_LONG_RUNNING) {
 			p->v->starved(p->v->arg, p->name);
 			sch_keep(p, job, step);
 		}
@@ -240,7 +242,7 @@
 			return;
 		}
 		p->started++;
-		w->same_step++;
+		w->tasks_of_step++;
 		p->v->start(p->v->arg, job, &n, task ? task->attempt + 1 : 1,
 			    w);
 	}
@@ -250,7 +252,7 @@
 static void sch_gang(struct sch_pool *p, struct jtb_job *job, uint32_t turn,
 		     uint32_t step)
 {
-	const struct jtb_part *part = jtb_part(job, turn, step);
+	const struct jtb_step_state *part = jtb_step_state(job, turn, step);
 	uint32_t count = job->spec.steps[step].count;
 	struct jtb_name n = {.turn = turn, .step = step};
 	bool trial = sch_suspected(job, step, 0);
@@ -260,11 +262,11 @@
 	bool room;
 	uint32_t i;
 
-	if (part && part->n_runs + part->n_planned + part->n_done)
+	if (part && part->n_runs + part->n_proposed + part->n_done)
 		return;
 	for (i = 0; part && i < count; i++) {
 		attempt = MAX(attempt, part->tasks[i].attempt);
-		if (p->v->now_ms - part->tasks[i].free_ms < SCH_AGAIN_MS)
+		if (p->v->now_ms - part->tasks[i].last_end_ms < SCH_AGAIN_MS)
 			return;
 	}
 	if (!sch_tickets(p, job, turn, step))
@@ -288,11 +290,11 @@
 		p->v->start(p->v->arg, job, &n, attempt + 1, w);
 	}
 	if (room)
-		job->rack_ms = 0;
+		job->rack_wait_since_ms = 0;
 	g_ptr_array_free(places, TRUE);
 	if (room || trial)
 		return;
-	if (job->spec.steps[step].flags & JTB_LASTS)
+	if (job->spec.steps[step].flags & JTB_LONG_RUNNING)
 		p->v->starved(p->v->arg, p->name);
 	sch_miss(p, &job->spec.steps[step]);
 }
--- a/src/sch_job.c
+++ b/src/sch_job.c
@@ -8,13 +8,13 @@
 /* How much longer a job's work takes than its caller guessed. */
 static double sch_scale(const struct jtb_job *job)
 {
-	return job->scale > 0 ? job->scale : 1;
+	return job->estimate_ratio > 0 ? job->estimate_ratio : 1;
 }
 
 /* How long a job may take to be worth all it can be, ms. */
 int64_t sch_objective_ms(const struct jtb_queue *q, const struct jtb_job *job)
 {
-	return (int64_t)(q->stretch * job->chain_ms * sch_scale(job)) +
+	return (int64_t)(q->stretch * job->critical_path_ms * sch_scale(job)) +
 	       q->slack_ms;
 }
 
@@ -22,10 +22,12 @@
 enum sch_chance sch_chance(const struct jtb_queue *q, const struct jtb_job *job,
 			   int64_t wall_ms)
 {
-	double left = job->work > 0 ? sch_undone(job, wall_ms) / job->work : 1;
+	double left = job->core_seconds > 0
+			      ? sch_undone(job, wall_ms) / job->core_seconds
+			      : 1;
 	int64_t age = wall_ms - job->accepted_ms;
 	int64_t limit = sch_objective_ms(q, job);
-	int64_t need = (int64_t)(job->chain_ms * sch_scale(job) * left);
+	int64_t need = (int64_t)(job->critical_path_ms * sch_scale(job) * left);
 
 	if (age + need <= limit)
 		return SCH_IN_TIME;
@@ -44,13 +46,13 @@
 
 	for (t = 0; t < job->n_turns && wall_ms >= jtb_turn_due(job, t); t++) {
 		const struct jtb_turn *turn = &job->turns[t];
-		double left = job->work;
+		double left = job->core_seconds;
 
-		for (s = 0; turn->parts && s < job->spec.n_steps; s++) {
+		for (s = 0; turn->steps && s < job->spec.n_steps; s++) {
 			const struct jtb_step *step = &job->spec.steps[s];
 
-			left -= turn->parts[s].n_done * (step->cpu / 1000.0) *
-				(step->guess_ms / 1000.0);
+			left -= turn->steps[s].n_done * (step->cpu / 1000.0) *
+				(step->estimate_ms / 1000.0);
 		}
 		undone += MAX(left, 0);
 	}
@@ -75,12 +77,12 @@
 			const struct jtb_step *step = &job->spec.steps[s];
 			uint32_t left = step->count;
 
-			if (!step->per_worker ||
+			if (!step->max_per_worker ||
 			    !jtb_step_due(job, t, s, wall_ms))
 				continue;
-			left -= turn->parts ? turn->parts[s].n_done : 0;
-			most = MAX(most, (left + step->per_worker - 1) /
-						 step->per_worker);
+			left -= turn->steps ? turn->steps[s].n_done : 0;
+			most = MAX(most, (left + step->max_per_worker - 1) /
+						 step->max_per_worker);
 		}
 	}
 	return most;
@@ -103,9 +105,9 @@
 
 		for (s = 0; s < job->spec.n_steps; s++) {
 			const struct jtb_step *step = &job->spec.steps[s];
-			uint32_t done = turn->parts ? turn->parts[s].n_done : 0;
+			uint32_t done = turn->steps ? turn->steps[s].n_done : 0;
 
-			if (step->flags & JTB_FILLS ||
+			if (step->flags & JTB_BEST_EFFORT ||
 			    !jtb_step_due(job, t, s, wall_ms))
 				continue;
 			cores +=
@@ -122,7 +124,7 @@
 	uint32_t s;
 
 	for (s = 0; s < job->spec.n_steps; s++)
-		if (job->spec.steps[s].flags & JTB_LASTS)
+		if (job->spec.steps[s].flags & JTB_LONG_RUNNING)
 			return true;
 	return false;
 }
@@ -135,7 +137,7 @@
 	for (i = 0; i < w->runs->len; i++) {
 		const struct jtb_run *r = g_ptr_array_index(w->runs, i);
 
-		if (r->job->spec.steps[r->step].flags & JTB_LASTS)
+		if (r->job->spec.steps[r->step].flags & JTB_LONG_RUNNING)
 			return true;
 	}
 	return false;
@@ -149,7 +151,8 @@
 {
 	uint32_t flags = run->job->spec.steps[run->step].flags;
 
-	if (how != JTB_DONE || flags & (JTB_LASTS | JTB_GANG | JTB_FILLS))
+	if (how != JTB_DONE ||
+	    flags & (JTB_LONG_RUNNING | JTB_GANG | JTB_BEST_EFFORT))
 		return false;
 	/* a later try may go on from saved progress, and take only the rest */
 	return run->attempt == 1 && run->ordered_ms > led_ms;
--- a/src/sch_place.c
+++ b/src/sch_place.c
@@ -41,7 +41,7 @@
 	g_hash_table_iter_init(&it, jtb_workers(p->v->jtb));
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w))
 		if (strcmp(w->info.pool, p->name) == 0 && sch_usable(p->v, w)) {
-			w->barred = false;
+			w->excluded = false;
 			sch_trial_look(p, w);
 			g_ptr_array_add(p->workers, w);
 		}
@@ -62,9 +62,9 @@
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		if (w->fails != w->fails_seen)
-			w->failed_ms = p->v->now_ms;
-		w->fails_seen = w->fails;
+		if (w->failed_jobs != w->failed_jobs_seen)
+			w->failed_jobs_changed_ms = p->v->now_ms;
+		w->failed_jobs_seen = w->failed_jobs;
 		n += sch_suspect(w, p->v->now_ms);
 	}
 	p->suspects = n && 2 * n < p->workers->len;
@@ -73,7 +73,8 @@
 /* Whether different jobs failed on a worker lately, and none was done since. */
 bool sch_suspect(const struct jtb_worker *w, int64_t now_ms)
 {
-	return w->fails >= SCH_SUSPECT && now_ms - w->failed_ms < SCH_TRUST_MS;
+	return w->failed_jobs >= SCH_SUSPECT &&
+	       now_ms - w->failed_jobs_changed_ms < SCH_TRUST_MS;
 }
 
 /*
@@ -85,13 +86,13 @@
 bool sch_shunned(const struct sch_pool *p, const struct jtb_worker *w,
 		 const struct jtb_step *s, bool again)
 {
-	bool pause = p->v->now_ms - w->failed_ms < SCH_TRY_MS;
+	bool pause = p->v->now_ms - w->failed_jobs_changed_ms < SCH_TRY_MS;
 
 	if (!p->suspects || !sch_suspect(w, p->v->now_ms))
 		return false;
-	if (s->flags & JTB_LASTS)
+	if (s->flags & JTB_LONG_RUNNING)
 		return pause;
-	return again || pause || w->runs->len || w->plan_cpu;
+	return again || pause || w->runs->len || w->proposed_cpu;
 }
 
 /* Whether new work may be given to a worker. */
@@ -120,7 +121,7 @@
 		    (p->rack && g_strcmp0(sch_rack_of(w), p->rack) != 0))
 			continue;
 		score = sch_score(p, w, s);
-		if (w->kept_for == job->seq + 1)
+		if (w->reserved_for == job->seq + 1)
 			score += 20;
 		if (!best || score > best_score) {
 			best = w;
@@ -139,7 +140,7 @@
 		uint32_t step, const char *rack, GPtrArray *places)
 {
 	const struct jtb_step *s = &job->spec.steps[step];
-	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
+	uint32_t cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu;
 	struct jtb_worker *w = NULL;
 	guint i;
 
@@ -147,18 +148,18 @@
 	p->rack = rack;
 	sch_count_same(p, job, turn, step);
 	while (places->len < s->count && (w = sch_place(p, job, step, true))) {
-		w->plan_cpu += cpu;
-		w->plan_mem += s->mem_mb;
-		w->plan_gpus += s->gpus;
-		w->same_step++;
+		w->proposed_cpu += cpu;
+		w->proposed_mem += s->mem_mb;
+		w->proposed_gpus += s->gpus;
+		w->tasks_of_step++;
 		g_ptr_array_add(places, w);
 	}
 	p->rack = NULL;
 	for (i = 0; i < places->len; i++) {
 		w = g_ptr_array_index(places, i);
-		w->plan_cpu -= cpu;
-		w->plan_mem -= s->mem_mb;
-		w->plan_gpus -= s->gpus;
+		w->proposed_cpu -= cpu;
+		w->proposed_mem -= s->mem_mb;
+		w->proposed_gpus -= s->gpus;
 	}
 	return places->len == s->count;
 }
@@ -179,13 +180,14 @@
 
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
-		double room = (double)w->info.cpu - w->used_cpu - w->plan_cpu;
+		double room =
+			(double)w->info.cpu - w->used_cpu - w->proposed_cpu;
 
 		if (!sch_could_fit(w, s) || !sch_allowed(w, s) ||
 		    sch_shunned(p, w, s, true) || sch_is_kept(p, w) ||
 		    sch_reserved(p, w, job))
 			continue;
-		if (w->kept_for == job->seq + 1)
+		if (w->reserved_for == job->seq + 1)
 			room += w->info.cpu;
 		if (best && room <= best_room)
 			continue;
@@ -194,8 +196,8 @@
 	}
 	if (!best)
 		return;
-	best->kept_for = job->seq + 1;
-	best->kept_ms = p->v->now_ms;
+	best->reserved_for = job->seq + 1;
+	best->reserved_ms = p->v->now_ms;
 	g_ptr_array_add(p->kept, best);
 }
 
@@ -223,9 +225,9 @@
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		w->barred = advised &&
-			    !p->v->ticketed(p->v->arg, job, turn, step, w);
-		any = any || !w->barred;
+		w->excluded = advised &&
+			      !p->v->ticketed(p->v->arg, job, turn, step, w);
+		any = any || !w->excluded;
 	}
 	p->barred = advised;
 	return any;
@@ -234,25 +236,25 @@
 /* Whether a worker may run the step at all, room or not. */
 bool sch_allowed(const struct jtb_worker *w, const struct jtb_step *s)
 {
-	if (w->barred || (s->label && !sch_has_label(w, s->label)))
+	if (w->excluded || (s->label && !sch_has_label(w, s->label)))
 		return false;
-	return !s->per_worker || w->same_step < s->per_worker;
+	return !s->max_per_worker || w->tasks_of_step < s->max_per_worker;
 }
 
 /* Whether a task fits into what a worker has left. */
 bool sch_fits(const struct jtb_worker *w, const struct jtb_step *s)
 {
-	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
+	uint32_t cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu;
 
-	return w->used_cpu + w->plan_cpu + cpu <= w->info.cpu &&
-	       w->used_mem + w->plan_mem + s->mem_mb <= w->info.mem_mb &&
-	       w->used_gpus + w->plan_gpus + s->gpus <= w->info.gpus;
+	return w->used_cpu + w->proposed_cpu + cpu <= w->info.cpu &&
+	       w->used_mem + w->proposed_mem + s->mem_mb <= w->info.mem_mb &&
+	       w->used_gpus + w->proposed_gpus + s->gpus <= w->info.gpus;
 }
 
 /* Whether a task fits beside what runs on a worker until it is cancelled. */
 static bool sch_could_fit(const struct jtb_worker *w, const struct jtb_step *s)
 {
-	uint64_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
+	uint64_t cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu;
 	uint64_t mem_mb = s->mem_mb;
 	uint64_t gpus = s->gpus;
 	guint i;
@@ -261,9 +263,10 @@
 		const struct jtb_run *r = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *other = &r->job->spec.steps[r->step];
 
-		if (!(other->flags & JTB_LASTS) || jtb_leaves(r))
+		if (!(other->flags & JTB_LONG_RUNNING) ||
+		    jtb_run_is_stopping(r))
 			continue;
-		cpu += other->flags & JTB_FILLS ? 0 : other->cpu;
+		cpu += other->flags & JTB_BEST_EFFORT ? 0 : other->cpu;
 		mem_mb += other->mem_mb;
 		gpus += other->gpus;
 	}
@@ -282,31 +285,32 @@
 			const struct jtb_step *s)
 {
 	double cpu = w->info.cpu ? w->info.cpu : 1;
-	double score = (w->used_cpu + w->plan_cpu) / cpu;
+	double score = (w->used_cpu + w->proposed_cpu) / cpu;
 	guint i;
 
 	if (s->rack && sch_has_label(w, s->rack))
 		score += 10;
-	if (s->flags & JTB_LASTS && p->v->leaving(p->v->arg, w))
+	if (s->flags & JTB_LONG_RUNNING && p->v->leaving(p->v->arg, w))
 		score -= 20;
 	/*
 	 * Work that lasts keeps together, so that most VMs are free of it and
 	 * can follow the load to other pools.
 	 */
-	if (s->flags & JTB_LASTS && sch_has_lasting(w))
+	if (s->flags & JTB_LONG_RUNNING && sch_has_lasting(w))
 		score += 3;
-	if (!(s->flags & JTB_FILLS) && !s->tail_ms)
+	if (!(s->flags & JTB_BEST_EFFORT) && !s->slo_ms)
 		return score;
 	/* What fills idle processors disturbs what serves beside it. */
 	for (i = 0; i < w->runs->len; i++) {
 		const struct jtb_run *r = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *other = &r->job->spec.steps[r->step];
 
-		if (s->flags & JTB_FILLS && other->tail_ms)
+		if (s->flags & JTB_BEST_EFFORT && other->slo_ms)
 			score -= 2;
-		if (s->flags & JTB_FILLS && other->flags & JTB_FILLS)
+		if (s->flags & JTB_BEST_EFFORT &&
+		    other->flags & JTB_BEST_EFFORT)
 			score -= 0.5;
-		if (s->tail_ms && other->flags & JTB_FILLS)
+		if (s->slo_ms && other->flags & JTB_BEST_EFFORT)
 			score -= 2;
 	}
 	return score;
@@ -326,23 +330,23 @@
 void sch_count_same(struct sch_pool *p, const struct jtb_job *job,
 		    uint32_t turn, uint32_t step)
 {
-	const struct jtb_part *part = jtb_part(job, turn, step);
+	const struct jtb_step_state *part = jtb_step_state(job, turn, step);
 	uint32_t i;
 
-	if (!job->spec.steps[step].per_worker)
+	if (!job->spec.steps[step].max_per_worker)
 		return;
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		w->same_step = 0;
+		w->tasks_of_step = 0;
 	}
 	for (i = 0; part && i < job->spec.steps[step].count; i++) {
 		const struct jtb_task *task = &part->tasks[i];
 
 		if (task->run)
-			task->run->worker->same_step++;
-		else if (task->planned && task->planned_on)
-			task->planned_on->same_step++;
+			task->run->worker->tasks_of_step++;
+		else if (task->start_proposed && task->proposed_worker)
+			task->proposed_worker->tasks_of_step++;
 	}
 }
 
@@ -355,7 +359,7 @@
  */
 bool sch_missed(const struct sch_pool *p, const struct jtb_step *s)
 {
-	uint32_t cpu = s->flags & JTB_FILLS ? 0 : s->cpu;
+	uint32_t cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu;
 	uint32_t i;
 
 	for (i = 0; i < p->n_misses; i++)
@@ -376,11 +380,11 @@
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		if (sch_fits(w, s) && !sch_is_kept(p, w) && !w->trial_for)
+		if (sch_fits(w, s) && !sch_is_kept(p, w) && !w->isolated_for)
 			return;
 	}
 	p->misses[p->n_misses++] = (struct sch_miss){
-		.cpu = s->flags & JTB_FILLS ? 0 : s->cpu,
+		.cpu = s->flags & JTB_BEST_EFFORT ? 0 : s->cpu,
 		.mem_mb = s->mem_mb,
 		.gpus = s->gpus,
 	};
--- a/src/sch_rack.c
+++ b/src/sch_rack.c
@@ -37,7 +37,7 @@
 	bool room = false;
 	guint i;
 
-	if (!(s->flags & JTB_ONE_RACK))
+	if (!(s->flags & JTB_RACK_SENSITIVE))
 		return false;
 	racks = sch_racks(p, s, true);
 	for (i = 0; i < racks->len && !room; i++) {
@@ -63,13 +63,14 @@
 bool sch_waits_for_rack(struct sch_pool *p, struct jtb_job *job, uint32_t step)
 {
 	const struct jtb_step *s = &job->spec.steps[step];
-	int64_t patience = MIN((int64_t)s->guess_ms * (SCH_SPREAD_FACTOR - 1),
-			       SCH_RACK_WAIT_MS);
+	int64_t patience =
+		MIN((int64_t)s->estimate_ms * (SCH_SPREAD_FACTOR - 1),
+		    SCH_RACK_WAIT_MS);
 	GArray *racks;
 	bool ever = false;
 	guint i;
 
-	if (!(s->flags & JTB_ONE_RACK))
+	if (!(s->flags & JTB_RACK_SENSITIVE))
 		return false;
 	racks = sch_racks(p, s, false);
 	for (i = 0; i < racks->len && !ever; i++)
@@ -78,9 +79,9 @@
 	g_array_free(racks, TRUE);
 	if (!ever)
 		return false;
-	if (!job->rack_ms)
-		job->rack_ms = p->v->now_ms;
-	return p->v->now_ms - job->rack_ms < patience;
+	if (!job->rack_wait_since_ms)
+		job->rack_wait_since_ms = p->v->now_ms;
+	return p->v->now_ms - job->rack_wait_since_ms < patience;
 }
 
 /*
@@ -98,7 +99,7 @@
 		const char *name = sch_rack_of(w);
 		struct sch_rack rack = {.name = name};
 
-		if (!name || w->barred ||
+		if (!name || w->excluded ||
 		    (s->label && !sch_has_label(w, s->label)))
 			continue;
 		for (r = 0; r < racks->len; r++)
@@ -120,12 +121,12 @@
 static uint32_t sch_fit_count(const struct jtb_worker *w,
 			      const struct jtb_step *s, bool now)
 {
-	uint32_t n = s->per_worker ? s->per_worker : JTB_TASKS_MAX;
-	uint32_t cpu = now ? w->used_cpu + w->plan_cpu : 0;
-	uint32_t mem = now ? w->used_mem + w->plan_mem : 0;
-	uint32_t gpus = now ? w->used_gpus + w->plan_gpus : 0;
+	uint32_t n = s->max_per_worker ? s->max_per_worker : JTB_TASKS_MAX;
+	uint32_t cpu = now ? w->used_cpu + w->proposed_cpu : 0;
+	uint32_t mem = now ? w->used_mem + w->proposed_mem : 0;
+	uint32_t gpus = now ? w->used_gpus + w->proposed_gpus : 0;
 
-	if (s->cpu && !(s->flags & JTB_FILLS))
+	if (s->cpu && !(s->flags & JTB_BEST_EFFORT))
 		n = MIN(n, (w->info.cpu - MIN(cpu, w->info.cpu)) / s->cpu);
 	if (s->mem_mb)
 		n = MIN(n, (w->info.mem_mb - MIN(mem, w->info.mem_mb)) /
--- a/src/sch_trial.c
+++ b/src/sch_trial.c
@@ -32,7 +32,7 @@
 
 		/* one rack that lost its power is nobody's fault */
 		if (s->step == step && (gang || s->index == index) &&
-		    (s->crashes > s->shared || s->crashes > 1))
+		    (s->crashes > s->correlated_crashes || s->crashes > 1))
 			return true;
 	}
 	return false;
@@ -41,11 +41,11 @@
 /* For how long a run has been seen at work, ms, or one of enum sch_seen. */
 int64_t sch_seen_ms(const struct jtb_run *run)
 {
-	int64_t seen = run->seen_ms - run->began_ms;
+	int64_t seen = run->last_running_ms - run->first_running_ms;
 
-	if (run->inherited && (!run->began_ms || seen < SCH_FRESH_MS))
+	if (run->inherited && (!run->first_running_ms || seen < SCH_FRESH_MS))
 		return SCH_UNKNOWN;
-	return run->began_ms ? seen : SCH_UNSEEN;
+	return run->first_running_ms ? seen : SCH_UNSEEN;
 }
 
 /* Whether a run has just begun, or isn't known to have. */
@@ -74,8 +74,8 @@
 /* Whether nothing of other jobs begins on a worker. */
 static bool sch_calm(const struct jtb_worker *w, const struct jtb_job *job)
 {
-	bool own = w->trial_for == job->seq + 1 && w->trial_begun;
-	bool planned = w->plan_cpu || w->plan_mem || w->plan_gpus;
+	bool own = w->isolated_for == job->seq + 1 && w->isolated_started;
+	bool planned = w->proposed_cpu || w->proposed_mem || w->proposed_gpus;
 
 	return (own || !planned) && !sch_fresh_others(w, job);
 }
@@ -86,28 +86,29 @@
  */
 void sch_trial_look(const struct sch_pool *p, struct jtb_worker *w)
 {
-	bool goes_on = w->plan_cpu || w->plan_mem || w->plan_gpus;
+	bool goes_on = w->proposed_cpu || w->proposed_mem || w->proposed_gpus;
 	guint i;
 
-	if (!w->trial_for || !w->trial_begun)
+	if (!w->isolated_for || !w->isolated_started)
 		return;
 	for (i = 0; i < w->runs->len && !goes_on; i++) {
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-		goes_on = run->job->seq + 1 == w->trial_for && sch_fresh(run);
+		goes_on =
+			run->job->seq + 1 == w->isolated_for && sch_fresh(run);
 	}
 	if (goes_on)
-		w->trial_ms = p->v->now_ms;
+		w->isolated_ms = p->v->now_ms;
 	else
-		w->trial_for = 0;
+		w->isolated_for = 0;
 }
 
 /* Whether a worker is kept for the trial of another job. */
 bool sch_reserved(const struct sch_pool *p, const struct jtb_worker *w,
 		  const struct jtb_job *job)
 {
-	return w->trial_for && w->trial_for != job->seq + 1 &&
-	       p->v->now_ms - w->trial_ms < SCH_TRIAL_MS;
+	return w->isolated_for && w->isolated_for != job->seq + 1 &&
+	       p->v->now_ms - w->isolated_ms < SCH_TRIAL_MS;
 }
 
 /*
@@ -131,7 +132,7 @@
 			continue;
 		if (sch_has_lasting(w))
 			score -= 2;
-		if (w->trial_for == job->seq + 1)
+		if (w->isolated_for == job->seq + 1)
 			score += 4;
 		if (best && score <= best_score)
 			continue;
@@ -149,9 +150,9 @@
 void sch_trial_begin(const struct sch_pool *p, struct jtb_worker *w,
 		     const struct jtb_job *job)
 {
-	w->trial_for = job->seq + 1;
-	w->trial_ms = p->v->now_ms;
-	w->trial_begun = true;
+	w->isolated_for = job->seq + 1;
+	w->isolated_ms = p->v->now_ms;
+	w->isolated_started = true;
 }
 
 /* For a gang that is tried: bars the workers on which something else begins. */
@@ -162,7 +163,7 @@
 	for (i = 0; i < p->workers->len; i++) {
 		struct jtb_worker *w = g_ptr_array_index(p->workers, i);
 
-		w->barred = w->barred || !sch_calm(w, job);
+		w->excluded = w->excluded || !sch_calm(w, job);
 	}
 	/* has the next step's bars worked out anew */
 	p->barred = true;
@@ -191,8 +192,8 @@
 		if (!sch_fits(w, s) || !sch_allowed(w, s) ||
 		    sch_shunned(p, w, s, again) || sch_is_kept(p, w))
 			continue;
-		if (w->trial_for == job->seq + 1) {
-			w->trial_ms = p->v->now_ms;
+		if (w->isolated_for == job->seq + 1) {
+			w->isolated_ms = p->v->now_ms;
 			return;
 		}
 		if (best && fresh >= best_fresh)
@@ -202,7 +203,7 @@
 	}
 	if (!best || kept >= MAX(1, p->workers->len / SCH_TRIAL_SHARE))
 		return;
-	best->trial_for = job->seq + 1;
-	best->trial_ms = p->v->now_ms;
-	best->trial_begun = false;
+	best->isolated_for = job->seq + 1;
+	best->isolated_ms = p->v->now_ms;
+	best->isolated_started = false;
 }
--- a/src/sim.c
+++ b/src/sim.c
@@ -251,7 +251,7 @@
 		struct jtb_queue *q = g_new0(struct jtb_queue, 1);
 
 		p->name = g_strdup_printf("pool%d", i);
-		p->guarded = true;
+		p->enforces_capacity = true;
 		p->standby = i == s->config.pools;
 		jtb_config_add_pool(c, p);
 		q->name = g_strdup_printf("queue%d", i);
@@ -346,7 +346,7 @@
 static void sim_start(void *arg, struct jtb_job *job, const struct jtb_name *n,
 		      uint32_t attempt, struct jtb_worker *w)
 {
-	jtb_plan(job, n, w);
+	jtb_propose_start(job, n, w);
 	sim_propose(arg, SIM_CMD_START, n, attempt, JTB_LOST, w->info.id,
 		    SIM_LOG_MS);
 }
@@ -375,9 +375,9 @@
 		.step = known->job->spec.steps[n->step],
 		.worker = g_strdup(worker),
 	};
-	r->ends_ms = r->step.flags & JTB_LASTS
+	r->ends_ms = r->step.flags & JTB_LONG_RUNNING
 			     ? -1
-			     : s->now + (int64_t)(r->step.guess_ms * off);
+			     : s->now + (int64_t)(r->step.estimate_ms * off);
 	g_ptr_array_add(s->runs, r);
 	s->result.starts++;
 	sim_check_start(s, r, known->job, known->worker);
@@ -395,16 +395,16 @@
 {
 	struct jtb_name n;
 
-	if (jtb_leaves(run))
+	if (jtb_run_is_stopping(run))
 		return;
 	jtb_name_of(run, &n);
-	if (run->job->spec.steps[run->step].flags & JTB_LASTS) {
-		run->stop_planned = true;
+	if (run->job->spec.steps[run->step].flags & JTB_LONG_RUNNING) {
+		run->stop_proposed = true;
 		sim_propose(arg, SIM_CMD_STOP, &n, run->attempt, JTB_STOPPED,
 			    run->worker->info.id, SIM_LOG_MS);
 		return;
 	}
-	run->stop = true;
+	run->stop_wanted = true;
 	sim_told_stop(arg, &n, run->attempt);
 }
 
@@ -414,9 +414,9 @@
 	struct jtb_run *run =
 		jtb_find_run(s->jtb, &c->name, c->attempt, c->worker);
 
-	if (!run || !run->stopping || run->stop)
+	if (!run || !run->stopping || run->stop_wanted)
 		return;
-	run->stop = true;
+	run->stop_wanted = true;
 	sim_check_stop(s, run);
 	sim_told_stop(s, &c->name, c->attempt);
 }
@@ -431,7 +431,7 @@
 		struct sim_run *r = g_ptr_array_index(s->runs, i);
 
 		if (r->attempt != attempt || r->stop_ms ||
-		    !jtb_name_same(&r->name, n))
+		    !jtb_name_equal(&r->name, n))
 			continue;
 		r->stop_ms = s->now + SIM_STOP_MS;
 		r->stop_how = JTB_STOPPED;
--- a/src/sim_check.c
+++ b/src/sim_check.c
@@ -72,15 +72,15 @@
 	if (job->spec.repeats)
 		return;
 	s->result.jobs++;
-	s->owed += 1 + job->work;
+	s->owed += 1 + job->core_seconds;
 	if (job->state != JTB_COMPLETED)
 		return;
 	s->result.in_time += took <= limit;
 	s->result.late += took > limit && took <= SIM_LATE_FACTOR * limit;
 	if (took <= limit)
-		s->earned += 1 + job->work;
+		s->earned += 1 + job->core_seconds;
 	else if (took <= SIM_LATE_FACTOR * limit)
-		s->earned += SIM_LATE_WORTH * (1 + job->work);
+		s->earned += SIM_LATE_WORTH * (1 + job->core_seconds);
 }
 
 /*
@@ -95,9 +95,9 @@
 	uint32_t i;
 
 	for (t = 0; t < job->n_turns; t++)
-		for (p = 0; job->turns[t].parts && p < job->spec.n_steps; p++)
+		for (p = 0; job->turns[t].steps && p < job->spec.n_steps; p++)
 			for (i = 0; i < job->spec.steps[p].count; i++)
-				if (job->turns[t].parts[p].tasks[i].fails >=
+				if (job->turns[t].steps[p].tasks[i].failures >=
 				    q->attempts)
 					return true;
 	return sim_has_crasher(s, job) ||
@@ -116,7 +116,7 @@
 			for (n.index = 0;
 			     n.index < job->spec.steps[n.step].count;
 			     n.index++) {
-				jtb_name_text(&n, name, sizeof(name));
+				jtb_name_format(&n, name, sizeof(name));
 				if (!g_hash_table_contains(s->done, name))
 					sim_broken(s, SIM_MIXED, name);
 			}
@@ -148,7 +148,7 @@
 	struct sim_crasher *c = sim_crasher_of(s, &r->name);
 	guint i;
 
-	jtb_name_text(&r->name, text, sizeof(text));
+	jtb_name_format(&r->name, text, sizeof(text));
 	if (c && c->crashes >= SIM_CRASHES && ++c->starts >= SIM_CRASHES)
 		sim_broken(s, SIM_BUDGET, text);
 	for (i = 0; i < s->runs->len; i++) {
@@ -160,7 +160,7 @@
 			same += strcmp(o->name.id, r->name.id) == 0 &&
 				o->name.step == r->name.step;
 		}
-		if (o != r && jtb_name_same(&o->name, &r->name))
+		if (o != r && jtb_name_equal(&o->name, &r->name))
 			sim_broken(s, SIM_TWICE, text);
 	}
 	if (g_hash_table_contains(s->done, text))
@@ -168,18 +168,18 @@
 	if (cpu > sim_room_of(s, r->worker) || mem > SIM_MEM_MB)
 		sim_broken(s, SIM_LIMIT, text);
 	if (strcmp(q->pool, w->info.pool) != 0 ||
-	    (step->per_worker && same > step->per_worker))
+	    (step->max_per_worker && same > step->max_per_worker))
 		sim_broken(s, SIM_ROUTE, text);
 	if (!jtb_step_due(job, r->name.turn, r->name.step,
 			  SIM_EPOCH_MS + s->now))
 		sim_broken(s, SIM_ORDER, text);
 	if (job->turns[r->name.turn]
-			    .parts[r->name.step]
+			    .steps[r->name.step]
 			    .tasks[r->name.index]
-			    .fails >= q->attempts &&
-	    !(step->flags & JTB_LASTS))
+			    .failures >= q->attempts &&
+	    !(step->flags & JTB_LONG_RUNNING))
 		sim_broken(s, SIM_BUDGET, text);
-	if (jtb_ended(job))
+	if (jtb_job_ended(job))
 		sim_broken(s, SIM_UNASKED, text);
 }
 
@@ -205,7 +205,7 @@
 	uint32_t away = 0;
 
 	jtb_name_of(run, &n);
-	jtb_name_text(&n, text, sizeof(text));
+	jtb_name_format(&n, text, sizeof(text));
 	for (n.index = 0; n.index < step->count; n.index++)
 		away += n.index != run->index && sim_is_away(s, run, &n);
 	if (away >= MAX(1, step->may_miss))
@@ -220,7 +220,7 @@
 			const struct jtb_name *n)
 {
 	const struct jtb_run *other =
-		jtb_part(run->job, n->turn, n->step)->tasks[n->index].run;
+		jtb_step_state(run->job, n->turn, n->step)->tasks[n->index].run;
 
 	return !sim_at_work(s, n) &&
 	       (!other || sim_vm_of(s, other->worker->info.id));
@@ -234,7 +234,7 @@
 	for (i = 0; i < s->runs->len; i++) {
 		const struct sim_run *r = g_ptr_array_index(s->runs, i);
 
-		if (jtb_name_same(&r->name, n) && !r->stop_ms &&
+		if (jtb_name_equal(&r->name, n) && !r->stop_ms &&
 		    s->now - r->from_ms >= SIM_LASTING_MS)
 			return true;
 	}
@@ -254,8 +254,9 @@
 	const struct jtb_step *need = &job->spec.steps[step];
 	uint32_t twice = 2 * (need->flags & JTB_GANG ? need->count : 1);
 
-	return (need->flags & JTB_LASTS || !f.any_open ? f.all : f.open) >=
-	       twice;
+	return (need->flags & JTB_LONG_RUNNING || !f.any_open
+			? f.all
+			: f.open) >= twice;
 }
 
 /* Adds up the tasks of a step that workers could take. */
@@ -285,18 +286,19 @@
 				r->step == step;
 		}
 		fits = MIN((w->info.cpu -
-			    MIN(w->info.cpu, w->used_cpu + w->plan_cpu)) /
+			    MIN(w->info.cpu, w->used_cpu + w->proposed_cpu)) /
 				   need->cpu,
-			   (w->info.mem_mb - w->used_mem - w->plan_mem) /
+			   (w->info.mem_mb - w->used_mem - w->proposed_mem) /
 				   need->mem_mb);
-		if (need->per_worker)
-			fits = MIN(fits, need->per_worker -
-						 MIN(same, need->per_worker));
+		if (need->max_per_worker)
+			fits = MIN(fits,
+				   need->max_per_worker -
+					   MIN(same, need->max_per_worker));
 		fits = need->flags & JTB_GANG ? fits : MIN(fits, 1);
 		f.all += fits;
 		/* nor is a worker on which something is tried alone */
 		if (g_hash_table_contains(v->sch->closed, w->info.id) ||
-		    (w->trial_for && w->trial_for != job->seq + 1))
+		    (w->isolated_for && w->isolated_for != job->seq + 1))
 			continue;
 		f.any_open = true;
 		f.open += fits;
@@ -344,8 +346,8 @@
 static void sim_check_part(struct sim *s, const struct hld_view *v,
 			   struct jtb_job *job, uint32_t turn, uint32_t step)
 {
-	const struct jtb_part *part = jtb_part(job, turn, step);
-	bool room = !jtb_ended(job) &&
+	const struct jtb_step_state *part = jtb_step_state(job, turn, step);
+	bool room = !jtb_job_ended(job) &&
 		    jtb_step_due(job, turn, step, v->sch->wall_ms) &&
 		    sim_room(s, v, job, turn, step);
 	struct jtb_name n = {.turn = turn, .step = step};
@@ -369,7 +371,7 @@
 	struct sim_idle *idle;
 	int64_t most = hld_most_ms(why);
 
-	jtb_name_text(n, text, sizeof(text));
+	jtb_name_format(n, text, sizeof(text));
 	idle = g_hash_table_lookup(s->idle, text);
 	/* the rest of a gang may run on, and a silent worker its work */
 	if (!room || !hld_is_owed(why) || why == HLD_GANG) {
@@ -418,8 +420,8 @@
 	for (i = 0; i < s->runs->len; i++) {
 		const struct sim_run *r = g_ptr_array_index(s->runs, i);
 
-		if (r->attempt == run->attempt && jtb_name_same(&r->name, &n))
-			return run->stop ? HLD_STOPPING : HLD_RUNS;
+		if (r->attempt == run->attempt && jtb_name_equal(&r->name, &n))
+			return run->stop_wanted ? HLD_STOPPING : HLD_RUNS;
 	}
 	return HLD_ENDING;
 }
--- a/src/sim_trouble.c
+++ b/src/sim_trouble.c
@@ -73,7 +73,7 @@
 	ok = jtb_restore(s->jtb, pk_out_view(&o));
 	g_assert(ok);
 	pk_out_done(&o);
-	jtb_unplan_all(s->jtb);
+	jtb_drop_proposals(s->jtb);
 	sim_inherit(s);
 	upk_lead(s->upk);
 	flo_lead(s->flo);
@@ -144,12 +144,12 @@
 		g_rand_int_range(s->rand, 0, (gint32)s->machines->len));
 
 	if (m->vm.state == VMS_UP)
-		sim_vm_crashes(s, m, JTB_LAPSED);
+		sim_vm_crashes(s, m, JTB_LEASE_EXPIRED);
 }
 
 /*
  * A VM goes down by itself; the leader knows of it a little later. how: JTB_LOST
- * under a task or with its rack, JTB_LAPSED for no reason.
+ * under a task or with its rack, JTB_LEASE_EXPIRED for no reason.
  */
 void sim_vm_crashes(struct sim *s, struct sim_vm *m, enum jtb_end how)
 {
@@ -229,7 +229,7 @@
 		return;
 	job = g_ptr_array_index(live, g_rand_int_range(s->rand, 0,
 						       (gint32)live->len));
-	if (sch_lasts(job) || jtb_ended(job))
+	if (sch_lasts(job) || jtb_job_ended(job))
 		return;
 	sim_batch(&o);
 	jtb_put_cancel(&o, job->spec.id, SIM_EPOCH_MS + s->now);
--- a/src/sim_world.c
+++ b/src/sim_world.c
@@ -87,7 +87,7 @@
 		if (r->ends_ms >= 0)
 			s->result.wasted += (double)(s->now - r->from_ms) *
 					    r->step.cpu / 1e6;
-		sim_gang_ends(s, r, JTB_BROKEN);
+		sim_gang_ends(s, r, JTB_GANG_BROKEN);
 		g_ptr_array_remove_index_fast(s->runs, i - 1);
 	}
 }
@@ -103,7 +103,7 @@
 	m->cut_ms = 0;
 	m->given_up = false;
 	sim_batch(&o);
-	jtb_put_gone(&o, m->vm.worker, true);
+	jtb_put_worker_lost(&o, m->vm.worker, true);
 	sim_apply(s, &o);
 	g_free(m->vm.worker);
 	m->vm.worker = g_strdup("");
@@ -181,12 +181,12 @@
 			.cpu = 500 +
 			       (uint32_t)g_rand_int_range(s->rand, 0, 900),
 			.mem_mb = 3000,
-			.guess_ms =
+			.estimate_ms =
 				(uint32_t)g_rand_int_range(s->rand, 300, 900),
 			.after = i ? 1 : 0,
-			.flags = lasts ? JTB_LASTS : 0,
+			.flags = lasts ? JTB_LONG_RUNNING : 0,
 			.may_miss = lasts ? 1 : 0,
-			.per_worker = lasts ? 2 : 0,
+			.max_per_worker = lasts ? 2 : 0,
 		};
 	}
 	if (!lasts && g_rand_double(s->rand) < s->config.gangs)
@@ -214,7 +214,7 @@
 	n.index = (uint32_t)g_rand_int_range(s->rand, 0,
 					     (gint32)spec->steps[n.step].count);
 	g_strlcpy(n.id, spec->id, sizeof(n.id));
-	jtb_name_text(&n, text, sizeof(text));
+	jtb_name_format(&n, text, sizeof(text));
 	g_hash_table_insert(s->crashers, g_strdup(text),
 			    g_new0(struct sim_crasher, 1));
 }
@@ -228,10 +228,10 @@
 	char text[JTB_ID_MAX + 40];
 
 	first.turn = 0;
-	jtb_name_text(&first, text, sizeof(text));
+	jtb_name_format(&first, text, sizeof(text));
 	if (!g_hash_table_contains(s->crashers, text))
 		return NULL;
-	jtb_name_text(n, text, sizeof(text));
+	jtb_name_format(n, text, sizeof(text));
 	c = g_hash_table_lookup(s->crashers, text);
 	if (!c) {
 		c = g_new0(struct sim_crasher, 1);
@@ -287,20 +287,21 @@
 			jtb_find_run(s->jtb, &r->name, r->attempt, r->worker);
 
 		if (known && s->now % SIM_SEEN_MS == 0) {
-			known->seen_ms = s->now + SIM_PLAN_MS;
-			if (!known->began_ms)
-				known->began_ms = known->seen_ms;
+			known->last_running_ms = s->now + SIM_PLAN_MS;
+			if (!known->first_running_ms)
+				known->first_running_ms =
+					known->last_running_ms;
 		}
 		if (known) {
 			known->percent = s->now - r->from_ms >= SIM_LASTING_MS
 						 ? 100
 						 : 50;
-			known->moved_ms = s->now;
+			known->progress_ms = s->now;
 		}
 		if (r->stop_ms && s->now >= r->stop_ms)
 			sim_run_end(s, i - 1, r->stop_how);
 		else if (sim_alone(s, r))
-			sim_run_end(s, i - 1, JTB_ALONE);
+			sim_run_end(s, i - 1, JTB_GANG_INCOMPLETE);
 		else if (r->ends_ms >= 0 && s->now >= r->ends_ms)
 			sim_run_end(s, i - 1,
 				    r->fails ? JTB_FAILED_RUN : JTB_DONE);
@@ -318,7 +319,7 @@
 			(double)(s->now - r->from_ms) * r->step.cpu / 1e6;
 	sim_propose(s, SIM_CMD_END, &r->name, r->attempt, how, r->worker,
 		    SIM_LOG_MS + (late ? SIM_AGAIN_MS : 0));
-	sim_gang_ends(s, r, how == JTB_DONE ? JTB_DONE : JTB_BROKEN);
+	sim_gang_ends(s, r, how == JTB_DONE ? JTB_DONE : JTB_GANG_BROKEN);
 	g_ptr_array_remove_index_fast(s->runs, i);
 }
 
@@ -414,7 +415,7 @@
 		sim_done(s, c);
 		break;
 	case SIM_CMD_LAPSE:
-		jtb_put_gone(&o, c->worker, false);
+		jtb_put_worker_lost(&o, c->worker, false);
 		break;
 	case SIM_CMD_CRASH:
 		sim_put_crash(s, &o, c);
@@ -439,16 +440,16 @@
 	guint i;
 
 	if (!w) {
-		jtb_put_gone(o, c->worker, true);
+		jtb_put_worker_lost(o, c->worker, true);
 		return;
 	}
-	for (i = 0; c->how == JTB_LAPSED && i < w->runs->len; i++) {
+	for (i = 0; c->how == JTB_LEASE_EXPIRED && i < w->runs->len; i++) {
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
 		g_hash_table_add(s->unlucky, g_strdup(run->job->spec.id));
 	}
 	crs_lost(s->crs, w, true, s->now, &b);
-	jtb_put_lost(o, c->worker, true, &b, SIM_EPOCH_MS + s->now);
+	jtb_put_worker_crashed(o, c->worker, true, &b, SIM_EPOCH_MS + s->now);
 	jtb_blame_clear(&b);
 }
 
@@ -467,7 +468,7 @@
 	for (n.index = 0; n.index < step->count; n.index++) {
 		if (n.index != c->name.index && !(step->flags & JTB_GANG))
 			continue;
-		jtb_name_text(&n, text, sizeof(text));
+		jtb_name_format(&n, text, sizeof(text));
 		g_hash_table_add(s->done, g_strdup(text));
 	}
 }
--- a/src/upk.c
+++ b/src/upk.c
@@ -206,7 +206,7 @@
 		    w->from_ms + w->within_ms - wall_ms >= 2 * UPK_CYCLE_MS)
 			continue;
 		v = jtb_wave_find(w, vm);
-		if (v && v->state == JTB_VM_WAITS)
+		if (v && v->state == JTB_VM_WAITING)
 			return true;
 	}
 	return false;
@@ -239,7 +239,7 @@
 		const struct jtb_wave_vm *v =
 			w->completed ? NULL : jtb_wave_find(w, vm->name);
 
-		if (v && v->state == JTB_VM_WAITS)
+		if (v && v->state == JTB_VM_WAITING)
 			return true;
 	}
 	return false;
@@ -322,7 +322,7 @@
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 
-	return !(s->flags & JTB_LASTS) ||
+	return !(s->flags & JTB_LONG_RUNNING) ||
 	       upk_away(u, run) < MAX(1, s->may_miss);
 }
 
@@ -333,8 +333,8 @@
 uint32_t upk_away(const struct upk *u, const struct jtb_run *run)
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
-	const struct jtb_part *part =
-		&run->job->turns[run->turn].parts[run->step];
+	const struct jtb_step_state *part =
+		&run->job->turns[run->turn].steps[run->step];
 	uint32_t away = 0;
 	uint32_t i;
 
@@ -343,7 +343,8 @@
 
 		if (other == run)
 			continue;
-		if (!other || jtb_leaves(other) || other->percent < 100 ||
+		if (!other || jtb_run_is_stopping(other) ||
+		    other->percent < 100 ||
 		    !u->ops->reached(u->arg, other->worker))
 			away++;
 	}
@@ -512,7 +513,7 @@
 		const struct vms_vm *vm = vms_find(u->vms, v->vm);
 		struct upk_pick pick = {.vm = vm, .place = i};
 
-		if (v->state != JTB_VM_WAITS || !vm || vm->state != VMS_UP ||
+		if (v->state != JTB_VM_WAITING || !vm || vm->state != VMS_UP ||
 		    upk_job_of(u, v->vm) || u->ops->held(u->arg, v->vm) ||
 		    (spared && !u->ops->spared(u->arg, v->vm)))
 			continue;
@@ -560,10 +561,10 @@
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *s = &run->job->spec.steps[run->step];
 
-		cost += s->flags & JTB_LASTS ? 4 : 1;
+		cost += s->flags & JTB_LONG_RUNNING ? 4 : 1;
 	}
 	/* kept free for work that lasts, which would wait anew elsewhere */
-	if (w->kept_ms && now - w->kept_ms < UPK_KEPT_MS)
+	if (w->reserved_ms && now - w->reserved_ms < UPK_KEPT_MS)
 		cost += 100;
 	return cost + (double)w->used_cpu / MAX(1, w->info.cpu);
 }
@@ -633,10 +634,10 @@
 		struct jtb_run *run = g_ptr_array_index(w->runs, i);
 		const struct jtb_step *s = &run->job->spec.steps[run->step];
 
-		if (jtb_leaves(run))
+		if (jtb_run_is_stopping(run))
 			continue;
-		if (s->flags & JTB_LASTS ? upk_may_stop(u, run)
-					 : waited > UPK_PATIENCE_MS)
+		if (s->flags & JTB_LONG_RUNNING ? upk_may_stop(u, run)
+						: waited > UPK_PATIENCE_MS)
 			u->ops->stop(u->arg, run, "upkeep");
 	}
 }
@@ -664,7 +665,7 @@
 	for (i = 0; w && i < w->runs->len; i++) {
 		const struct jtb_run *run = g_ptr_array_index(w->runs, i);
 
-		if (!jtb_leaves(run) && !upk_may_stop(u, run))
+		if (!jtb_run_is_stopping(run) && !upk_may_stop(u, run))
 			return true;
 	}
 	return false;
--- a/src/wkr.c
+++ b/src/wkr.c
@@ -67,19 +67,20 @@
 
 			/* An earlier leader may have ordered it. */
 			run->phase = WKR_NEW;
-			run->may_be_there = true;
+			run->may_have_started = true;
 			run->inherited = true;
-			run->sends = 0;
-			run->unanswered = 0;
-			run->over = (struct evd){0};
+			run->orders_sent = 0;
+			run->orders_unanswered = 0;
+			run->end_evidence = (struct evd){0};
 			/* what we decided when we led before is over */
-			run->stop = run->stopping;
+			run->stop_wanted = run->stopping;
 			run->percent = -1;
 			run->ordered_ms = k->led_since;
 			/* what the last leader told it isn't known */
-			if (run->job->spec.steps[run->step].flags & JTB_FILLS) {
+			if (run->job->spec.steps[run->step].flags &
+			    JTB_BEST_EFFORT) {
 				run->pace = WKR_PACE_UNKNOWN;
-				run->pace_told = -1;
+				run->pace_sent = -1;
 			}
 			wkr_run(k, run);
 		}
@@ -111,7 +112,7 @@
 		w->owner = l;
 		g_ptr_array_add(k->links, l);
 	}
-	if (w->cleared != l->cleared)
+	if (w->runs_lost_count != l->cleared)
 		l->given_up = false;
 	if (!l->known)
 		wkr_hold(l);
@@ -146,9 +147,9 @@
 {
 	struct wkr_link *l = wkr_link_of(run->worker);
 
-	if (run->stop || !l)
+	if (run->stop_wanted || !l)
 		return;
-	run->stop = true;
+	run->stop_wanted = true;
 	wkr_orders_after(l, 0);
 }
 
@@ -172,7 +173,7 @@
 	for (i = 0; i < k->links->len; i++) {
 		struct wkr_link *l = g_ptr_array_index(k->links, i);
 
-		if (!l->await_no || l->w->end_no < l->await_no)
+		if (!l->await_no || l->w->last_end_no < l->await_no)
 			continue;
 		l->await_no = 0;
 		wkr_hold_after(l, lod_gather_ms(k->busy, lag));
@@ -247,7 +248,7 @@
  */
 int64_t wkr_seen_ms(const struct wkr *k, const struct jtb_run *run)
 {
-	if ((run->phase == WKR_NEW && !run->may_be_there) ||
+	if ((run->phase == WKR_NEW && !run->may_have_started) ||
 	    run->phase == WKR_OVER || run->phase == WKR_DROPPED)
 		return SCH_NOT_SENT;
 	return sch_seen_ms(run);
@@ -530,7 +531,7 @@
 			if (l->given_up)
 				continue;
 			l->given_up = true;
-			l->cleared = l->w->cleared;
+			l->cleared = l->w->runs_lost_count;
 			k->stats.lapses++;
 			wkr_tell_lapse(l, &e);
 			wkr_keep_late(l);
--- a/src/wkr_list.c
+++ b/src/wkr_list.c
@@ -25,7 +25,7 @@
 	struct wkr_order o = {
 		.kind = WKR_HOLD,
 		.fence = l->k->fence,
-		.ack = l->w->end_no,
+		.ack = l->w->last_end_no,
 	};
 
 	if (l->hold || l->await_no || !l->k->leading)
@@ -51,7 +51,7 @@
 	for (i = 0; i < l->w->runs->len; i++) {
 		const struct jtb_run *run = g_ptr_array_index(l->w->runs, i);
 
-		if (run->job->spec.steps[run->step].flags & JTB_LASTS &&
+		if (run->job->spec.steps[run->step].flags & JTB_LONG_RUNNING &&
 		    run->percent < 100)
 			return WKR_WAIT_FRESH_MS;
 		if (jtb_suspect(run->job, run->step, run->index))
@@ -121,7 +121,7 @@
 	l->known = true;
 	for (i = 0; i < r->ends->len; i++)
 		last = MAX(last, g_array_index(r->ends, struct wkr_end, i).no);
-	if (last > l->w->end_no) {
+	if (last > l->w->last_end_no) {
 		l->await_no = last;
 		l->k->ops->ends(l->k->arg, l->w,
 				(const struct wkr_end *)r->ends->data,
@@ -165,18 +165,18 @@
 		wkr_stop_stray(l, row);
 		return;
 	}
-	if (!run->began_ms)
-		run->began_ms = now;
-	run->job->unseen = false;
-	run->seen_ms = now;
+	if (!run->first_running_ms)
+		run->first_running_ms = now;
+	run->job->start_unconfirmed = false;
+	run->last_running_ms = now;
 	if (run->percent != row->percent) {
 		run->percent = row->percent;
-		run->moved_ms = now;
+		run->progress_ms = now;
 	}
-	run->figure = row->figure;
+	run->metric_value = row->figure;
 	if (run->phase == WKR_NEW)
 		run->phase = WKR_ON;
-	run->may_be_there = true;
+	run->may_have_started = true;
 }
 
 /*
@@ -187,7 +187,7 @@
 {
 	char task[JTB_ID_MAX + 40];
 
-	jtb_name_text(&row->name, task, sizeof(task));
+	jtb_name_format(&row->name, task, sizeof(task));
 	msg(MSG_WKR_STRAY, "worker=%s task=%s attempt=%u does=stop",
 	    l->w->info.id, task, row->attempt);
 	wkr_order_stop(l, &row->name, row->attempt, NULL);
@@ -221,7 +221,7 @@
 				&g_array_index(r->rows, struct wkr_row, j);
 
 			there = row->attempt == run->attempt &&
-				jtb_name_same(&row->name, &n);
+				jtb_name_equal(&row->name, &n);
 		}
 		if (!there && !wkr_ended(r, run))
 			g_ptr_array_add(over, run);
@@ -243,7 +243,7 @@
 			&g_array_index(r->ends, struct wkr_end, i);
 
 		if (e->known && e->attempt == run->attempt &&
-		    jtb_name_same(&e->name, &n))
+		    jtb_name_equal(&e->name, &n))
 			return true;
 	}
 	return false;
--- a/src/wkr_order.c
+++ b/src/wkr_order.c
@@ -71,7 +71,7 @@
 	if (run->phase == WKR_SENT || run->phase == WKR_OVER ||
 	    run->phase == WKR_DROPPED)
 		return false;
-	if (run->stop) {
+	if (run->stop_wanted) {
 		*kind = WKR_STOP;
 		return true;
 	}
@@ -80,7 +80,7 @@
 		return true;
 	}
 	*kind = WKR_PACE;
-	return run->pace != run->pace_told;
+	return run->pace != run->pace_sent;
 }
 
 /*
@@ -94,7 +94,7 @@
 {
 	if (c->kind == WKR_START)
 		return WKR_NEW;
-	return run->began_ms ? WKR_ON : c->before;
+	return run->first_running_ms ? WKR_ON : c->before;
 }
 
 /* Sends one order for a run. */
@@ -113,10 +113,10 @@
 	struct wkr_call *c;
 
 	jtb_name_of(run, &n);
-	jtb_name_text(&n, task, sizeof(task));
+	jtb_name_format(&n, task, sizeof(task));
 	if (kind == WKR_START) {
-		const struct jtb_part *part =
-			&run->job->turns[run->turn].parts[run->step];
+		const struct jtb_step_state *part =
+			&run->job->turns[run->turn].steps[run->step];
 
 		/*
 		 * A worker that leaves gets nothing more, nor one that has
@@ -126,17 +126,17 @@
 		 * must be told to forget it.
 		 */
 		bool barred = !l->k->ops->ticket(l->k->arg, run, &o.ticket) ||
-			      l->w->info.draining || jtb_overfull(l->w);
+			      l->w->info.draining || jtb_is_overcommitted(l->w);
 
 		if (barred && wkr_drop(l, run))
 			return;
 		if (barred) {
-			run->stop = true;
+			run->stop_wanted = true;
 			o.kind = WKR_STOP;
 			o.ticket = NULL;
 		}
 		o.text = run->job->spec.text;
-		o.saved = part->tasks[run->index].saved;
+		o.saved = part->tasks[run->index].checkpoint;
 		o.until_ms = wkr_until(l);
 	}
 	c = g_new0(struct wkr_call, 1);
@@ -144,10 +144,10 @@
 	c->percent = run->pace;
 	c->before = run->phase;
 	if (kind == WKR_PACE)
-		run->pace_told = run->pace;
+		run->pace_sent = run->pace;
 	else
 		run->phase = WKR_SENT;
-	run->sends += kind != WKR_PACE;
+	run->orders_sent += kind != WKR_PACE;
 	g_ptr_array_add(l->calls, c);
 	wkr_call_send(l, c, &o, WKR_ORDER_MS);
 }
@@ -165,7 +165,7 @@
 	};
 	struct wkr_call *c = g_new0(struct wkr_call, 1);
 
-	jtb_name_text(name, task, sizeof(task));
+	jtb_name_format(name, task, sizeof(task));
 	c->late = late;
 	g_ptr_array_add(l->calls, c);
 	wkr_call_send(l, c, &o, WKR_ORDER_MS);
@@ -234,17 +234,17 @@
 		wkr_late_asked(l, c, answer == WKR_YES || answer == WKR_OLD);
 	if (!run || c->kind == WKR_PACE) {
 		if (run && answer != WKR_YES)
-			run->pace_told = -1;
+			run->pace_sent = -1;
 		wkr_orders_after(l, answer == WKR_YES ? 0 : WKR_RETRY_MIN_MS);
 		return;
 	}
 	run->phase = wkr_phase_after(run, c);
 	/* nobody knows what it did */
-	run->may_be_there |= answer == WKR_UNREADABLE;
+	run->may_have_started |= answer == WKR_UNREADABLE;
 	switch (answer) {
 	case WKR_YES:
 		run->phase = c->kind == WKR_START ? WKR_ON : WKR_OVER;
-		run->job->unseen &= c->kind != WKR_START;
+		run->job->start_unconfirmed &= c->kind != WKR_START;
 		run->ordered_ms = now;
 		wkr_hold_after(l, 0);
 		break;
@@ -284,7 +284,7 @@
 {
 	l->k->stats.refused++;
 	if (!wkr_drop(l, run))
-		run->stop = true;
+		run->stop_wanted = true;
 }
 
 /*
@@ -360,11 +360,11 @@
 	if (c->late)
 		wkr_late_asked(l, c, false);
 	if (run && c->kind == WKR_PACE) {
-		run->pace_told = -1;
+		run->pace_sent = -1;
 	} else if (run) {
 		run->phase = wkr_phase_after(run, c);
-		run->unanswered += sent;
+		run->orders_unanswered += sent;
 		/* it may be there, or come to be there */
-		run->may_be_there = run->may_be_there || sent;
+		run->may_have_started = run->may_have_started || sent;
 	}
 }
--- a/tests/prop/flo_prop.cc
+++ b/tests/prop/flo_prop.cc
@@ -161,7 +161,7 @@
 			if (runs[i - 1].worker == m.worker)
 				runs.erase(runs.begin() + (long)i - 1);
 		if (!m.worker.empty())
-			jobs_gone(jtb, m.worker.c_str(), true);
+			jobs_worker_lost(jtb, m.worker.c_str(), true);
 		m.worker = "";
 		m.state = state;
 		m.until = now + steps * STEP_MS;
@@ -227,12 +227,12 @@
 		const struct jtb_step *s = &run->job->spec.steps[run->step];
 		struct jtb_name n;
 
-		RC_ASSERT(s->flags & JTB_SAVES);
-		RC_ASSERT(!(s->flags & (JTB_LASTS | JTB_GANG)));
-		run->stop = true;
+		RC_ASSERT(s->flags & JTB_CHECKPOINTS);
+		RC_ASSERT(!(s->flags & (JTB_LONG_RUNNING | JTB_GANG)));
+		run->stop_wanted = true;
 		jtb_name_of(run, &n);
 		for (auto &r : runs)
-			if (jtb_name_same(&r.name, &n)) {
+			if (jtb_name_equal(&r.name, &n)) {
 				r.stopped = true;
 				r.ends = now + STEP_MS;
 			}
@@ -250,9 +250,11 @@
 		s.count = (uint32_t)roll(1, 40);
 		s.cpu = (uint32_t)roll(1, 4) * 1000;
 		s.mem_mb = 100;
-		s.guess_ms = (uint32_t)roll(1, 30) * 100;
-		s.flags = lasts ? JTB_LASTS : roll(0, 2) ? JTB_SAVES : 0;
-		s.per_worker = lasts ? (uint32_t)roll(0, 3) : 0;
+		s.estimate_ms = (uint32_t)roll(1, 30) * 100;
+		s.flags = lasts	       ? JTB_LONG_RUNNING
+			  : roll(0, 2) ? JTB_CHECKPOINTS
+				       : 0;
+		s.max_per_worker = lasts ? (uint32_t)roll(0, 3) : 0;
 		if (lasts)
 			s.count = (uint32_t)roll(1, 4);
 		spec.queue = (char *)queue.c_str();
@@ -300,7 +302,7 @@
 		if (!jtb_find_run(r->jtb, n, attempt, id.c_str()))
 			return;
 		r->runs.push_back({*n, attempt, id,
-				   s->flags & JTB_LASTS
+				   s->flags & JTB_LONG_RUNNING
 					   ? -1
 					   : r->now + roll(1, 20) * STEP_MS,
 				   false});
--- a/tests/prop/job_prop.cc
+++ b/tests/prop/job_prop.cc
@@ -93,7 +93,7 @@
 			if (workers[w].cut)
 				continue;
 			workers[w].lease = now + LEASE_MS;
-			job_lease(j, w, now + LEASE_MS);
+			job_renew_lease(j, w, now + LEASE_MS);
 		}
 	}
 
@@ -130,7 +130,7 @@
 	}
 
 	/* Executes an order on its worker. */
-	void execute(const struct job_act &a)
+	void execute(const struct job_order &a)
 	{
 		Worker &w = workers[a.worker];
 		Key key(a.job, a.attempt);
@@ -138,19 +138,19 @@
 
 		if (w.cut)
 			return;
-		if (a.kind == JOB_ACT_START && at == w.tasks.end()) {
+		if (a.kind == JOB_ORDER_START && at == w.tasks.end()) {
 			RC_ASSERT(!outcomes.count(a.job));
 			w.tasks[key] = {now + roll(1, 20) * STEP_MS, true,
 					false, JOB_COMPLETE};
 			assertRunsOnce(a.job);
-		} else if (a.kind == JOB_ACT_START && !at->second.running) {
+		} else if (a.kind == JOB_ORDER_START && !at->second.running) {
 			at->second.reported = false;
-		} else if (a.kind == JOB_ACT_STOP && at == w.tasks.end()) {
+		} else if (a.kind == JOB_ORDER_STOP && at == w.tasks.end()) {
 			w.tasks[key] = {now, false, false, JOB_STOPPED};
-		} else if (a.kind == JOB_ACT_STOP && at->second.running) {
+		} else if (a.kind == JOB_ORDER_STOP && at->second.running) {
 			at->second.ends = now;
 			at->second.outcome = JOB_STOPPED;
-		} else if (a.kind == JOB_ACT_STOP) {
+		} else if (a.kind == JOB_ORDER_STOP) {
 			at->second.reported = false;
 		}
 	}
@@ -158,12 +158,13 @@
 	/* Executes all orders; asserts that outcomes are unique. */
 	void deliver()
 	{
-		for (GArray *acts : {out.urgent, out.acts})
+		for (GArray *acts : {out.urgent, out.orders})
 			for (guint i = 0; i < acts->len; i++)
-				execute(g_array_index(acts, struct job_act, i));
-		for (guint i = 0; i < out.told->len; i++) {
-			struct job_told &t =
-				g_array_index(out.told, struct job_told, i);
+				execute(g_array_index(acts, struct job_order,
+						      i));
+		for (guint i = 0; i < out.outcomes->len; i++) {
+			struct job_outcome &t = g_array_index(
+				out.outcomes, struct job_outcome, i);
 
 			RC_ASSERT(accepted.count(t.job) == 1u);
 			RC_ASSERT(++outcomes[t.job] == 1);
@@ -194,7 +195,8 @@
 		if (t.running || t.reported || w.cut)
 			return;
 		t.reported = true;
-		job_report(j, key.first, key.second, t.outcome, false, &out);
+		job_report_end(j, key.first, key.second, t.outcome, false,
+			       &out);
 	}
 
 	void step()
@@ -202,7 +204,7 @@
 		now += STEP_MS;
 		renewLeases();
 		endAttempts();
-		job_step(j, now, 20, &out);
+		job_schedule(j, now, 20, &out);
 		deliver();
 	}
 
@@ -241,7 +243,7 @@
 			break;
 		case 8:
 			if (job_status(j, id, &s))
-				job_usage(j, id, s.attempt, &used, &out);
+				job_report_usage(j, id, s.attempt, &used, &out);
 			break;
 		case 9:
 			job_drain(j, w, roll(0, 2));
@@ -296,7 +298,7 @@
 			f.workers[w].bad = false;
 			f.heal(w);
 			job_drain(f.j, w, false);
-			job_trust(f.j, w);
+			job_clear_suspect(f.j, w);
 		}
 		for (int t = 0; t < 3000; t++)
 			f.step();
--- a/tests/prop/sch_prop.cc
+++ b/tests/prop/sch_prop.cc
@@ -80,7 +80,7 @@
 				    enum jtb_end) {};
 		watch.job_changed = onJob;
 		watch.worker_changed = [](void *, struct jtb_worker *) {};
-		watch.worker_gone = [](void *, struct jtb_worker *) {};
+		watch.worker_removed = [](void *, struct jtb_worker *) {};
 		watch.config_changed = [](void *) {};
 		jtb = jtb_new(&watch, this);
 		jobs_config(jtb, 1, "p", ATTEMPTS);
@@ -115,7 +115,7 @@
 	{
 		Rig *r = static_cast<Rig *>(arg);
 
-		if (jtb_ended(job) && !r->outcome.count(job->spec.id))
+		if (jtb_job_ended(job) && !r->outcome.count(job->spec.id))
 			r->outcome[job->spec.id] = job->state;
 		if (r->outcome.count(job->spec.id))
 			RC_ASSERT(r->outcome[job->spec.id] == job->state);
@@ -133,10 +133,10 @@
 			s[i].count = (uint32_t)roll(1, 6);
 			s[i].cpu = (uint32_t)roll(1, 9) * 1000;
 			s[i].mem_mb = 100;
-			s[i].guess_ms = (uint32_t)roll(1, 20) * 100;
+			s[i].estimate_ms = (uint32_t)roll(1, 20) * 100;
 			s[i].after = i && roll(0, 2) ? 1ULL << (i - 1) : 0;
 			if (lasts)
-				s[i].flags = JTB_LASTS;
+				s[i].flags = JTB_LONG_RUNNING;
 			else if (roll(0, 6) == 0)
 				gang(&s[i]);
 		}
@@ -195,13 +195,14 @@
 	{
 		const struct jtb_step *s = &job->spec.steps[n->step];
 
-		RC_ASSERT(!jtb_ended(job));
+		RC_ASSERT(!jtb_job_ended(job));
 		RC_ASSERT(never.count(n->id) == 0u || n->step);
 		RC_ASSERT(!s->label);
 		RC_ASSERT(jtb_step_due(job, n->turn, n->step, wall()));
 		RC_ASSERT(!w->info.draining);
-		RC_ASSERT(w->used_cpu + w->plan_cpu + s->cpu <= w->info.cpu);
-		jtb_plan(job, n, w);
+		RC_ASSERT(w->used_cpu + w->proposed_cpu + s->cpu <=
+			  w->info.cpu);
+		jtb_propose_start(job, n, w);
 		starts.push_back({*n, attempt, w->info.id,
 				  now + roll(0, slow + 1) * STEP_MS});
 	}
@@ -247,15 +248,15 @@
 			   s.worker.c_str());
 		if (!jtb_find_run(jtb, &s.name, s.attempt, s.worker.c_str()))
 			return;
-		RC_ASSERT(!jtb_ended(job));
-		jtb_name_text(&s.name, text, sizeof(text));
+		RC_ASSERT(!jtb_job_ended(job));
+		jtb_name_format(&s.name, text, sizeof(text));
 		RC_ASSERT(done.count(text) == 0u);
 		for (auto &o : runs)
-			RC_ASSERT(!jtb_name_same(&o.name, &s.name));
+			RC_ASSERT(!jtb_name_equal(&o.name, &s.name));
 		RC_ASSERT(job->turns[0]
-				  .parts[s.name.step]
+				  .steps[s.name.step]
 				  .tasks[s.name.index]
-				  .fails < ATTEMPTS);
+				  .failures < ATTEMPTS);
 		r.ends = lasting.count(s.name.id) ? -1
 						  : now + roll(1, 15) * STEP_MS;
 		runs.push_back(r);
@@ -284,7 +285,7 @@
 		struct pk_out o;
 		int times = roll(1, 3);
 
-		jtb_name_text(&r.name, text, sizeof(text));
+		jtb_name_format(&r.name, text, sizeof(text));
 		if (how == JTB_DONE)
 			done.insert(text);
 		/* told again it changes nothing */
@@ -311,7 +312,7 @@
 		for (size_t i = runs.size(); i > 0; i--)
 			if (runs[i - 1].worker == w.id)
 				runs.erase(runs.begin() + (long)i - 1);
-		jobs_gone(jtb, w.id.c_str(), true);
+		jobs_worker_lost(jtb, w.id.c_str(), true);
 		for (size_t i = runs.size(); i > 0; i--)
 			if (!jtb_find_run(jtb, &runs[i - 1].name,
 					  runs[i - 1].attempt,
@@ -355,7 +356,7 @@
 		RC_ASSERT(sameBytes(pk_out_view(&a), pk_out_view(&b)));
 		pk_out_done(&a);
 		pk_out_done(&b);
-		jtb_unplan_all(jtb);
+		jtb_drop_proposals(jtb);
 	}
 
 	/* The same in any order: tables of hashes have none. */
@@ -487,7 +488,8 @@
 			const struct jtb_job *job = jtb_job(r.jtb, id.c_str());
 
 			RC_ASSERT((job != nullptr));
-			RC_ASSERT(jtb_ended(job) || r.never.count(id) == 1u);
+			RC_ASSERT(jtb_job_ended(job) ||
+				  r.never.count(id) == 1u);
 		}
 	});
 
@@ -505,8 +507,8 @@
 			r.step();
 		for (auto &id : r.accepted)
 			if (!r.never.count(id))
-				RC_ASSERT(
-					jtb_ended(jtb_job(r.jtb, id.c_str())));
+				RC_ASSERT(jtb_job_ended(
+					jtb_job(r.jtb, id.c_str())));
 	});
 	return ok ? 0 : 1;
 }
--- a/tests/prop/upk_prop.cc
+++ b/tests/prop/upk_prop.cc
@@ -210,16 +210,16 @@
 		struct jtb_name n;
 		uint32_t away = 0;
 
-		if (s->flags & JTB_LASTS) {
+		if (s->flags & JTB_LONG_RUNNING) {
 			for (uint32_t i = 0; i < s->count; i++)
 				away += i != run->index && !atWork(run, i);
 			RC_ASSERT(away < MAX(1, s->may_miss));
 		}
-		run->stop = true;
+		run->stop_wanted = true;
 		jtb_name_of(run, &n);
 		for (auto &r : runs)
 			if (r.attempt == run->attempt &&
-			    jtb_name_same(&r.name, &n) && !r.stopped) {
+			    jtb_name_equal(&r.name, &n) && !r.stopped) {
 				r.stopped = true;
 				r.ends = now + roll(1, 5) * STEP_MS;
 			}
@@ -229,12 +229,13 @@
 	bool atWork(const struct jtb_run *run, uint32_t i)
 	{
 		const struct jtb_run *o = run->job->turns[run->turn]
-						  .parts[run->step]
+						  .steps[run->step]
 						  .tasks[i]
 						  .run;
 		Machine *m = o ? machineOf(o->worker->info.id) : nullptr;
 
-		return o && !o->stop && o->percent >= 100 && m && !m->cut;
+		return o && !o->stop_wanted && o->percent >= 100 && m &&
+		       !m->cut;
 	}
 
 	/* Nothing is ordered that isn't in the log as begun. */
@@ -297,7 +298,7 @@
 		for (size_t i = runs.size(); i > 0; i--)
 			if (runs[i - 1].worker == m.worker)
 				runs.erase(runs.begin() + (long)i - 1);
-		jobs_gone(jtb, m.worker.c_str(), true);
+		jobs_worker_lost(jtb, m.worker.c_str(), true);
 		m.worker = "";
 		m.state = state;
 		m.until = now + steps * STEP_MS;
@@ -310,9 +311,9 @@
 
 		s.count = (uint32_t)roll(1, 5);
 		s.cpu = 100;
-		s.guess_ms = 500;
+		s.estimate_ms = 500;
 		s.may_miss = lasts ? (uint32_t)roll(0, 3) : 0;
-		s.flags = lasts ? JTB_LASTS : 0;
+		s.flags = lasts ? JTB_LONG_RUNNING : 0;
 		jobs_job(jtb, id.c_str(), &s, 1, JOBS_WALL_MS);
 	}
 
@@ -341,18 +342,18 @@
 
 	void start(struct jtb_job *job, uint32_t index, const Machine &m)
 	{
-		const struct jtb_part *part = job->turns[0].parts;
+		const struct jtb_step_state *part = job->turns[0].steps;
 		Run r = {};
 
-		if (jtb_ended(job) || (part && (part->tasks[index].run ||
-						part->tasks[index].done)))
+		if (jtb_job_ended(job) || (part && (part->tasks[index].run ||
+						    part->tasks[index].done)))
 			return;
 		g_strlcpy(r.name.id, job->spec.id, sizeof(r.name.id));
 		r.name.index = index;
 		r.attempt = part ? part->tasks[index].attempt + 1 : 1;
 		r.worker = m.worker;
 		r.from = now;
-		r.ends = job->spec.steps[0].flags & JTB_LASTS
+		r.ends = job->spec.steps[0].flags & JTB_LONG_RUNNING
 				 ? -1
 				 : now + roll(1, 60) * STEP_MS;
 		jobs_start(jtb, r.name.id, 0, index, r.attempt,
--- a/tests/prop/wkr_prop.cc
+++ b/tests/prop/wkr_prop.cc
@@ -129,7 +129,7 @@
 {
 	char text[JTB_ID_MAX + 40];
 
-	jtb_name_text(n, text, sizeof(text));
+	jtb_name_format(n, text, sizeof(text));
 	return text;
 }
 
@@ -302,7 +302,7 @@
 		watch.worker_changed = [](void *, struct jtb_worker *w) {
 			wkr_worker(the_world->wkr, w);
 		};
-		watch.worker_gone = [](void *, struct jtb_worker *w) {
+		watch.worker_removed = [](void *, struct jtb_worker *w) {
 			wkr_forget(the_world->wkr, w);
 		};
 		watch.config_changed = [](void *) {};
@@ -373,7 +373,7 @@
 
 		step.count = TASKS;
 		step.cpu = 1000;
-		step.guess_ms = 500;
+		step.estimate_ms = 500;
 		jobs_job(jtb, job_id(jobs++).c_str(), &step, 1, JOBS_WALL_MS);
 	}
 
@@ -424,12 +424,12 @@
 	{
 		struct pk_out o;
 
-		if (w->lost)
+		if (w->removal_proposed)
 			return;
-		w->lost = for_good;
+		w->removal_proposed = for_good;
 		lapses += !for_good;
 		pk_out_init(&o);
-		jtb_put_gone(&o, w->info.id, for_good);
+		jtb_put_worker_lost(&o, w->info.id, for_good);
 		put(&o);
 	}
 
@@ -681,7 +681,7 @@
 			const Run &r = w->running[t];
 
 			if (w->until <= w->clock(now()))
-				ended(w, t, JTB_LAPSED);
+				ended(w, t, JTB_LEASE_EXPIRED);
 			else if (r.stop && now() >= r.stop)
 				ended(w, t, JTB_STOPPED);
 			else if (now() >= r.ends)
@@ -730,7 +730,7 @@
 		info.draining = w->draining;
 		if (known)
 			wkr_clock(wkr, known, w->clock(now()));
-		if (known && jtb_worker_known(&known->info, &info))
+		if (known && jtb_worker_info_is_current(&known->info, &info))
 			return;
 		pk_out_init(&o);
 		jtb_put_worker(&o, &info);
@@ -746,7 +746,7 @@
 		if (!known)
 			return;
 		pk_out_init(&o);
-		jtb_put_left(&o, w->id.c_str());
+		jtb_put_worker_leaving(&o, w->id.c_str());
 		put(&o);
 		wkr_ask(wkr, known);
 		/* its confirmation may be lost: it goes on for a while */
@@ -799,12 +799,12 @@
 		for (int i = 0; i < jobs; i++) {
 			struct jtb_job *job = jtb_job(jtb, job_id(i).c_str());
 
-			for (uint32_t t = 0; !jtb_ended(job) && t < TASKS;
+			for (uint32_t t = 0; !jtb_job_ended(job) && t < TASKS;
 			     t++) {
 				struct jtb_name n = {};
 				std::vector<struct jtb_worker *> usable;
-				const struct jtb_part *part =
-					jtb_part(job, 0, 0);
+				const struct jtb_step_state *part =
+					jtb_step_state(job, 0, 0);
 				struct jtb_task task = {};
 				struct pk_out o;
 
@@ -812,7 +812,8 @@
 				g_strlcpy(n.id, job->spec.id, sizeof(n.id));
 				if (part)
 					task = part->tasks[t];
-				if (task.done || task.run || task.planned)
+				if (task.done || task.run ||
+				    task.start_proposed)
 					continue;
 				g_hash_table_iter_init(&it, jtb_workers(jtb));
 				while (g_hash_table_iter_next(&it, nullptr, &p))
@@ -827,7 +828,7 @@
 						 " is planned after its end";
 				auto *w = usable[(size_t)between(
 					0, (int64_t)usable.size() - 1)];
-				jtb_plan(job, &n, w);
+				jtb_propose_start(job, &n, w);
 				pk_out_init(&o);
 				jtb_put_start(&o, &n, task.attempt + 1,
 					      w->info.id);
@@ -842,7 +843,7 @@
 		size_t keep = (size_t)between(0, (int64_t)log.size());
 
 		log.resize(keep);
-		jtb_unplan_all(jtb);
+		jtb_drop_proposals(jtb);
 		wkr_rest(wkr);
 		answers.clear();
 		lead_at = now() + between(600, 1500);
@@ -855,7 +856,7 @@
 			log.front().due = now();
 			store();
 		}
-		jtb_unplan_all(jtb);
+		jtb_drop_proposals(jtb);
 		fence++;
 		rly_lead(rly, fence);
 		wkr_lead(wkr, fence);
@@ -935,7 +936,7 @@
 
 			step();
 			for (int j = 0; j < jobs; j++)
-				all = all && jtb_ended(jtb_job(
+				all = all && jtb_job_ended(jtb_job(
 						     jtb, job_id(j).c_str()));
 			if (all)
 				return true;
--- a/tests/unit/adv_line_test.c
+++ b/tests/unit/adv_line_test.c
@@ -197,7 +197,7 @@
 
 static void job(struct bed *b, const char *id)
 {
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 3000};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 3000};
 
 	jobs_job(b->jtb, id, &s, 1, JOBS_WALL_MS);
 }
--- a/tests/unit/adv_test.c
+++ b/tests/unit/adv_test.c
@@ -127,8 +127,10 @@
 static struct jtb_job *job(struct bed *b, const char *id, uint32_t count,
 			   uint32_t flags)
 {
-	struct jtb_step s = {
-		.count = count, .cpu = 1000, .guess_ms = 3000, .flags = flags};
+	struct jtb_step s = {.count = count,
+			     .cpu = 1000,
+			     .estimate_ms = 3000,
+			     .flags = flags};
 
 	jobs_job(b->jtb, id, &s, 1, b->wall);
 	return jtb_job(b->jtb, id);
@@ -237,8 +239,10 @@
 static void workers_with_room_are_asked_for(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {
-		.count = 2, .cpu = 1000, .guess_ms = 3000, .per_worker = 1};
+	struct jtb_step s = {.count = 2,
+			     .cpu = 1000,
+			     .estimate_ms = 3000,
+			     .max_per_worker = 1};
 
 	workers(b, "a", 1, 4000);
 	jobs_job(b->jtb, "j", &s, 1, b->wall);
@@ -255,7 +259,7 @@
 	/* another job's tasks fill the only worker that k may run on */
 	jobs_start(b->jtb, "j", 0, 1, 1, "c000");
 	job(b, "k", 1, 0);
-	jobs_gone(b->jtb, "c000", true);
+	jobs_worker_lost(b->jtb, "c000", true);
 	ask_all(b);
 	assert_true(ticketed(b, jtb_job(b->jtb, "k"), "a000"));
 	job(b, "full", 3, 0);
@@ -275,8 +279,8 @@
 {
 	struct bed *b = *state;
 	struct jtb_step s[] = {
-		{.count = 1, .cpu = 1000, .guess_ms = 1000},
-		{.count = 1, .cpu = 1000, .guess_ms = 1000, .after = 1},
+		{.count = 1, .cpu = 1000, .estimate_ms = 1000},
+		{.count = 1, .cpu = 1000, .estimate_ms = 1000, .after = 1},
 	};
 
 	workers(b, "a", 20, 4000);
@@ -307,7 +311,7 @@
 static void a_repeat_is_asked_for_shortly_before(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 1000};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 1000};
 	struct jtb_spec spec = {
 		.id = "r",
 		.queue = (char *)"q",
@@ -374,7 +378,7 @@
 {
 	struct bed *b = *state;
 
-	job(b, "l", 1, JTB_LASTS);
+	job(b, "l", 1, JTB_LONG_RUNNING);
 	workers(b, "a", 2, 4000);
 	ask_all(b);
 	jobs_start(b->jtb, "l", 0, 0, 1, "a000");
@@ -500,7 +504,7 @@
 	job(b, "k", 1, 0);
 	ask_all(b);
 	assert_int_equal(adv_kept(b->adv), 2);
-	jobs_gone(b->jtb, "a000", true);
+	jobs_worker_lost(b->jtb, "a000", true);
 	jobs_cancel(b->jtb, "j");
 	b->now += 2000;
 	next(b);
--- a/tests/unit/blackhole_test.c
+++ b/tests/unit/blackhole_test.c
@@ -48,7 +48,7 @@
 	struct end e = {.name = *n, .attempt = attempt};
 
 	/* once it is found it is tried with one task at a time */
-	if (w->fails >= 3)
+	if (w->failed_jobs >= 3)
 		assert_int_equal(w->runs->len, 0);
 	g_strlcpy(e.worker, w->info.id, sizeof(e.worker));
 	e.at_ms =
@@ -100,7 +100,7 @@
 static void black_hole_worker_fails_no_job(void **state)
 {
 	struct bed b = {.jtb = jtb_new(NULL, NULL), .now = 100000};
-	struct jtb_step s = {.count = 1, .cpu = 4000, .guess_ms = 20000};
+	struct jtb_step s = {.count = 1, .cpu = 4000, .estimate_ms = 20000};
 	int completed = 0;
 	char id[16];
 	int i;
--- a/tests/unit/crs_test.c
+++ b/tests/unit/crs_test.c
@@ -88,7 +88,7 @@
 
 static void job(struct bed *b, const char *id, uint32_t count)
 {
-	struct jtb_step s = {.count = count, .cpu = 100, .guess_ms = 500};
+	struct jtb_step s = {.count = count, .cpu = 100, .estimate_ms = 500};
 
 	jobs_job(b->jtb, id, &s, 1, JOBS_WALL_MS);
 }
@@ -107,8 +107,8 @@
 	run = jtb_find_run(b->jtb, &n, attempt, w);
 	assert_non_null(run);
 	if (seen_ms >= 0) {
-		run->began_ms = 1;
-		run->seen_ms = 1 + seen_ms;
+		run->first_running_ms = 1;
+		run->last_running_ms = 1 + seen_ms;
 	}
 	return run;
 }
@@ -122,14 +122,14 @@
 	crs_lost(b->crs, jtb_worker(b->jtb, id), crashed, NOW_MS + at_ms,
 		 &blame);
 	pk_out_init(&o);
-	jtb_put_lost(&o, id, crashed, &blame, JOBS_WALL_MS);
+	jtb_put_worker_crashed(&o, id, crashed, &blame, JOBS_WALL_MS);
 	jobs_apply(b->jtb, &o);
 	jtb_blame_clear(&blame);
 }
 
 static uint32_t crashes(struct bed *b, const char *id)
 {
-	return jtb_crashes(jtb_job(b->jtb, id));
+	return jtb_max_crashes(jtb_job(b->jtb, id));
 }
 
 static enum jtb_job_state state_of(struct bed *b, const char *id)
@@ -354,7 +354,7 @@
 {
 	struct bed *b = *state;
 	struct jtb_step s = {
-		.count = 3, .cpu = 100, .guess_ms = 500, .flags = JTB_GANG};
+		.count = 3, .cpu = 100, .estimate_ms = 500, .flags = JTB_GANG};
 	uint32_t i;
 
 	jobs_job(b->jtb, "g", &s, 1, JOBS_WALL_MS);
@@ -394,7 +394,7 @@
 static void turns_of_a_job_are_counted_together(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 1, .cpu = 100, .guess_ms = 500};
+	struct jtb_step s = {.count = 1, .cpu = 100, .estimate_ms = 500};
 	struct jtb_spec spec = {
 		.id = "r",
 		.queue = (char *)"q",
@@ -428,7 +428,7 @@
 static void turns_on_one_worker_are_counted_once(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 1, .cpu = 100, .guess_ms = 500};
+	struct jtb_step s = {.count = 1, .cpu = 100, .estimate_ms = 500};
 	struct jtb_spec spec = {
 		.id = "r",
 		.queue = (char *)"q",
--- a/tests/unit/flo_test.c
+++ b/tests/unit/flo_test.c
@@ -169,7 +169,7 @@
 /* More work for "p" than any number of VMs holds. */
 static void burst(struct bed *b)
 {
-	struct jtb_step s = {.count = 400, .cpu = 1000, .guess_ms = 100000};
+	struct jtb_step s = {.count = 400, .cpu = 1000, .estimate_ms = 100000};
 
 	jobs_job(b->jtb, "burst", &s, 1, JOBS_WALL_MS);
 }
@@ -210,7 +210,7 @@
 /* A job of so many tasks of one core and so long a time, ms. */
 static void job(struct bed *b, const char *id, uint32_t count, uint32_t ms)
 {
-	struct jtb_step s = {.count = count, .cpu = 1000, .guess_ms = ms};
+	struct jtb_step s = {.count = count, .cpu = 1000, .estimate_ms = ms};
 
 	jobs_job(b->jtb, id, &s, 1, JOBS_WALL_MS + b->now - NOW_MS);
 }
@@ -245,7 +245,7 @@
 /* Load of "p" with one job of 30 cores that came so long ago. */
 static double load_of_job(struct bed *b, int64_t age_ms)
 {
-	struct jtb_step s = {.count = 30, .cpu = 1000, .guess_ms = 1200};
+	struct jtb_step s = {.count = 30, .cpu = 1000, .estimate_ms = 1200};
 
 	jobs_job(b->jtb, "job", &s, 1, JOBS_WALL_MS - age_ms);
 	ticks(b, 1);
@@ -354,8 +354,10 @@
 /* Work that lasts stays where it is: it makes no room for what comes. */
 static void work_that_lasts_makes_no_room(void **state)
 {
-	struct jtb_step s = {
-		.count = 10, .cpu = 1000, .guess_ms = 1000, .flags = JTB_LASTS};
+	struct jtb_step s = {.count = 10,
+			     .cpu = 1000,
+			     .estimate_ms = 1000,
+			     .flags = JTB_LONG_RUNNING};
 	struct bed *b = *state;
 	double alone;
 	uint32_t i;
@@ -471,7 +473,7 @@
 static void a_vm_is_emptied_before_its_move(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 500};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 500};
 
 	givers(b, 6, &s);
 	burst(b);
@@ -486,8 +488,10 @@
 /* Runs stopped for a burst, with one task of such a step on each VM. */
 static int stops_for_a_burst(struct bed *b, uint32_t guess_ms, uint32_t flags)
 {
-	struct jtb_step s = {
-		.count = 1, .cpu = 1000, .guess_ms = guess_ms, .flags = flags};
+	struct jtb_step s = {.count = 1,
+			     .cpu = 1000,
+			     .estimate_ms = guess_ms,
+			     .flags = flags};
 
 	givers(b, 6, &s);
 	burst(b);
@@ -502,7 +506,7 @@
  */
 static void work_that_saves_makes_way(void **state)
 {
-	assert_true(stops_for_a_burst(*state, 5000, JTB_SAVES) > 0);
+	assert_true(stops_for_a_burst(*state, 5000, JTB_CHECKPOINTS) > 0);
 }
 
 static void work_that_doesnt_save_is_waited_for(void **state)
@@ -512,14 +516,14 @@
 
 static void work_that_is_nearly_done_is_waited_for(void **state)
 {
-	assert_int_equal(stops_for_a_burst(*state, 200, JTB_SAVES), 0);
+	assert_int_equal(stops_for_a_burst(*state, 200, JTB_CHECKPOINTS), 0);
 }
 
 /* One stopped member ends its whole gang, and saves none of the others. */
 static void a_gang_is_waited_for(void **state)
 {
-	assert_int_equal(stops_for_a_burst(*state, 5000, JTB_SAVES | JTB_GANG),
-			 0);
+	assert_int_equal(
+		stops_for_a_burst(*state, 5000, JTB_CHECKPOINTS | JTB_GANG), 0);
 }
 
 /*
@@ -531,7 +535,7 @@
 	struct bed *b = *state;
 	guint i;
 
-	assert_int_equal(stops_for_a_burst(b, 200, JTB_SAVES), 0);
+	assert_int_equal(stops_for_a_burst(b, 200, JTB_CHECKPOINTS), 0);
 	for (i = 1; i <= 6; i++) {
 		struct jtb_worker *w;
 		struct jtb_run *run;
@@ -540,8 +544,8 @@
 		g_snprintf(id, sizeof(id), "w%u", i);
 		w = jtb_worker(b->jtb, id);
 		run = g_ptr_array_index(w->runs, 0);
-		run->began_ms = b->now - 1000;
-		run->moved_ms = b->now;
+		run->first_running_ms = b->now - 1000;
+		run->progress_ms = b->now;
 		run->percent = FLO_TOLD_PERCENT;
 	}
 	tick(b);
@@ -555,8 +559,10 @@
 static void work_is_not_stopped_to_switch_off(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {
-		.count = 1, .cpu = 1000, .guess_ms = 5000, .flags = JTB_SAVES};
+	struct jtb_step s = {.count = 1,
+			     .cpu = 1000,
+			     .estimate_ms = 5000,
+			     .flags = JTB_CHECKPOINTS};
 	guint moving = 0;
 	char vm[8];
 	char w[8];
@@ -587,10 +593,10 @@
 static void the_vm_that_is_empty_soonest_is_taken(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 5000};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 5000};
 
 	givers(b, 3, &s);
-	s.guess_ms = 300;
+	s.estimate_ms = 300;
 	vm_add(b, "vm4", "other", "w4");
 	jobs_job(b->jtb, "w4", &s, 1, JOBS_WALL_MS);
 	jobs_start(b->jtb, "w4", 0, 0, 1, "w4");
@@ -604,11 +610,11 @@
 static void work_that_saves_doesnt_hold_its_vm(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 1000};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 1000};
 
 	givers(b, 3, &s);
-	s.guess_ms = 5000;
-	s.flags = JTB_SAVES;
+	s.estimate_ms = 5000;
+	s.flags = JTB_CHECKPOINTS;
 	vm_add(b, "vm4", "other", "w4");
 	jobs_job(b->jtb, "w4", &s, 1, JOBS_WALL_MS);
 	jobs_start(b->jtb, "w4", 0, 0, 1, "w4");
@@ -620,7 +626,8 @@
 /* A job of the queue of "other" that came long ago. */
 static void old_job(struct bed *b, uint32_t count, uint32_t guess_ms)
 {
-	struct jtb_step s = {.count = count, .cpu = 1000, .guess_ms = guess_ms};
+	struct jtb_step s = {
+		.count = count, .cpu = 1000, .estimate_ms = guess_ms};
 	struct jtb_spec spec = {
 		.id = "old",
 		.queue = (char *)"other",
@@ -673,7 +680,7 @@
 static void what_is_idle_can_be_spared(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 100};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 100};
 
 	givers(b, 6, NULL);
 	vm_add(b, "off1", "off", "");
@@ -722,13 +729,14 @@
 	jobs_job(b->jtb, "j", &s, 1, JOBS_WALL_MS);
 	for (n.index = 0; n.index < 6; n.index++) {
 		g_snprintf(w, sizeof(w), "w%u", n.index + 1);
-		jtb_plan(jtb_job(b->jtb, "j"), &n, jtb_worker(b->jtb, w));
+		jtb_propose_start(jtb_job(b->jtb, "j"), &n,
+				  jtb_worker(b->jtb, w));
 	}
 	burst(b);
 	ticks(b, 3);
 	assert_true(flo_moving(b->flo) > 0);
 	assert_int_equal(b->orders, 0);
-	jtb_unplan_all(b->jtb);
+	jtb_drop_proposals(b->jtb);
 	ticks(b, 2);
 	assert_true(b->orders > 0);
 }
@@ -747,8 +755,10 @@
 static void a_vm_with_work_that_lasts_stays(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {
-		.count = 1, .cpu = 1000, .may_miss = 1, .flags = JTB_LASTS};
+	struct jtb_step s = {.count = 1,
+			     .cpu = 1000,
+			     .may_miss = 1,
+			     .flags = JTB_LONG_RUNNING};
 
 	givers(b, 6, &s);
 	burst(b);
@@ -791,7 +801,7 @@
 		if (strcmp(vm->name, name) != 0)
 			continue;
 		if (*vm->worker)
-			jobs_gone(b->jtb, vm->worker, true);
+			jobs_worker_lost(b->jtb, vm->worker, true);
 		*vm->worker = '\0';
 		vm->state = VMS_DOWN;
 	}
@@ -805,7 +815,8 @@
 static void a_lost_rack_costs_one_move_a_vm(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 80, .cpu = 1000, .flags = JTB_LASTS};
+	struct jtb_step s = {
+		.count = 80, .cpu = 1000, .flags = JTB_LONG_RUNNING};
 	char vm[8];
 	char w[8];
 	int i;
@@ -904,7 +915,7 @@
 static void a_vm_that_failed_is_left_alone(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 500};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 500};
 	struct vms_vm *vm;
 	char id[8];
 
@@ -913,7 +924,7 @@
 	ticks(b, 2);
 	vm = held_vm(b);
 	g_strlcpy(id, vm->worker, sizeof(id));
-	jobs_gone(b->jtb, id, true);
+	jobs_worker_lost(b->jtb, id, true);
 	g_free(vm->worker);
 	vm->worker = g_strdup("new");
 	jobs_worker(b->jtb, "new", 16000, false);
@@ -970,14 +981,14 @@
  */
 static void work_that_counts_nothing_gets_a_vm(void **state)
 {
-	static const uint32_t flags[] = {0, JTB_FILLS};
+	static const uint32_t flags[] = {0, JTB_BEST_EFFORT};
 	struct bed *b;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(flags); i++) {
 		struct jtb_step s = {.count = 1,
 				     .cpu = 1000,
-				     .guess_ms = 100,
+				     .estimate_ms = 100,
 				     .flags = flags[i]};
 
 		teardown(state);
@@ -1001,7 +1012,7 @@
 static void each_turn_counts_in_the_load(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 2, .cpu = 10000, .guess_ms = 3000};
+	struct jtb_step s = {.count = 2, .cpu = 10000, .estimate_ms = 3000};
 	struct jtb_spec spec = {
 		.id = "r",
 		.queue = (char *)"q",
@@ -1057,7 +1068,7 @@
 	struct jtb_step s = {.count = 5,
 			     .cpu = 12000,
 			     .mem_mb = 100,
-			     .guess_ms = 100,
+			     .estimate_ms = 100,
 			     .flags = JTB_GANG};
 
 	three_and_some(b, 8);
@@ -1073,7 +1084,7 @@
 	struct jtb_step s = {.count = 50,
 			     .cpu = 12000,
 			     .mem_mb = 100,
-			     .guess_ms = 100,
+			     .estimate_ms = 100,
 			     .flags = JTB_GANG};
 
 	three_and_some(b, 8);
--- a/tests/unit/hld_test.c
+++ b/tests/unit/hld_test.c
@@ -63,7 +63,7 @@
 	struct bed *b = arg;
 
 	b->started++;
-	jtb_plan(job, n, w);
+	jtb_propose_start(job, n, w);
 	if (!b->proposes)
 		jobs_start(b->jtb, n->id, n->step, n->index, attempt,
 			   w->info.id);
@@ -138,7 +138,7 @@
 {
 	s.count = MAX(s.count, 1);
 	s.cpu = s.cpu ? s.cpu : 1000;
-	s.guess_ms = 100;
+	s.estimate_ms = 100;
 	jobs_job(b->jtb, id, &s, 1, JOBS_WALL_MS);
 }
 
@@ -169,7 +169,7 @@
 	b->run = HLD_ENDING;
 	assert_int_equal(why(b, "a", 0, 0), HLD_ENDING);
 	jobs_end(b->jtb, "a", 0, 0, 1, "w", JTB_LOST);
-	jtb_job(b->jtb, "a")->turns[0].parts[0].tasks[0].free_ms = NOW_MS;
+	jtb_job(b->jtb, "a")->turns[0].steps[0].tasks[0].last_end_ms = NOW_MS;
 	assert_int_equal(why(b, "a", 0, 0), HLD_JUST_ENDED);
 	b->sch.now_ms += 1000;
 	assert_int_equal(why(b, "a", 0, 0), HLD_NONE);
@@ -203,10 +203,10 @@
 	g_hash_table_add(b->upkeep, (gpointer) "w1");
 	assert_int_equal(why(b, "a", 0, 0), HLD_UPKEEP);
 	g_hash_table_remove_all(b->closed);
-	job(b, "pair", (struct jtb_step){.count = 2, .per_worker = 1});
+	job(b, "pair", (struct jtb_step){.count = 2, .max_per_worker = 1});
 	jobs_start(b->jtb, "pair", 0, 0, 1, "w1");
 	assert_int_equal(why(b, "pair", 0, 1), HLD_APART);
-	job(b, "l", (struct jtb_step){.cpu = 1500, .flags = JTB_LASTS});
+	job(b, "l", (struct jtb_step){.cpu = 1500, .flags = JTB_LONG_RUNNING});
 	assert_int_equal(why(b, "l", 0, 0), HLD_NO_ROOM);
 	/* that lasts and waits: the worker is kept for it */
 	sch_plan(&b->sch, "p");
@@ -218,8 +218,8 @@
 {
 	struct bed *b = *state;
 	struct jtb_step steps[] = {
-		{.count = 1, .cpu = 1000, .guess_ms = 10},
-		{.count = 1, .cpu = 1000, .guess_ms = 10, .after = 1},
+		{.count = 1, .cpu = 1000, .estimate_ms = 10},
+		{.count = 1, .cpu = 1000, .estimate_ms = 10, .after = 1},
 	};
 
 	jobs_worker(b->jtb, "w", 2000, false);
@@ -240,7 +240,7 @@
 	jobs_worker(b->jtb, "w", 2000, false);
 	job(b, "g", (struct jtb_step){.count = 3, .flags = JTB_GANG});
 	assert_int_equal(why(b, "g", 0, 0), HLD_GANG_ROOM);
-	assert_int_equal(jtb_worker(b->jtb, "w")->plan_cpu, 0);
+	assert_int_equal(jtb_worker(b->jtb, "w")->proposed_cpu, 0);
 	jobs_start(b->jtb, "g", 0, 0, 1, "w");
 	assert_int_equal(why(b, "g", 0, 1), HLD_GANG);
 }
@@ -261,7 +261,7 @@
 	struct bed *b = *state;
 	char label[] = "kind-none";
 
-	job(b, "l", (struct jtb_step){.count = 2, .flags = JTB_LASTS});
+	job(b, "l", (struct jtb_step){.count = 2, .flags = JTB_LONG_RUNNING});
 	job(b, "s", (struct jtb_step){.count = 5, .label = label});
 	look(b, 0);
 	assert_string_equal(b->told->str, "");
@@ -306,7 +306,7 @@
 		out->str, "\nendive_held_tasks{why=\"lease-not-over\"} 1\n"));
 	assert_non_null(
 		strstr(out->str, "\nendive_held_longest_seconds 0.0\n"));
-	jobs_gone(b->jtb, "w", false);
+	jobs_worker_lost(b->jtb, "w", false);
 	look(b, 0);
 	look(b, 1500);
 	g_string_truncate(out, 0);
@@ -342,12 +342,13 @@
 static void a_gang_that_waits_for_a_rack_says_so(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 2, .flags = JTB_GANG | JTB_ONE_RACK};
+	struct jtb_step s = {.count = 2,
+			     .flags = JTB_GANG | JTB_RACK_SENSITIVE};
 
 	jobs_worker(b->jtb, "w", 2000, false);
 	job(b, "g", s);
 	assert_int_equal(why(b, "g", 0, 0), HLD_NONE);
-	jtb_job(b->jtb, "g")->rack_ms = NOW_MS;
+	jtb_job(b->jtb, "g")->rack_wait_since_ms = NOW_MS;
 	assert_int_equal(why(b, "g", 0, 0), HLD_RACK);
 }
 
--- a/tests/unit/job_test.c
+++ b/tests/unit/job_test.c
@@ -42,7 +42,7 @@
 	job_set_team(f->j, 1, &quota);
 	for (i = 0; i < WORKERS; i++) {
 		job_set_worker(f->j, i, 0, &whole, &f->out);
-		job_lease(f->j, i, LEASE_MS);
+		job_renew_lease(f->j, i, LEASE_MS);
 	}
 	return f;
 }
@@ -56,7 +56,7 @@
 
 static void fixture_step(struct fixture *f)
 {
-	while (!job_step(f->j, f->now, 100, &f->out))
+	while (!job_schedule(f->j, f->now, 100, &f->out))
 		;
 }
 
@@ -90,7 +90,8 @@
 
 static void fixture_report(struct fixture *f, uint64_t id, enum job_event ev)
 {
-	job_report(f->j, id, fixture_status(f, id).attempt, ev, false, &f->out);
+	job_report_end(f->j, id, fixture_status(f, id).attempt, ev, false,
+		       &f->out);
 }
 
 /* Counts the outcomes reported for a job. */
@@ -99,8 +100,9 @@
 	int n = 0;
 	guint i;
 
-	for (i = 0; i < f->out.told->len; i++)
-		n += g_array_index(f->out.told, struct job_told, i).job == id;
+	for (i = 0; i < f->out.outcomes->len; i++)
+		n += g_array_index(f->out.outcomes, struct job_outcome, i)
+			     .job == id;
 	return n;
 }
 
@@ -127,9 +129,9 @@
 
 	assert_int_equal(job_submit(f->j, &s, 0, &f->out), JOB_TOO_LARGE);
 	s.size = accel;
-	assert_int_equal(job_submit(f->j, &s, 0, &f->out), JOB_QUOTA);
+	assert_int_equal(job_submit(f->j, &s, 0, &f->out), JOB_OVER_QUOTA);
 	s.size = over;
-	assert_int_equal(job_submit(f->j, &s, 0, &f->out), JOB_QUOTA);
+	assert_int_equal(job_submit(f->j, &s, 0, &f->out), JOB_OVER_QUOTA);
 	s.size = quarter;
 	s.pool = 1;
 	assert_int_equal(job_submit(f->j, &s, 0, &f->out), JOB_TOO_LARGE);
@@ -156,7 +158,7 @@
 	fixture_submit(f, 1, JOB_NORMAL, &larger);
 	job_set_worker(f->j, 9, 1, &larger, &f->out);
 	assert_int_equal(fixture_status(f, 1).state, JOB_REFUSED);
-	assert_int_equal(fixture_status(f, 1).why, JOB_TOO_LARGE);
+	assert_int_equal(fixture_status(f, 1).reason, JOB_TOO_LARGE);
 	assert_int_equal(fixture_count_outcomes(f, 1), 1);
 	fixture_free(f);
 }
@@ -169,7 +171,7 @@
 static void urgent_job_preempts_archive_job(void **state)
 {
 	struct fixture *f = fixture_new();
-	struct job_act *act;
+	struct job_order *act;
 	uint64_t id;
 
 	for (id = 1; id <= 40; id++)
@@ -180,8 +182,8 @@
 	fixture_submit(f, 100, JOB_URGENT, &quarter);
 	fixture_step(f);
 	assert_int_equal(f->out.urgent->len, 1);
-	act = &g_array_index(f->out.urgent, struct job_act, 0);
-	assert_int_equal(act->kind, JOB_ACT_STOP);
+	act = &g_array_index(f->out.urgent, struct job_order, 0);
+	assert_int_equal(act->kind, JOB_ORDER_STOP);
 	fixture_report(f, act->job, JOB_STOPPED);
 	fixture_step(f);
 	assert_int_equal(fixture_status(f, 100).state, JOB_RUNNING);
@@ -238,11 +240,11 @@
 		job_out_clear(&f->out);
 		fixture_step(f);
 		for (i = 0; i < f->out.urgent->len; i++) {
-			struct job_act *act = &g_array_index(f->out.urgent,
-							     struct job_act, i);
+			struct job_order *act = &g_array_index(
+				f->out.urgent, struct job_order, i);
 
 			fixture_report(f, act->job,
-				       act->kind == JOB_ACT_STOP
+				       act->kind == JOB_ORDER_STOP
 					       ? JOB_STOPPED
 					       : JOB_COMPLETE);
 		}
@@ -297,7 +299,7 @@
 	uint64_t id;
 
 	job_set_worker(f->j, 9, 0, &larger, &f->out);
-	job_lease(f->j, 9, LEASE_MS);
+	job_renew_lease(f->j, 9, LEASE_MS);
 	job_drain(f->j, 9, true);
 	fixture_submit(f, 1, JOB_NORMAL, &larger);
 	for (id = 10; id < 210; id++) {
@@ -403,7 +405,7 @@
 		fixture_submit(f, id, JOB_NORMAL, &whole);
 	run_failing(f, 30, -1, 5);
 	assert_int_equal(fixture_status(f, 5).state, JOB_REFUSED);
-	assert_int_equal(fixture_status(f, 5).why, JOB_BAD);
+	assert_int_equal(fixture_status(f, 5).reason, JOB_FAILED_REPEATEDLY);
 	assert_int_equal(job_count(f->j, JOB_FINISHED), 29);
 	for (w = 0; w < WORKERS; w++)
 		assert_false(job_is_suspect(f->j, w));
@@ -509,11 +511,11 @@
 	s.id = 2;
 	job_submit(f->j, &s, 0, &f->out);
 	fixture_step(f);
-	job_report(f->j, 1, 1, JOB_FAIL, true, &f->out);
-	job_report(f->j, 2, 1, JOB_FAIL, false, &f->out);
+	job_report_end(f->j, 1, 1, JOB_FAIL, true, &f->out);
+	job_report_end(f->j, 2, 1, JOB_FAIL, false, &f->out);
 	fixture_step(f);
 	assert_int_equal(fixture_status(f, 1).state, JOB_REFUSED);
-	assert_int_equal(fixture_status(f, 1).why, JOB_UNSURE);
+	assert_int_equal(fixture_status(f, 1).reason, JOB_NOT_IDEMPOTENT);
 	assert_int_equal(fixture_status(f, 2).state, JOB_RUNNING);
 	fixture_free(f);
 }
@@ -534,7 +536,7 @@
 	job_submit(f->j, &s, 0, &f->out);
 	fixture_step(f);
 	for (w = 2; w < WORKERS; w++)
-		job_lease(f->j, w, 10 * LEASE_MS);
+		job_renew_lease(f->j, w, 10 * LEASE_MS);
 	assert_true(fixture_status(f, 2).worker < 2);
 	f->now = LEASE_MS + 1;
 	fixture_step(f);
@@ -601,7 +603,7 @@
 	assert_int_equal(fixture_status(f, 20000).state, JOB_RUNNING);
 	assert_int_equal(f->out.urgent->len, 1);
 	assert_int_equal(job_count(f->j, JOB_CANCELLED), 10000);
-	assert_int_equal(f->out.told->len, 10000);
+	assert_int_equal(f->out.outcomes->len, 10000);
 	fixture_free(f);
 }
 
@@ -615,7 +617,7 @@
 	struct fixture *f = fixture_new();
 	struct job_size small = {1000, 1000, 0};
 	struct job_size tenfold = {13000, 10000, 0};
-	struct job_act *act;
+	struct job_order *act;
 	int w;
 
 	for (w = 1; w < WORKERS; w++)
@@ -624,10 +626,10 @@
 	fixture_submit(f, 2, JOB_NORMAL, &small);
 	fixture_step(f);
 	job_out_clear(&f->out);
-	job_usage(f->j, 2, 1, &tenfold, &f->out);
-	assert_int_equal(f->out.acts->len, 1);
-	act = &g_array_index(f->out.acts, struct job_act, 0);
-	assert_int_equal(act->kind, JOB_ACT_THROTTLE);
+	job_report_usage(f->j, 2, 1, &tenfold, &f->out);
+	assert_int_equal(f->out.orders->len, 1);
+	act = &g_array_index(f->out.orders, struct job_order, 0);
+	assert_int_equal(act->kind, JOB_ORDER_THROTTLE);
 	assert_int_equal(act->job, 2);
 	fixture_submit(f, 3, JOB_NORMAL, &small);
 	fixture_step(f);
@@ -653,10 +655,11 @@
 	fixture_restart(f);
 	job_out_clear(&f->out);
 	job_resend(f->j, &f->out);
-	assert_int_equal(f->out.acts->len, 2);
-	assert_int_equal(g_array_index(f->out.acts, struct job_act, 0).job, 1);
-	assert_int_equal(g_array_index(f->out.acts, struct job_act, 1).attempt,
+	assert_int_equal(f->out.orders->len, 2);
+	assert_int_equal(g_array_index(f->out.orders, struct job_order, 0).job,
 			 1);
+	assert_int_equal(
+		g_array_index(f->out.orders, struct job_order, 1).attempt, 1);
 	assert_int_equal(job_submit(f->j, &s, 0, &f->out), JOB_OK);
 	assert_int_equal(job_count(f->j, JOB_RUNNING), 1);
 	fixture_step(f);
@@ -680,8 +683,8 @@
 
 	job_set_worker(f->j, 9, 1, &whole, &f->out);
 	job_set_worker(f->j, 5, 1, &whole, &f->out);
-	job_lease(f->j, 9, LEASE_MS);
-	job_lease(f->j, 5, LEASE_MS);
+	job_renew_lease(f->j, 9, LEASE_MS);
+	job_renew_lease(f->j, 5, LEASE_MS);
 	s.pool = 1;
 	job_submit(f->j, &s, 0, &f->out);
 	fixture_step(f);
--- a/tests/unit/jobs_make.h
+++ b/tests/unit/jobs_make.h
@@ -149,22 +149,23 @@
 }
 
 /* Applies that a worker announced its shutdown. */
-static inline void jobs_left(struct jtb *t, const char *worker)
+static inline void jobs_worker_leaving(struct jtb *t, const char *worker)
 {
 	struct pk_out o;
 
 	pk_out_init(&o);
-	jtb_put_left(&o, worker);
+	jtb_put_worker_leaving(&o, worker);
 	jobs_apply(t, &o);
 }
 
 /* Ends all runs of a worker as lost; permanent removes the worker too. */
-static inline void jobs_gone(struct jtb *t, const char *worker, bool permanent)
+static inline void jobs_worker_lost(struct jtb *t, const char *worker,
+				    bool permanent)
 {
 	struct pk_out o;
 
 	pk_out_init(&o);
-	jtb_put_gone(&o, worker, permanent);
+	jtb_put_worker_lost(&o, worker, permanent);
 	jobs_apply(t, &o);
 }
 
--- a/tests/unit/jtb_test.c
+++ b/tests/unit/jtb_test.c
@@ -27,8 +27,8 @@
 static void two_steps(struct jtb *t, const char *id)
 {
 	struct jtb_step steps[2] = {
-		{.count = 2, .cpu = 1000, .guess_ms = 100},
-		{.count = 1, .cpu = 500, .guess_ms = 100, .after = 1},
+		{.count = 2, .cpu = 1000, .estimate_ms = 100},
+		{.count = 1, .cpu = 500, .estimate_ms = 100, .after = 1},
 	};
 
 	jobs_job(t, id, steps, 2, JOBS_WALL_MS);
@@ -42,10 +42,10 @@
 	two_steps(t, "a");
 	job = jtb_job(t, "a");
 	assert_int_equal(job->state, JTB_QUEUED);
-	assert_int_equal(jtb_pending(t, "q"), 1);
+	assert_int_equal(jtb_count_pending(t, "q"), 1);
 	jobs_start(t, "a", 0, 0, 1, "w1");
 	assert_int_equal(job->state, JTB_RUNNING);
-	assert_int_equal(jtb_pending(t, "q"), 0);
+	assert_int_equal(jtb_count_pending(t, "q"), 0);
 	/* the second step doesn't start before the first is done */
 	jobs_start(t, "a", 1, 0, 1, "w1");
 	assert_int_equal(job->n_runs, 1);
@@ -120,7 +120,7 @@
 	assert_int_equal(jtb_job(t, "a")->state, JTB_RUNNING);
 	/* a run that was lost with its worker is no failed attempt */
 	jobs_start(t, "a", 0, 0, 2, "w1");
-	jobs_gone(t, "w1", false);
+	jobs_worker_lost(t, "w1", false);
 	jobs_start(t, "a", 0, 0, 3, "w2");
 	jobs_end(t, "a", 0, 0, 3, "w2", JTB_FAILED_RUN);
 	assert_int_equal(jtb_job(t, "a")->state, JTB_FAILED);
@@ -140,7 +140,7 @@
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_DONE);
 	jobs_end(t, "a", 0, 0, 2, "w1", JTB_DONE);
 	assert_int_equal(jtb_job(t, "a")->n_runs, 1);
-	assert_int_equal(jtb_job(t, "a")->turns[0].parts[0].n_done, 0);
+	assert_int_equal(jtb_job(t, "a")->turns[0].steps[0].n_done, 0);
 }
 
 /*
@@ -153,9 +153,9 @@
 
 	two_steps(t, "a");
 	jobs_start(t, "a", 0, 0, 1, "w1");
-	jobs_gone(t, "w1", false);
+	jobs_worker_lost(t, "w1", false);
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_DONE);
-	assert_int_equal(jtb_job(t, "a")->turns[0].parts[0].n_done, 1);
+	assert_int_equal(jtb_job(t, "a")->turns[0].steps[0].n_done, 1);
 	jobs_start(t, "a", 0, 0, 2, "w2");
 	assert_int_equal(jtb_job(t, "a")->n_runs, 0);
 }
@@ -170,7 +170,7 @@
 
 	two_steps(t, "a");
 	jobs_start(t, "a", 0, 0, 1, "w1");
-	jobs_gone(t, "w1", false);
+	jobs_worker_lost(t, "w1", false);
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_FAILED_RUN);
 	/* the worker reports the same end again */
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_FAILED_RUN);
@@ -187,19 +187,19 @@
 static void late_end_stops_newer_run(void **state)
 {
 	struct jtb *t = *state;
-	const struct jtb_part *step_state;
+	const struct jtb_step_state *step_state;
 
 	two_steps(t, "a");
 	jobs_start(t, "a", 0, 0, 1, "w1");
-	jobs_gone(t, "w1", false);
+	jobs_worker_lost(t, "w1", false);
 	jobs_start(t, "a", 0, 0, 2, "w2");
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_DONE);
-	step_state = &jtb_job(t, "a")->turns[0].parts[0];
+	step_state = &jtb_job(t, "a")->turns[0].steps[0];
 	assert_int_equal(step_state->n_done, 1);
 	assert_true(step_state->tasks[0].run->stopping);
 	jobs_end(t, "a", 0, 0, 2, "w2", JTB_FAILED_RUN);
 	assert_int_equal(step_state->n_done, 1);
-	assert_int_equal(step_state->tasks[0].fails, 1);
+	assert_int_equal(step_state->tasks[0].failures, 1);
 	assert_int_equal(jtb_job(t, "a")->state, JTB_RUNNING);
 	assert_int_equal(jtb_job(t, "a")->n_runs, 0);
 }
@@ -212,7 +212,7 @@
 	two_steps(t, "a");
 	jobs_start(t, "a", 0, 0, 1, "w2");
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_DONE);
-	assert_int_equal(jtb_job(t, "a")->turns[0].parts[0].n_done, 0);
+	assert_int_equal(jtb_job(t, "a")->turns[0].steps[0].n_done, 0);
 	assert_int_equal(jtb_job(t, "a")->n_runs, 1);
 }
 
@@ -243,15 +243,15 @@
 
 	two_steps(t, "a");
 	jobs_start(t, "a", 0, 0, 1, "w1");
-	jobs_left(t, "w1");
+	jobs_worker_leaving(t, "w1");
 	assert_int_equal(jtb_job(t, "a")->n_runs, 1);
 	assert_true(jtb_worker(t, "w1")->info.draining);
 	jobs_end(t, "a", 0, 0, 1, "w1", JTB_STOPPED);
 	jobs_start(t, "a", 0, 0, 2, "w1");
 	assert_int_equal(jtb_job(t, "a")->n_runs, 0);
-	jobs_left(t, "w1");
+	jobs_worker_leaving(t, "w1");
 	assert_null(jtb_worker(t, "w1"));
-	assert_true(jtb_was_removed(t, "w1"));
+	assert_true(jtb_worker_was_removed(t, "w1"));
 }
 
 /* A late report of a worker that was removed doesn't add it again. */
@@ -259,10 +259,10 @@
 {
 	struct jtb *t = *state;
 
-	jobs_gone(t, "w1", true);
+	jobs_worker_lost(t, "w1", true);
 	jobs_worker(t, "w1", 16000, false);
 	assert_null(jtb_worker(t, "w1"));
-	assert_true(jtb_was_removed(t, "w1"));
+	assert_true(jtb_worker_was_removed(t, "w1"));
 }
 
 static void older_configuration_changes_nothing(void **state)
@@ -404,7 +404,7 @@
 static void long_running_job_never_fails(void **state)
 {
 	struct jtb *t = *state;
-	struct jtb_step s = {.count = 1, .cpu = 1, .flags = JTB_LASTS};
+	struct jtb_step s = {.count = 1, .cpu = 1, .flags = JTB_LONG_RUNNING};
 	uint32_t i;
 
 	jobs_job(t, "l", &s, 1, JOBS_WALL_MS);
@@ -455,13 +455,13 @@
 	struct jtb_name n = {.id = "a"};
 
 	two_steps(t, "a");
-	jtb_plan(jtb_job(t, "a"), &n, w);
-	assert_int_equal(w->plan_cpu, 1000);
+	jtb_propose_start(jtb_job(t, "a"), &n, w);
+	assert_int_equal(w->proposed_cpu, 1000);
 	jobs_cancel(t, "a");
-	jtb_unplan_all(t);
-	assert_int_equal(w->plan_cpu, 0);
+	jtb_drop_proposals(t);
+	assert_int_equal(w->proposed_cpu, 0);
 	jobs_start(t, "a", 0, 0, 1, "w1");
-	assert_int_equal(w->plan_cpu, 0);
+	assert_int_equal(w->proposed_cpu, 0);
 }
 
 /*
@@ -557,7 +557,7 @@
 	jobs_start(t, "a", 0, 0, 2, "w1");
 	jobs_start(t, "a", 0, 1, 1, "w2");
 	jobs_end(t, "a", 0, 1, 1, "w2", JTB_DONE);
-	jobs_gone(t, "w9", true);
+	jobs_worker_lost(t, "w9", true);
 	jtb_wave_add(w, "vm1");
 	pk_out_init(&o);
 	jtb_put_wave(&o, w);
@@ -573,7 +573,7 @@
 	jobs_start(u, "a", 1, 0, 1, "w1");
 	assert_int_equal(jtb_job(u, "a")->n_runs, 1);
 	assert_int_equal(jtb_worker(u, "w1")->used_cpu, 500);
-	assert_true(jtb_was_removed(u, "w9"));
+	assert_true(jtb_worker_was_removed(u, "w9"));
 	assert_non_null(jtb_wave(u, 3));
 	g_bytes_unref(a);
 	g_bytes_unref(b);
@@ -586,7 +586,7 @@
 	struct jtb_step s = {.count = 4,
 			     .cpu = 1000,
 			     .may_miss = may_miss,
-			     .flags = JTB_LASTS};
+			     .flags = JTB_LONG_RUNNING};
 	uint32_t i;
 
 	jobs_job(t, "l", &s, 1, JOBS_WALL_MS);
@@ -603,7 +603,7 @@
 {
 	struct jtb *t = *state;
 	const struct jtb_task *tasks =
-		start_service(t, 2)->turns[0].parts[0].tasks;
+		start_service(t, 2)->turns[0].steps[0].tasks;
 
 	jobs_stop(t, "l", 3, 2, "w1");
 	assert_false(tasks[3].run->stopping);
@@ -635,7 +635,7 @@
 	a = snapshot(t);
 	assert_true(jtb_restore(u, lstr_n(g_bytes_get_data(a, NULL),
 					  g_bytes_get_size(a))));
-	tasks = jtb_job(u, "l")->turns[0].parts[0].tasks;
+	tasks = jtb_job(u, "l")->turns[0].steps[0].tasks;
 	assert_true(tasks[1].run->stopping && !tasks[0].run->stopping);
 	jobs_stop(u, "l", 0, 1, "w1");
 	assert_false(tasks[0].run->stopping);
@@ -648,12 +648,12 @@
 {
 	struct jtb *t = *state;
 	struct jtb_run *run =
-		start_service(t, 1)->turns[0].parts[0].tasks[0].run;
+		start_service(t, 1)->turns[0].steps[0].tasks[0].run;
 
-	run->stop_planned = true;
-	assert_true(jtb_leaves(run));
-	jtb_unplan_all(t);
-	assert_false(jtb_leaves(run));
+	run->stop_proposed = true;
+	assert_true(jtb_run_is_stopping(run));
+	jtb_drop_proposals(t);
+	assert_false(jtb_run_is_stopping(run));
 }
 
 /*
@@ -731,7 +731,7 @@
 	struct jtb_name back;
 	char text[64];
 
-	jtb_name_text(&n, text, sizeof(text));
+	jtb_name_format(&n, text, sizeof(text));
 	assert_string_equal(text, "5c0e7a21d94b36f8.1.2.33");
 	assert_true(jtb_name_parse(lstr_from(text), &back));
 	assert_int_equal(back.index, 33);
@@ -753,7 +753,7 @@
 	struct pk_out o;
 
 	two_steps(t, "a");
-	jtb_plan(jtb_job(t, "a"), &n, jtb_worker(t, "w1"));
+	jtb_propose_start(jtb_job(t, "a"), &n, jtb_worker(t, "w1"));
 	pk_out_init(&o);
 	pk_arr(&o, 4);
 	pk_arr(&o, 1);
@@ -764,8 +764,9 @@
 	jtb_put_start(&o, &n, 1, "w1");
 	assert_false(jtb_apply(t, pk_out_view(&o)));
 	pk_out_done(&o);
-	assert_non_null(jtb_part(jtb_job(t, "a"), 0, 0)->tasks[0].run);
-	assert_false(jtb_part(jtb_job(t, "a"), 0, 0)->tasks[0].planned);
+	assert_non_null(jtb_step_state(jtb_job(t, "a"), 0, 0)->tasks[0].run);
+	assert_false(
+		jtb_step_state(jtb_job(t, "a"), 0, 0)->tasks[0].start_proposed);
 }
 
 #define T(fn) cmocka_unit_test_setup_teardown(fn, setup, teardown)
@@ -786,23 +787,23 @@
 					      .mem_mb = 64000};
 	struct jtb_worker_info reported = known;
 
-	assert_true(jtb_worker_known(&known, &reported));
+	assert_true(jtb_worker_info_is_current(&known, &reported));
 	reported.draining = true;
-	assert_false(jtb_worker_known(&known, &reported));
+	assert_false(jtb_worker_info_is_current(&known, &reported));
 	/* once draining is stored, an older report needs no update */
-	assert_true(jtb_worker_known(&reported, &known));
+	assert_true(jtb_worker_info_is_current(&reported, &known));
 	reported = known;
 	reported.pool = (char *)"q";
-	assert_false(jtb_worker_known(&known, &reported));
+	assert_false(jtb_worker_info_is_current(&known, &reported));
 	reported = known;
 	reported.addr = (char *)"127.0.0.1:2";
-	assert_false(jtb_worker_known(&known, &reported));
+	assert_false(jtb_worker_info_is_current(&known, &reported));
 	reported = known;
 	reported.mem_mb = 32000;
-	assert_false(jtb_worker_known(&known, &reported));
+	assert_false(jtb_worker_info_is_current(&known, &reported));
 	reported = known;
 	reported.labels = others;
-	assert_false(jtb_worker_known(&known, &reported));
+	assert_false(jtb_worker_info_is_current(&known, &reported));
 }
 
 int main(void)
--- a/tests/unit/pac_test.c
+++ b/tests/unit/pac_test.c
@@ -33,10 +33,11 @@
 	struct bed *b = g_new0(struct bed, 1);
 	struct jtb_step serves = {.count = 1,
 				  .cpu = 1000,
-				  .flags = JTB_LASTS,
-				  .tail_ms = BOUND_MS};
-	struct jtb_step fills = {
-		.count = 1, .cpu = 1000, .flags = JTB_LASTS | JTB_FILLS};
+				  .flags = JTB_LONG_RUNNING,
+				  .slo_ms = BOUND_MS};
+	struct jtb_step fills = {.count = 1,
+				 .cpu = 1000,
+				 .flags = JTB_LONG_RUNNING | JTB_BEST_EFFORT};
 	struct jtb_name n = {.id = "s"};
 
 	b->jtb = jtb_new(NULL, NULL);
@@ -69,7 +70,7 @@
 static void look(struct bed *b, int tail_ms, int64_t after_ms)
 {
 	b->now += after_ms;
-	b->serves->figure = tail_ms;
+	b->serves->metric_value = tail_ms;
 	pac_look(b->w, b->now, &bed_ops, b);
 }
 
--- a/tests/unit/plt_test.c
+++ b/tests/unit/plt_test.c
@@ -123,7 +123,7 @@
 	assert_int_equal(q->attempts, 3);
 	assert_null(jtb_route(c, "h.example", "/b/0123"));
 	assert_null(jtb_route(c, "x.example", "/a/0123"));
-	assert_true(jtb_pool(c, "s")->guarded);
+	assert_true(jtb_pool(c, "s")->enforces_capacity);
 	jtb_config_free(c);
 }
 
@@ -193,13 +193,14 @@
 		"may-miss=1,target-ms=50,fills=true,image=i}]}",
 		&s));
 	assert_int_equal(s.n_steps, 2);
-	assert_int_equal(s.steps[0].guess_ms, 900);
+	assert_int_equal(s.steps[0].estimate_ms, 900);
 	assert_string_equal(s.steps[0].rack, "r1");
 	assert_int_equal(s.steps[1].after, 1);
-	assert_int_equal(s.steps[1].per_worker, 2);
+	assert_int_equal(s.steps[1].max_per_worker, 2);
 	assert_int_equal(s.steps[1].may_miss, 1);
-	assert_int_equal(s.steps[1].tail_ms, 50);
-	assert_int_equal(s.steps[1].flags, JTB_SAVES | JTB_LASTS | JTB_FILLS);
+	assert_int_equal(s.steps[1].slo_ms, 50);
+	assert_int_equal(s.steps[1].flags,
+			 JTB_CHECKPOINTS | JTB_LONG_RUNNING | JTB_BEST_EFFORT);
 	assert_string_equal(s.text, "text");
 	jtb_spec_clear(&s);
 }
--- a/tests/unit/replay.h
+++ b/tests/unit/replay.h
@@ -381,7 +381,7 @@
 };
 
 /* Executes an order on its worker. */
-static inline void replay_order(struct replay *r, const struct job_act *a)
+static inline void replay_order(struct replay *r, const struct job_order *a)
 {
 	struct replay_job job = {};
 	struct replay_job *at;
@@ -395,10 +395,10 @@
 		at = &g_array_index(r->running, struct replay_job, i);
 		if (at->id != a->job || at->attempt != a->attempt)
 			continue;
-		at->stop |= a->kind == JOB_ACT_STOP;
+		at->stop |= a->kind == JOB_ORDER_STOP;
 		return;
 	}
-	if (a->kind != JOB_ACT_START)
+	if (a->kind != JOB_ORDER_START)
 		return;
 	waited = r->now + 1 -
 		 GPOINTER_TO_INT(g_hash_table_lookup(r->submitted,
@@ -420,14 +420,14 @@
  */
 static inline void replay_jobs(struct replay *r)
 {
-	GArray *lists[2] = {r->job_out.urgent, r->job_out.acts};
+	GArray *lists[2] = {r->job_out.urgent, r->job_out.orders};
 	struct replay_job at;
 	guint i;
 	int w;
 
 	for (w = 0; w < r->workers; w++)
 		if (!r->cut_worker[w])
-			job_lease(r->j, w, r->now + REPLAY_LEASE_MS);
+			job_renew_lease(r->j, w, r->now + REPLAY_LEASE_MS);
 	for (i = 0; i < r->running->len; i++) {
 		at = g_array_index(r->running, struct replay_job, i);
 		if (r->cut_worker[at.worker] ||
@@ -435,19 +435,19 @@
 		     !r->bad_worker[at.worker]))
 			continue;
 		g_array_remove_index(r->running, i--);
-		job_report(r->j, at.id, at.attempt,
-			   at.stop		      ? JOB_STOPPED
-			   : r->bad_worker[at.worker] ? JOB_FAIL
-						      : JOB_COMPLETE,
-			   false, &r->job_out);
+		job_report_end(r->j, at.id, at.attempt,
+			       at.stop			  ? JOB_STOPPED
+			       : r->bad_worker[at.worker] ? JOB_FAIL
+							  : JOB_COMPLETE,
+			       false, &r->job_out);
 	}
-	while (!job_step(r->j, r->now, 1000, &r->job_out))
+	while (!job_schedule(r->j, r->now, 1000, &r->job_out))
 		;
 	for (w = 0; w < 2; w++)
 		for (i = 0; i < lists[w]->len; i++)
-			replay_order(r, &g_array_index(lists[w], struct job_act,
-						       i));
-	r->outcomes += (int)r->job_out.told->len;
+			replay_order(r, &g_array_index(lists[w],
+						       struct job_order, i));
+	r->outcomes += (int)r->job_out.outcomes->len;
 	job_out_clear(&r->job_out);
 }
 
