--- a/tests/unit/sch_test.c
+++ b/tests/unit/sch_test.c
@@ -52,7 +52,7 @@
 	g_string_append_printf(b->log, "%s.%u.%u@%s ", n->id, n->step, n->index,
 			       w->info.id);
 	if (b->proposes)
-		jtb_plan(job, n, w);
+		jtb_propose_start(job, n, w);
 	else
 		jobs_start(b->jtb, n->id, n->step, n->index, attempt,
 			   w->info.id);
@@ -113,7 +113,7 @@
 {
 	struct jtb_step s = {.count = count,
 			     .cpu = cpu,
-			     .guess_ms = guess_ms,
+			     .estimate_ms = guess_ms,
 			     .flags = flags};
 
 	jobs_job(b->jtb, id, &s, 1, b->wall - age_ms);
@@ -199,13 +199,13 @@
 	fail_on(b, 1, "w1");
 	fail_on(b, 2, "w1");
 	fail_on(b, 3, "w1");
-	job(b, "l", 1, 8000, 0, JTB_LASTS, 0);
+	job(b, "l", 1, 8000, 0, JTB_LONG_RUNNING, 0);
 	plan(b);
 	assert_string_equal(b->log->str, "");
 	/* it has failed before, and something runs there */
 	jobs_start(b->jtb, "l", 0, 0, 1, "w2");
 	jobs_end(b->jtb, "l", 0, 0, 1, "w2", JTB_FAILED_RUN);
-	job(b, "m", 1, 100, 0, JTB_LASTS, 0);
+	job(b, "m", 1, 100, 0, JTB_LONG_RUNNING, 0);
 	jobs_start(b->jtb, "m", 0, 0, 1, "w1");
 	b->later_ms = 5000;
 	plan(b);
@@ -259,7 +259,9 @@
 	old = jtb_job(b->jtb, id);
 	if (old)
 		jobs_end(b->jtb, id, 0, 0, 1,
-			 jtb_part(old, 0, 0)->tasks[0].run->worker->info.id,
+			 jtb_step_state(old, 0, 0)
+				 ->tasks[0]
+				 .run->worker->info.id,
 			 JTB_DONE);
 }
 
@@ -281,8 +283,8 @@
 	job(b, "burst", 12, 4000, 500, 0, 0);
 	plan(b);
 	for (i = 0; i < 12; i++) {
-		const struct jtb_part *part =
-			jtb_part(jtb_job(b->jtb, "burst"), 0, 0);
+		const struct jtb_step_state *part =
+			jtb_step_state(jtb_job(b->jtb, "burst"), 0, 0);
 
 		pass(b, i);
 		jobs_end(b->jtb, "burst", 0, (uint32_t)i, 1,
@@ -340,8 +342,10 @@
 {
 	static char nobody[] = "nobody-has-it";
 	struct bed *b = *state;
-	struct jtb_step s = {
-		.count = 1, .cpu = 1000, .flags = JTB_LASTS, .label = nobody};
+	struct jtb_step s = {.count = 1,
+			     .cpu = 1000,
+			     .flags = JTB_LONG_RUNNING,
+			     .label = nobody};
 	char id[16];
 	int i;
 
@@ -351,7 +355,7 @@
 		g_snprintf(id, sizeof(id), "never%d", i);
 		jobs_job(b->jtb, id, &s, 1, b->wall);
 		g_snprintf(id, sizeof(id), "large%d", i);
-		job(b, id, 1, 32000 + (uint32_t)i, 1000, JTB_LASTS, 0);
+		job(b, id, 1, 32000 + (uint32_t)i, 1000, JTB_LONG_RUNNING, 0);
 	}
 	job(b, "a", 1, 1000, 1000, 0, 0);
 	plan(b);
@@ -370,7 +374,7 @@
 	jobs_worker(b->jtb, "w", 1000, false);
 	job(b, "sure", 1, 1000, 1000, 0, 0);
 	job(b, "high", 1, 1000, 500, 0, 700);
-	jtb_job(b->jtb, "high")->scale = 0.5;
+	jtb_job(b->jtb, "high")->estimate_ratio = 0.5;
 	plan(b);
 	assert_string_equal(b->log->str, "sure.0.0@w ");
 }
@@ -398,7 +402,7 @@
 
 	jobs_worker(b->jtb, "w", 2000, false);
 	job(b, "s1", 2, 1000, 100, 0, 0);
-	job(b, "l1", 1, 1500, 0, JTB_LASTS, 0);
+	job(b, "l1", 1, 1500, 0, JTB_LONG_RUNNING, 0);
 	plan(b);
 	assert_string_equal(b->log->str, "l1.0.0@w ");
 }
@@ -412,8 +416,8 @@
 	struct bed *b = *state;
 	struct jtb_step s = {.count = 2,
 			     .cpu = 500,
-			     .guess_ms = 100,
-			     .per_worker = 1,
+			     .estimate_ms = 100,
+			     .max_per_worker = 1,
 			     .flags = JTB_GANG};
 
 	jobs_worker(b->jtb, "w1", 2000, false);
@@ -430,8 +434,10 @@
 static void what_runs_counts_for_what_is_kept_apart(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {
-		.count = 2, .cpu = 500, .guess_ms = 100, .per_worker = 1};
+	struct jtb_step s = {.count = 2,
+			     .cpu = 500,
+			     .estimate_ms = 100,
+			     .max_per_worker = 1};
 
 	jobs_worker(b->jtb, "w1", 2000, false);
 	jobs_job(b->jtb, "a", &s, 1, b->wall);
@@ -473,15 +479,17 @@
 static void a_start_on_its_way_outlives_its_worker(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {
-		.count = 2, .cpu = 500, .guess_ms = 100, .per_worker = 1};
+	struct jtb_step s = {.count = 2,
+			     .cpu = 500,
+			     .estimate_ms = 100,
+			     .max_per_worker = 1};
 
 	b->proposes = true;
 	jobs_worker(b->jtb, "w1", 2000, false);
 	jobs_job(b->jtb, "a", &s, 1, b->wall);
 	plan(b);
 	assert_string_equal(b->log->str, "a.0.0@w1 ");
-	jobs_gone(b->jtb, "w1", true);
+	jobs_worker_lost(b->jtb, "w1", true);
 	jobs_worker(b->jtb, "w2", 2000, false);
 	plan(b);
 	assert_string_equal(b->log->str, "a.0.1@w2 ");
@@ -494,7 +502,7 @@
 	jobs_worker(b->jtb, "w", 2000, false);
 	job(b, "s1", 2, 1000, 100, 0, 0);
 	plan(b);
-	job(b, "l1", 1, 1500, 0, JTB_LASTS, 0);
+	job(b, "l1", 1, 1500, 0, JTB_LONG_RUNNING, 0);
 	job(b, "s2", 2, 1000, 100, 0, 0);
 	jobs_end(b->jtb, "s1", 0, 0, 1, "w", JTB_DONE);
 	plan(b);
@@ -558,7 +566,7 @@
 {
 	struct bed *b = *state;
 	struct jtb_step s = {
-		.count = 3, .cpu = 100, .guess_ms = 10, .per_worker = 1};
+		.count = 3, .cpu = 100, .estimate_ms = 10, .max_per_worker = 1};
 
 	jobs_worker(b->jtb, "w1", 9000, false);
 	jobs_worker(b->jtb, "w2", 9000, false);
@@ -574,18 +582,18 @@
 {
 	struct bed *b = *state;
 	struct jtb_step s = {
-		.count = 3, .cpu = 100, .guess_ms = 10, .per_worker = 1};
-	const struct jtb_part *part;
+		.count = 3, .cpu = 100, .estimate_ms = 10, .max_per_worker = 1};
+	const struct jtb_step_state *part;
 
 	b->proposes = true;
 	jobs_worker(b->jtb, "w1", 9000, false);
 	jobs_worker(b->jtb, "w2", 9000, false);
 	jobs_job(b->jtb, "a", &s, 1, b->wall);
 	plan(b);
-	part = &jtb_job(b->jtb, "a")->turns[0].parts[0];
-	assert_int_equal(part->n_planned, 2);
+	part = &jtb_job(b->jtb, "a")->turns[0].steps[0];
+	assert_int_equal(part->n_proposed, 2);
 	plan(b);
-	assert_int_equal(part->n_planned, 2);
+	assert_int_equal(part->n_proposed, 2);
 }
 
 /*
@@ -601,11 +609,11 @@
 	job(b, "a", 1, 100, 10, 0, 0);
 	plan(b);
 	jobs_end(b->jtb, "a", 0, 0, 1, "w", JTB_FAILED_RUN);
-	task = &jtb_job(b->jtb, "a")->turns[0].parts[0].tasks[0];
-	task->free_ms = PLAN_MS;
+	task = &jtb_job(b->jtb, "a")->turns[0].steps[0].tasks[0];
+	task->last_end_ms = PLAN_MS;
 	plan(b);
 	assert_string_equal(b->log->str, "");
-	task->free_ms = 0;
+	task->last_end_ms = 0;
 	plan(b);
 	assert_string_equal(b->log->str, "a.0.0@w ");
 }
@@ -615,7 +623,7 @@
 	struct bed *b = *state;
 	char label[] = "kind-b";
 	struct jtb_step s = {
-		.count = 1, .cpu = 100, .guess_ms = 10, .label = label};
+		.count = 1, .cpu = 100, .estimate_ms = 10, .label = label};
 
 	jobs_worker(b->jtb, "w1", 9000, false);
 	jobs_job(b->jtb, "a", &s, 1, b->wall);
@@ -646,7 +654,7 @@
 static void a_time_is_waited_for(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {.count = 1, .cpu = 100, .guess_ms = 10};
+	struct jtb_step s = {.count = 1, .cpu = 100, .estimate_ms = 10};
 	struct jtb_spec spec = {
 		.id = "r",
 		.queue = (char *)"q",
@@ -678,7 +686,7 @@
 	jobs_worker(b->jtb, "w1", 16000, false);
 	jobs_worker(b->jtb, "w2", 8000, false);
 	b->leaving = "w1";
-	job(b, "l", 1, 1000, 0, JTB_LASTS, 0);
+	job(b, "l", 1, 1000, 0, JTB_LONG_RUNNING, 0);
 	plan(b);
 	assert_string_equal(b->log->str, "l.0.0@w2 ");
 }
@@ -705,15 +713,15 @@
 	struct bed *b = *state;
 	char label[] = "kind-none";
 	struct jtb_step label_step = {
-		.count = 1, .cpu = 100, .guess_ms = 10, .label = label};
-	struct jtb_step large = {.count = 1, .cpu = 5000, .guess_ms = 10};
+		.count = 1, .cpu = 100, .estimate_ms = 10, .label = label};
+	struct jtb_step large = {.count = 1, .cpu = 5000, .estimate_ms = 10};
 
 	jobs_worker(b->jtb, "w", 2000, false);
 	impossible(b, 60, &label_step);
 	job(b, "a", 1, 1000, 1000, 0, 60000);
 	plan(b);
 	assert_string_equal(b->log->str, "a.0.0@w ");
-	large.flags = JTB_LASTS;
+	large.flags = JTB_LONG_RUNNING;
 	jobs_end(b->jtb, "a", 0, 0, 1, "w", JTB_DONE);
 	jobs_job(b->jtb, "y", &large, 1, b->wall);
 	job(b, "b", 1, 1000, 1000, 0, 0);
@@ -728,10 +736,10 @@
 static void large_work_doesnt_hold_up_small(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step large = {.count = 1, .cpu = 2000, .guess_ms = 10};
+	struct jtb_step large = {.count = 1, .cpu = 2000, .estimate_ms = 10};
 
 	jobs_worker(b->jtb, "w", 2000, false);
-	job(b, "l", 1, 500, 0, JTB_LASTS, 0);
+	job(b, "l", 1, 500, 0, JTB_LONG_RUNNING, 0);
 	plan(b);
 	impossible(b, 60, &large);
 	job(b, "a", 1, 1000, 1000, 0, 60000);
@@ -749,10 +757,10 @@
 	struct bed *b = *state;
 
 	jobs_worker(b->jtb, "w", 2000, false);
-	job(b, "held", 1, 1000, 0, JTB_LASTS, 0);
+	job(b, "held", 1, 1000, 0, JTB_LONG_RUNNING, 0);
 	plan(b);
-	job(b, "large", 1, 1500, 0, JTB_LASTS, 0);
-	job(b, "small", 1, 500, 0, JTB_LASTS, 0);
+	job(b, "large", 1, 1500, 0, JTB_LONG_RUNNING, 0);
+	job(b, "small", 1, 500, 0, JTB_LONG_RUNNING, 0);
 	plan(b);
 	assert_string_equal(b->log->str, "small.0.0@w ");
 }
@@ -772,7 +780,7 @@
 	job(b, "s", 1, 1000, 100, 0, 0);
 	plan(b);
 	assert_int_equal(b->starved, 0);
-	job(b, "l", 1, 1000, 0, JTB_LASTS, 0);
+	job(b, "l", 1, 1000, 0, JTB_LONG_RUNNING, 0);
 	plan(b);
 	assert_string_equal(b->log->str, "");
 	assert_int_equal(b->starved, 1);
@@ -788,8 +796,8 @@
 	struct bed *b = *state;
 	struct jtb_step s = {.count = 2,
 			     .cpu = 100,
-			     .guess_ms = 10,
-			     .per_worker = 1,
+			     .estimate_ms = 10,
+			     .max_per_worker = 1,
 			     .flags = JTB_GANG};
 	struct jtb_spec spec = {
 		.id = "r",
@@ -825,10 +833,10 @@
 	struct bed *b = *state;
 
 	jobs_worker(b->jtb, "w", 2000, false);
-	job(b, "g", 4, 1000, 300, JTB_GANG | JTB_FILLS, 0);
+	job(b, "g", 4, 1000, 300, JTB_GANG | JTB_BEST_EFFORT, 0);
 	plan(b);
 	assert_int_equal(jtb_job(b->jtb, "g")->n_runs, 4);
-	assert_int_equal(jtb_worker(b->jtb, "w")->plan_cpu, 0);
+	assert_int_equal(jtb_worker(b->jtb, "w")->proposed_cpu, 0);
 }
 
 /*
@@ -840,7 +848,7 @@
 	struct bed *b = *state;
 
 	jobs_worker(b->jtb, "w", 2000, false);
-	job(b, "g", 3, 1000, 0, JTB_GANG | JTB_LASTS, 0);
+	job(b, "g", 3, 1000, 0, JTB_GANG | JTB_LONG_RUNNING, 0);
 	plan(b);
 	assert_string_equal(b->log->str, "");
 	assert_int_equal(b->starved, 1);
@@ -872,7 +880,7 @@
 	need_tickets(b, "");
 	for (i = 0; i < 60; i++) {
 		g_snprintf(id, sizeof(id), "n%d", i);
-		job(b, id, 1, 1000, 300, JTB_LASTS, 0);
+		job(b, id, 1, 1000, 300, JTB_LONG_RUNNING, 0);
 	}
 	job(b, "g", 2, 1000, 300, JTB_GANG, 0);
 	job(b, "y", 1, 1000, 300, 0, 0);
@@ -949,8 +957,8 @@
 {
 	struct jtb_step s = {.count = count,
 			     .cpu = 1000,
-			     .guess_ms = 500,
-			     .flags = JTB_GANG | JTB_ONE_RACK,
+			     .estimate_ms = 500,
+			     .flags = JTB_GANG | JTB_RACK_SENSITIVE,
 			     .rack = (char *)data_rack};
 
 	jobs_job(b->jtb, id, &s, 1, b->wall);
@@ -1055,7 +1063,7 @@
 	g_strlcpy(n.id, id, sizeof(n.id));
 	g_array_append_val(blame.suspects, n);
 	pk_out_init(&o);
-	jtb_put_lost(&o, "gone", true, &blame, JOBS_WALL_MS);
+	jtb_put_worker_crashed(&o, "gone", true, &blame, JOBS_WALL_MS);
 	jobs_apply(b->jtb, &o);
 	jtb_blame_clear(&blame);
 }
@@ -1064,11 +1072,11 @@
 static void seen(struct bed *b, const char *id, int64_t ms)
 {
 	struct jtb_run *run =
-		jtb_job(b->jtb, id)->turns[0].parts[0].tasks[0].run;
+		jtb_job(b->jtb, id)->turns[0].steps[0].tasks[0].run;
 
 	assert_non_null(run);
-	run->began_ms = 1;
-	run->seen_ms = 1 + ms;
+	run->first_running_ms = 1;
+	run->last_running_ms = 1 + ms;
 }
 
 /* Innocent tasks are suspected with the one that crashes its worker. */
--- a/tests/unit/upk_test.c
+++ b/tests/unit/upk_test.c
@@ -38,7 +38,7 @@
 	struct bed *b = arg;
 
 	b->stops++;
-	run->stop = true;
+	run->stop_wanted = true;
 }
 
 static void bed_order(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm)
@@ -207,7 +207,7 @@
 
 static void short_job(struct bed *b, const char *id)
 {
-	struct jtb_step s = {.count = 1, .cpu = 1000, .guess_ms = 500};
+	struct jtb_step s = {.count = 1, .cpu = 1000, .estimate_ms = 500};
 
 	jobs_job(b->jtb, id, &s, 1, JOBS_WALL_MS);
 	jobs_start(b->jtb, id, 0, 0, 1, "w1");
@@ -454,7 +454,7 @@
 	wave(b, 1, WITHIN_MS);
 	ticks(b, 3);
 	assert_true(closed(b, "w1"));
-	jobs_gone(b->jtb, "w1", true);
+	jobs_worker_lost(b->jtb, "w1", true);
 	jobs_worker(b->jtb, "w1b", 16000, false);
 	g_free(vm_of(b, "vm1")->worker);
 	vm_of(b, "vm1")->worker = g_strdup("w1b");
@@ -476,7 +476,7 @@
 	ticks(b, 3);
 	assert_int_equal(b->orders, 1);
 	upk_answered(b->upk, "vm1", VMS_UNANSWERED, b->now);
-	jobs_gone(b->jtb, "w1", true);
+	jobs_worker_lost(b->jtb, "w1", true);
 	vm_of(b, "vm1")->state = VMS_DOWN;
 	*vm_of(b, "vm1")->worker = '\0';
 	ticks(b, 3);
@@ -555,7 +555,7 @@
 		if (!upk_holds(b->upk, vm->name))
 			continue;
 		upk_answered(b->upk, vm->name, VMS_YES, b->now);
-		jobs_gone(b->jtb, vm->worker, true);
+		jobs_worker_lost(b->jtb, vm->worker, true);
 		*vm->worker = '\0';
 		vm->state = i ? VMS_DOWN : VMS_UPKEEP;
 	}
@@ -580,15 +580,17 @@
 static void a_cut_is_waited_for(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {
-		.count = 2, .cpu = 1000, .may_miss = 1, .flags = JTB_LASTS};
-	const struct jtb_part *part;
+	struct jtb_step s = {.count = 2,
+			     .cpu = 1000,
+			     .may_miss = 1,
+			     .flags = JTB_LONG_RUNNING};
+	const struct jtb_step_state *part;
 
 	vm_add(b, "vm2", "w2");
 	jobs_job(b->jtb, "l", &s, 1, JOBS_WALL_MS);
 	jobs_start(b->jtb, "l", 0, 0, 1, "w1");
 	jobs_start(b->jtb, "l", 0, 1, 1, "w2");
-	part = &jtb_job(b->jtb, "l")->turns[0].parts[0];
+	part = &jtb_job(b->jtb, "l")->turns[0].steps[0];
 	part->tasks[0].run->percent = 100;
 	part->tasks[1].run->percent = 100;
 	b->unreached = true;
@@ -603,17 +605,19 @@
 }
 
 /* Two VMs of a late wave, each with a task of what lasts; both are at work. */
-static const struct jtb_part *lasting_on_two(struct bed *b)
+static const struct jtb_step_state *lasting_on_two(struct bed *b)
 {
-	struct jtb_step s = {
-		.count = 2, .cpu = 1000, .may_miss = 1, .flags = JTB_LASTS};
-	const struct jtb_part *part;
+	struct jtb_step s = {.count = 2,
+			     .cpu = 1000,
+			     .may_miss = 1,
+			     .flags = JTB_LONG_RUNNING};
+	const struct jtb_step_state *part;
 
 	vm_add(b, "vm2", "w2");
 	jobs_job(b->jtb, "l", &s, 1, JOBS_WALL_MS);
 	jobs_start(b->jtb, "l", 0, 0, 1, "w1");
 	jobs_start(b->jtb, "l", 0, 1, 1, "w2");
-	part = &jtb_job(b->jtb, "l")->turns[0].parts[0];
+	part = &jtb_job(b->jtb, "l")->turns[0].steps[0];
 	part->tasks[0].run->percent = 100;
 	part->tasks[1].run->percent = 100;
 	wave(b, 2, 1);
@@ -628,23 +632,23 @@
 static void a_failure_while_emptying_gives_back(void **state)
 {
 	struct bed *b = *state;
-	const struct jtb_part *part = lasting_on_two(b);
+	const struct jtb_step_state *part = lasting_on_two(b);
 
 	tick(b);
 	assert_true(closed(b, "w1"));
 	assert_true(closed(b, "w2"));
 	jobs_end(b->jtb, "l", 0, 1, 1, "w2", JTB_LOST);
 	ticks(b, 50);
-	assert_false(part->tasks[0].run->stop);
+	assert_false(part->tasks[0].run->stop_wanted);
 	assert_false(closed(b, "w1"));
 	assert_string_equal(b->ordered, "vm2");
 	have_upkeep(b, "vm2");
 	ticks(b, 3);
-	assert_false(part->tasks[0].run->stop);
+	assert_false(part->tasks[0].run->stop_wanted);
 	jobs_start(b->jtb, "l", 0, 1, 2, "w2");
 	part->tasks[1].run->percent = 100;
 	ticks(b, 3);
-	assert_true(part->tasks[0].run->stop);
+	assert_true(part->tasks[0].run->stop_wanted);
 }
 
 /*
@@ -655,11 +659,11 @@
 static void what_cant_be_emptied_isnt_closed(void **state)
 {
 	struct bed *b = *state;
-	const struct jtb_part *part = lasting_on_two(b);
+	const struct jtb_step_state *part = lasting_on_two(b);
 
 	part->tasks[1].run->percent = 10;
 	ticks(b, 5);
-	assert_true(part->tasks[1].run->stop);
+	assert_true(part->tasks[1].run->stop_wanted);
 	assert_true(closed(b, "w2"));
 	assert_false(closed(b, "w1"));
 	jobs_end(b->jtb, "l", 0, 1, 1, "w2", JTB_STOPPED);
@@ -705,25 +709,27 @@
 static void work_that_lasts_keeps_its_budget(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {
-		.count = 3, .cpu = 1000, .may_miss = 1, .flags = JTB_LASTS};
-	const struct jtb_part *part;
+	struct jtb_step s = {.count = 3,
+			     .cpu = 1000,
+			     .may_miss = 1,
+			     .flags = JTB_LONG_RUNNING};
+	const struct jtb_step_state *part;
 	struct jtb_run *run;
 	uint32_t i;
 
 	jobs_job(b->jtb, "l", &s, 1, JOBS_WALL_MS);
 	for (i = 0; i < 3; i++)
 		jobs_start(b->jtb, "l", 0, i, 1, "w1");
-	part = &jtb_job(b->jtb, "l")->turns[0].parts[0];
+	part = &jtb_job(b->jtb, "l")->turns[0].steps[0];
 	run = part->tasks[0].run;
 	/* the others have begun and aren't at work yet */
 	assert_false(upk_may_stop(b->upk, run));
 	for (i = 0; i < 3; i++)
 		part->tasks[i].run->percent = 100;
 	assert_true(upk_may_stop(b->upk, run));
-	part->tasks[1].run->stop = true;
+	part->tasks[1].run->stop_wanted = true;
 	assert_false(upk_may_stop(b->upk, run));
-	part->tasks[1].run->stop = false;
+	part->tasks[1].run->stop_wanted = false;
 	b->unreached = true;
 	assert_false(upk_may_stop(b->upk, run));
 	b->unreached = false;
@@ -740,8 +746,10 @@
 static void a_pool_is_not_closed_for_good(void **state)
 {
 	struct bed *b = *state;
-	struct jtb_step s = {
-		.count = 2, .cpu = 1000, .may_miss = 1, .flags = JTB_LASTS};
+	struct jtb_step s = {.count = 2,
+			     .cpu = 1000,
+			     .may_miss = 1,
+			     .flags = JTB_LONG_RUNNING};
 	bool open = false;
 	int i;
 
--- a/tests/unit/wkr_test.c
+++ b/tests/unit/wkr_test.c
@@ -341,7 +341,7 @@
 {
 	char queue[] = "q";
 	char text[] = "t";
-	struct jtb_step step = {.count = 1, .cpu = 1000, .guess_ms = 100};
+	struct jtb_step step = {.count = 1, .cpu = 1000, .estimate_ms = 100};
 	struct jtb_spec spec = {.id = "j",
 				.queue = queue,
 				.text = text,
@@ -545,14 +545,14 @@
 	b->silent_starts = 1;
 	b->lists = false;
 	start(b);
-	b->run->job->unseen = true;
+	b->run->job->start_unconfirmed = true;
 	wait_for(b, &b->starts);
 	net_run(b->base, 50);
-	assert_int_equal(jtb_pending(b->jtb, "q"), 1);
+	assert_int_equal(jtb_count_pending(b->jtb, "q"), 1);
 	b->seen = 0;
 	b->lists = true;
 	wait_for(b, &b->seen);
-	assert_int_equal(jtb_pending(b->jtb, "q"), 0);
+	assert_int_equal(jtb_count_pending(b->jtb, "q"), 0);
 }
 
 /* An order that was taken is held on to, and asked after. */
@@ -767,7 +767,7 @@
 	wait_for(b, &b->gone);
 	wkr_run_over(b->wkr, b->run);
 	pk_out_init(&o);
-	jtb_put_gone(&o, "w", false);
+	jtb_put_worker_lost(&o, "w", false);
 	apply(b, &o);
 	wkr_worker(b->wkr, w);
 	b->silent_stops = 1;
@@ -979,7 +979,7 @@
 	wkr_lead(b->wkr, FENCE + 2);
 	net_run(b->base, SETTLE_MS);
 	assert_int_equal(b->stops, 0);
-	assert_false(jtb_leaves(b->run));
+	assert_false(jtb_run_is_stopping(b->run));
 }
 
 /* A stop that was agreed on is never carried out: its leader was lost first. */
@@ -1217,7 +1217,7 @@
 
 	b->advised = true;
 	start(b);
-	b->run->may_be_there = true;
+	b->run->may_have_started = true;
 	net_run(b->base, SETTLE_MS);
 	assert_int_equal(b->starts, 0);
 	assert_int_equal(b->stops, 1);
--- a/tools/endive-job.c
+++ b/tools/endive-job.c
@@ -156,8 +156,8 @@
 			long long id, int64_t end_ms)
 {
 	const struct jtb_step steps[] = {
-		{.count = (uint32_t)f->tasks, .cpu = 500, .guess_ms = 200},
-		{.count = (uint32_t)f->tasks, .cpu = 500, .guess_ms = 200},
+		{.count = (uint32_t)f->tasks, .cpu = 500, .estimate_ms = 200},
+		{.count = (uint32_t)f->tasks, .cpu = 500, .estimate_ms = 200},
 	};
 	struct evbuffer *body = evbuffer_new();
 	char *uri = g_strdup_printf("/%s/%016llx", f->pool, id);
--- a/tools/endive-worker.c
+++ b/tools/endive-worker.c
@@ -141,12 +141,12 @@
 	char task[JTB_ID_MAX + 40];
 	guint i;
 
-	jtb_name_text(&o->name, task, sizeof(task));
+	jtb_name_format(&o->name, task, sizeof(task));
 	for (i = 0; i < w->runs->len; i++) {
 		const struct worker_run *r =
 			&g_array_index(w->runs, struct worker_run, i);
 
-		if (jtb_name_same(&r->name, &o->name) &&
+		if (jtb_name_equal(&r->name, &o->name) &&
 		    r->attempt == o->attempt)
 			return NULL;
 	}
@@ -185,13 +185,13 @@
 	char task[JTB_ID_MAX + 40];
 	guint i;
 
-	jtb_name_text(&o->name, task, sizeof(task));
+	jtb_name_format(&o->name, task, sizeof(task));
 	worker_never(w, task, o->attempt);
 	for (i = w->runs->len; i > 0; i--) {
 		const struct worker_run *r =
 			&g_array_index(w->runs, struct worker_run, i - 1);
 
-		if (jtb_name_same(&r->name, &o->name) &&
+		if (jtb_name_equal(&r->name, &o->name) &&
 		    r->attempt == o->attempt)
 			worker_end(w, i - 1, JTB_STOPPED);
 	}
@@ -211,7 +211,7 @@
 	};
 	char task[JTB_ID_MAX + 40];
 
-	jtb_name_text(&r->name, task, sizeof(task));
+	jtb_name_format(&r->name, task, sizeof(task));
 	printf("%s %s %u\n", jtb_end_name(how), task, r->attempt);
 	fflush(stdout);
 	worker_never(w, task, r->attempt);
@@ -274,7 +274,7 @@
 			&g_array_index(w->runs, struct worker_run, i - 1);
 
 		if (w->lease_ms && now > w->lease_ms)
-			worker_end(w, i - 1, JTB_LAPSED);
+			worker_end(w, i - 1, JTB_LEASE_EXPIRED);
 		else if (now >= r->ends_ms)
 			worker_end(w, i - 1,
 				   worker_chance(w, w->fail_percent)
