--- a/src/adm.c
+++ b/src/adm.c
@@ -74,12 +74,12 @@
 
 /*
  * Sets the numbers of entry VMs in the own zone (entries, including this one)
- * and in all other zones together (entries_away).
+ * and in all other zones together (entries_elsewhere).
  */
-void adm_set_entries(struct adm *a, int entries, int entries_away)
+void adm_set_entries(struct adm *a, int entries, int entries_elsewhere)
 {
 	a->conf.entries = entries;
-	a->conf.entries_away = entries_away;
+	a->conf.entries_away = entries_elsewhere;
 }
 
 static struct adm_pool *adm_pool_new(void)
--- a/src/adm.h
+++ b/src/adm.h
@@ -18,9 +18,9 @@
  */
 struct adm;
 
-#define ADM_ZONES_MAX 16
-#define ADM_POOLS_MAX 1024
-#define ADM_NEVER INT64_MAX
+#define ADM_ZONES_MAX 16 /* zones are numbered from 0 */
+#define ADM_POOLS_MAX 1024 /* pools are numbered from 0 */
+#define ADM_NEVER INT64_MAX /* a time that is not reached */
 
 /* Identifies a running, queued or shifted request; 0 is never used. */
 typedef uint64_t adm_ticket;
@@ -44,6 +44,7 @@
 	int priority; /* a larger one may use more of the queue memory */
 };
 
+/* Whether a target gets new requests. */
 enum adm_target_state {
 	ADM_SERVING,
 	ADM_NO_NEW_WORK, /* leaving, drained or expired; running work goes on */
@@ -90,7 +91,7 @@
 	ADM_DEADLINE_SHORT, /* too short even for an idle target */
 	ADM_DEADLINE_LOAD, /* can't be met at the current load */
 	ADM_QUEUE_WAIT, /* would wait, or has waited, longer than allowed */
-	ADM_QUEUE_FULL, /* the memory for queued requests is used up */
+	ADM_QUEUE_FULL, /* no queue memory for this caller or pool */
 	ADM_ZONE_FULL, /* shifted to this zone, which has no spare capacity */
 	ADM_MAY_HAVE_RUN, /* not repeatable, and its outcome is unknown */
 	ADM_RETRY_BUDGET, /* retry budget spent: it would add to an overload */
@@ -98,6 +99,7 @@
 	ADM_REASONS
 };
 
+/* The decision about a request. */
 struct adm_verdict {
 	enum adm_kind kind;
 	enum adm_reason reason;
@@ -115,7 +117,7 @@
 	ADM_DONE_UNSENT, /* no connection: not run */
 	ADM_DONE_FAILED, /* 5xx, reset or truncated: may have run */
 	ADM_DONE_TIMEOUT, /* no answer in time: may have run */
-	ADM_DONE_LEFT, /* cancelled by the caller; no sign of target health */
+	ADM_DONE_LEFT, /* the caller left; no sign of target health */
 };
 
 /* The end of an attempt and what the answer reported. */
@@ -159,7 +161,7 @@
 
 struct adm *adm_new(const struct adm_config *config);
 void adm_free(struct adm *a);
-void adm_set_entries(struct adm *a, int entries, int entries_away);
+void adm_set_entries(struct adm *a, int entries, int entries_elsewhere);
 
 bool adm_pool_set(struct adm *a, uint32_t pool,
 		  const struct adm_pool_spec *spec);
@@ -181,7 +183,7 @@
 		int64_t *next);
 
 void adm_zone_room(struct adm *a, int64_t now, uint32_t pool, int zone,
-		   struct adm_room room, int64_t age_us);
+		   struct adm_room capacity, int64_t age_us);
 struct adm_room adm_room(struct adm *a, int64_t now, uint32_t pool);
 
 struct adm_stats adm_stats(const struct adm *a);
--- a/src/adm_int.h
+++ b/src/adm_int.h
@@ -7,8 +7,8 @@
 
 /* Internal to the files of adm. */
 
-#define ADM_MS INT64_C(1000)
-#define ADM_SEC INT64_C(1000000)
+#define ADM_MS INT64_C(1000) /* us */
+#define ADM_SEC INT64_C(1000000) /* us */
 
 /*
  * A binary min-heap of nodes embedded in other structures. Each node stores its
--- a/src/adm_retry.c
+++ b/src/adm_retry.c
@@ -61,7 +61,8 @@
 /*
  * Ends an attempt as adm_done does, and decides about another attempt of the
  * same request. The verdict is as for adm_offer; the ticket stays the same,
- * unless the request is refused.
+ * unless the request is refused. A ticket that has ended or is queued is
+ * refused with ADM_RETRY_COUNT and changes nothing.
  */
 struct adm_verdict adm_retry(struct adm *a, int64_t now, adm_ticket ticket,
 			     const struct adm_result *result)
@@ -113,9 +114,10 @@
 
 /*
  * Decides about a hedge, which is a second attempt in parallel to a running one
- * that takes long. A hedge has its own ticket. The first answer is used; the
- * other attempt must be ended with ADM_DONE_LEFT. Hedges are refused while
- * requests wait, as these need free slots more.
+ * that takes long. The verdict is ADM_RUN, with a ticket for the hedge, or
+ * ADM_REFUSE. The first answer is used; the other attempt must be ended with
+ * ADM_DONE_LEFT. Hedges are refused while requests wait, as these need free
+ * slots more.
  */
 struct adm_verdict adm_hedge(struct adm *a, int64_t now, adm_ticket ticket)
 {
--- a/src/adm_shift.c
+++ b/src/adm_shift.c
@@ -181,7 +181,7 @@
  * replaced.
  */
 void adm_zone_room(struct adm *a, int64_t now, uint32_t pool, int zone,
-		   struct adm_room room, int64_t age_us)
+		   struct adm_room capacity, int64_t age_us)
 {
 	struct adm_pool *p = adm_pool_find(a, pool);
 	uint32_t senders =
@@ -195,7 +195,7 @@
 		return;
 	credit->has_report = true;
 	credit->reported_at = now - age_us;
-	if (!room.free) {
+	if (!capacity.free) {
 		credit->sustained = credit->in_flight;
 		credit->peak = credit->in_flight;
 	} else if (now - credit->peak_since >= ADM_PEAK_WINDOW) {
@@ -203,8 +203,8 @@
 		credit->peak = credit->in_flight;
 		credit->peak_since = now;
 	}
-	credit->additional = (int)(room.free / senders);
-	if (adm_random(a, senders) < room.free % senders)
+	credit->additional = (int)(capacity.free / senders);
+	if (adm_random(a, senders) < capacity.free % senders)
 		credit->additional++;
 }
 
