--- a/src/adm.c
+++ b/src/adm.c
@@ -519,7 +519,10 @@
 	return a->stats;
 }
 
-/* Returns the name of a reason as used in logs, metrics and answers. */
+/*
+ * Returns the name of a reason as used in logs, metrics and answers; "unknown"
+ * for a value that is no reason.
+ */
 const char *adm_reason_name(enum adm_reason reason)
 {
 	return reason >= 0 && reason < ADM_REASONS ? adm_reason_names[reason]
--- a/src/adm.h
+++ b/src/adm.h
@@ -113,7 +113,7 @@
 /* How an attempt ended. Only the time of ADM_DONE_OK is a service time. */
 enum adm_outcome {
 	ADM_DONE_OK, /* complete answer, also one with a client error (4xx) */
-	ADM_DONE_BUSY, /* rejected by target or zone as overloaded: not run */
+	ADM_DONE_BUSY, /* overload refusal by target or zone: not run */
 	ADM_DONE_UNSENT, /* no connection: not run */
 	ADM_DONE_FAILED, /* 5xx, reset or truncated: may have run */
 	ADM_DONE_TIMEOUT, /* no answer in time: may have run */
--- a/src/adm_health.c
+++ b/src/adm_health.c
@@ -157,7 +157,7 @@
 }
 
 /*
- * Records the outcome of an attempt. Refusals as overloaded and cancellations
+ * Records the outcome of an attempt. Overload refusals and cancellations
  * say nothing about the health of a target, and are ignored.
  */
 void adm_health_record(struct adm *a, struct adm_pool *p, struct adm_target *t,
--- a/src/adm_int.h
+++ b/src/adm_int.h
@@ -1,12 +1,12 @@
 #ifndef ADM_INT_H
 #define ADM_INT_H
 
+/* Structures and functions internal to the files of adm. */
+
 #include <glib.h>
 
 #include "adm.h"
 
-/* Internal to the files of adm. */
-
 #define ADM_MS INT64_C(1000) /* us */
 #define ADM_SEC INT64_C(1000000) /* us */
 
@@ -53,6 +53,7 @@
 	ADM_LIST_NONE = ADM_LISTS, /* no free slot, leaving or ejected */
 };
 
+/* The health of a target, as judged by its answers to this entry VM. */
 enum adm_health {
 	ADM_HEALTHY,
 	ADM_SLOW,
@@ -70,7 +71,7 @@
 	double others_busy;
 	int64_t others_updated_at;
 	int64_t others_decay_us; /* others_busy decays to 0 over this time */
-	int busy_streak; /* consecutive refusals as overloaded */
+	int busy_streak; /* consecutive overload refusals */
 	/* adm_health */
 	enum adm_health health;
 	double fail_rate; /* EWMA, 0 to 1 */
--- a/src/adm_retry.c
+++ b/src/adm_retry.c
@@ -43,8 +43,8 @@
 /*
  * Returns why a request must not be attempted again, or ADM_OK. A request that
  * may have run is retried only if it is repeatable. A request that was refused
- * as overloaded did not run and held no slot: it uses no token, and is limited
- * by the longest wait and its deadline like any waiting request.
+ * because of overload did not run and held no slot: it uses no token, and is
+ * limited by the longest wait and its deadline like any waiting request.
  */
 static enum adm_reason adm_retry_check(struct adm_pool *p, struct adm_req *r,
 				       enum adm_outcome outcome)
@@ -115,9 +115,9 @@
 /*
  * Decides about a hedge, which is a second attempt in parallel to a running one
  * that takes long. The verdict is ADM_RUN, with a ticket for the hedge, or
- * ADM_REFUSE. The first answer is used; the other attempt must be ended with
- * ADM_DONE_LEFT. Hedges are refused while requests wait, as these need free
- * slots more.
+ * ADM_REFUSE. The first answer is used; the other attempt must end with
+ * ADM_DONE_LEFT. Hedges are refused while requests wait, as these need
+ * free slots more.
  */
 struct adm_verdict adm_hedge(struct adm *a, int64_t now, adm_ticket ticket)
 {
--- a/src/adm_share.c
+++ b/src/adm_share.c
@@ -2,11 +2,11 @@
 
 /*
  * Sharing of a target's slots between entry VMs, based on what the target's
- * answers report: busy slots, and refusals as overloaded. Busy slots that this
- * entry VM doesn't hold are attributed to the others. Their number decays with
- * time, since no message reports the end of other VMs' requests. A slot freed
- * by a request of this VM is known to be free: under saturation each VM reuses
- * the slots that it holds, and asks for more only as the number decays.
+ * answers report: busy slots, and refusals because of overload. Busy slots that
+ * this entry VM doesn't hold are attributed to the others. Their number decays
+ * with time, since no message reports the end of other VMs' requests. A slot
+ * freed by a request of this VM is known to be free: under saturation each VM
+ * reuses the slots that it holds, and asks for more only as the number decays.
  */
 
 /*
@@ -19,9 +19,10 @@
 #define ADM_DECAY_DEFAULT (200 * ADM_MS)
 
 /*
- * Exponential backoff: each consecutive refusal as overloaded doubles the decay
- * time, up to 32 times. At saturation every entry VM tries every target, and
- * each refused attempt costs the target an answer and the request a round trip.
+ * Exponential backoff: each consecutive refusal because of overload doubles the
+ * decay time, up to 32 times. At saturation every entry VM tries every target,
+ * and each refused attempt costs the target an answer and the request a round
+ * trip.
  */
 #define ADM_BACKOFF_DOUBLINGS 5
 
@@ -104,7 +105,7 @@
 }
 
 /*
- * Records a refusal as overloaded: other VMs hold all slots that this VM
+ * Records a refusal because of overload: other VMs hold all slots that this VM
  * doesn't.
  */
 void adm_share_refused(const struct adm_pool *p, struct adm_target *t,
