--- a/bench/adm_bench.c
+++ b/bench/adm_bench.c
@@ -411,7 +411,8 @@
 
 			for (o = 0; o < s->sc->entries; o++)
 				busy += s->held[o][t];
-			adm_target_busy(s->adm[e], s->now, (uint64_t)t, busy);
+			adm_target_set_busy(s->adm[e], s->now, (uint64_t)t,
+					    busy);
 		}
 	}
 	push(s, s->now + GOSSIP_EVERY, EV_GOSSIP, 0, NULL);
@@ -426,12 +427,13 @@
 
 	for (from = 0; from < all; from++) {
 		int zone = from / s->sc->entries;
-		struct adm_room r = adm_room(s->adm[from], s->now, 0);
+		struct adm_spare_capacity r =
+			adm_spare_capacity(s->adm[from], s->now, 0);
 
 		for (to = 0; to < all; to++)
 			if (to / s->sc->entries != zone)
-				adm_zone_room(s->adm[to], s->now, 0, zone, r,
-					      HALF_TRIP);
+				adm_set_zone_capacity(s->adm[to], s->now, 0,
+						      zone, r, HALF_TRIP);
 	}
 	push(s, s->now + ROOM_EVERY, EV_ROOM, 0, NULL);
 }
@@ -467,12 +469,12 @@
 		pool.slots = MAX(s->sc->slots / s->sc->entries, 1);
 	for (e = 0; e < zones * s->sc->entries; e++) {
 		int zone = e / s->sc->entries;
-		const struct adm_config conf = {.seed = (uint64_t)e + 1,
-						.zone = zone,
-						.entries_away = (zones - 1) *
-								s->sc->entries,
-						.entries = s->sc->entries,
-						.choices = s->sc->choices};
+		const struct adm_config conf = {
+			.seed = (uint64_t)e + 1,
+			.zone = zone,
+			.entries_elsewhere = (zones - 1) * s->sc->entries,
+			.entries = s->sc->entries,
+			.choices = s->sc->choices};
 
 		s->adm[e] = adm_new(&conf);
 		adm_pool_set(s->adm[e], 0, &pool);
--- a/src/adm.c
+++ b/src/adm.c
@@ -79,7 +79,7 @@
 void adm_set_entries(struct adm *a, int entries, int entries_elsewhere)
 {
 	a->conf.entries = entries;
-	a->conf.entries_away = entries_elsewhere;
+	a->conf.entries_elsewhere = entries_elsewhere;
 }
 
 static struct adm_pool *adm_pool_new(void)
@@ -180,7 +180,7 @@
 {
 	struct adm_pool *p = adm_pool_find(a, t->pool);
 
-	t->state = ADM_GONE;
+	t->state = ADM_REMOVED;
 	g_hash_table_remove(a->targets, &t->handle);
 	adm_target_unlist(p, t);
 	if (!t->in_flight)
@@ -190,7 +190,7 @@
 /*
  * Adds, changes or removes a target. After this call nothing is placed on a
  * target whose state is not ADM_SERVING. A handle that is set again after
- * ADM_GONE, or for another pool, counts as a new target without history.
+ * ADM_REMOVED, or for another pool, counts as a new target without history.
  * Returns false if the pool is unknown.
  */
 bool adm_target_set(struct adm *a, int64_t now, uint64_t handle,
@@ -201,11 +201,11 @@
 
 	if (!p)
 		return false;
-	if (t && (spec->state == ADM_GONE || t->pool != spec->pool)) {
+	if (t && (spec->state == ADM_REMOVED || t->pool != spec->pool)) {
 		adm_target_remove(a, t);
 		t = NULL;
 	}
-	if (spec->state == ADM_GONE)
+	if (spec->state == ADM_REMOVED)
 		return true;
 	if (!t) {
 		t = adm_target_new(p, handle, spec->pool);
@@ -221,7 +221,7 @@
  * Records how many slots of a target are busy, as reported by the target
  * outside of an answer. Ignores an unknown handle and a negative number.
  */
-void adm_target_busy(struct adm *a, int64_t now, uint64_t handle, int busy)
+void adm_target_set_busy(struct adm *a, int64_t now, uint64_t handle, int busy)
 {
 	struct adm_target *t = g_hash_table_lookup(a->targets, &handle);
 	struct adm_pool *p;
@@ -429,13 +429,13 @@
 		adm_est_record(p, r->size_group, res->service_us, now);
 	if (res->outcome == ADM_DONE_BUSY)
 		adm_share_refused(p, t, now);
-	else if (res->outcome == ADM_DONE_LEFT ||
+	else if (res->outcome == ADM_DONE_CANCELLED ||
 		 res->outcome == ADM_DONE_TIMEOUT)
 		adm_share_abandoned(p, t, now);
 	else if (res->busy >= 0)
 		adm_share_reported(p, t, now, res->busy);
 	adm_flow_settle(p, r, MAX(res->service_us, 0));
-	if (t->state != ADM_GONE)
+	if (t->state != ADM_REMOVED)
 		adm_target_classify(p, t, now);
 	else if (!t->in_flight)
 		adm_target_free(p, t);
@@ -461,7 +461,7 @@
 	case ADM_DONE_BUSY:
 		a->stats.done_busy++;
 		break;
-	case ADM_DONE_LEFT:
+	case ADM_DONE_CANCELLED:
 		a->stats.cancelled++;
 		break;
 	case ADM_DONE_UNSENT:
@@ -496,7 +496,7 @@
  */
 bool adm_cancel(struct adm *a, int64_t now, adm_ticket ticket)
 {
-	const struct adm_result cancelled = {.outcome = ADM_DONE_LEFT,
+	const struct adm_result cancelled = {.outcome = ADM_DONE_CANCELLED,
 					     .busy = -1};
 	struct adm_req *r = adm_req_find(a, ticket);
 	struct adm_pool *p;
--- a/src/adm.h
+++ b/src/adm.h
@@ -30,7 +30,7 @@
 	uint64_t seed; /* of the pseudo-random numbers */
 	int zone; /* own zone, 0 to ADM_ZONES_MAX - 1 */
 	int entries; /* entry VMs in the own zone, including this one */
-	int entries_away; /* entry VMs in all other zones together */
+	int entries_elsewhere; /* entry VMs in all other zones together */
 	uint32_t queue_max; /* requests held in all queues; 0: 20000 */
 	int choices; /* targets compared for a placement; 0: 2 */
 };
@@ -48,7 +48,7 @@
 enum adm_target_state {
 	ADM_SERVING,
 	ADM_NO_NEW_WORK, /* leaving, drained or expired; running work goes on */
-	ADM_GONE, /* as above; freed once no request runs on the target */
+	ADM_REMOVED, /* as above; freed once no request runs on the target */
 };
 
 struct adm_target_spec {
@@ -117,7 +117,7 @@
 	ADM_DONE_UNSENT, /* no connection: not run */
 	ADM_DONE_FAILED, /* 5xx, reset or truncated: may have run */
 	ADM_DONE_TIMEOUT, /* no answer in time: may have run */
-	ADM_DONE_LEFT, /* the caller left; no sign of target health */
+	ADM_DONE_CANCELLED, /* the caller left; no sign of target health */
 };
 
 /* The end of an attempt and what the answer reported. */
@@ -154,7 +154,7 @@
 };
 
 /* Spare capacity of a zone for a pool, in concurrent requests. */
-struct adm_room {
+struct adm_spare_capacity {
 	uint32_t slots; /* all slots of the zone's healthy targets */
 	uint32_t free; /* for work of other zones, less the zone's reserve */
 };
@@ -167,7 +167,7 @@
 		  const struct adm_pool_spec *spec);
 bool adm_target_set(struct adm *a, int64_t now, uint64_t handle,
 		    const struct adm_target_spec *spec);
-void adm_target_busy(struct adm *a, int64_t now, uint64_t handle, int busy);
+void adm_target_set_busy(struct adm *a, int64_t now, uint64_t handle, int busy);
 
 int adm_idle_conns(const struct adm *a, uint32_t pool);
 
@@ -182,9 +182,10 @@
 size_t adm_poll(struct adm *a, int64_t now, struct adm_verdict *out, size_t max,
 		int64_t *next);
 
-void adm_zone_room(struct adm *a, int64_t now, uint32_t pool, int zone,
-		   struct adm_room capacity, int64_t age_us);
-struct adm_room adm_room(struct adm *a, int64_t now, uint32_t pool);
+void adm_set_zone_capacity(struct adm *a, int64_t now, uint32_t pool, int zone,
+			   struct adm_spare_capacity capacity, int64_t age_us);
+struct adm_spare_capacity adm_spare_capacity(struct adm *a, int64_t now,
+					     uint32_t pool);
 
 struct adm_stats adm_stats(const struct adm *a);
 const char *adm_reason_name(enum adm_reason reason);
--- a/src/adm_health.c
+++ b/src/adm_health.c
@@ -175,7 +175,7 @@
 		adm_record_failure(a, p, t, r->probe, now);
 		break;
 	case ADM_DONE_BUSY:
-	case ADM_DONE_LEFT:
+	case ADM_DONE_CANCELLED:
 		break;
 	}
 }
--- a/src/adm_retry.c
+++ b/src/adm_retry.c
@@ -116,7 +116,7 @@
  * Decides about a hedge, which is a second attempt in parallel to a running one
  * that takes long. The verdict is ADM_RUN, with a ticket for the hedge, or
  * ADM_REFUSE. The first answer is used; the other attempt must end with
- * ADM_DONE_LEFT. Hedges are refused while requests wait, as these need
+ * ADM_DONE_CANCELLED. Hedges are refused while requests wait, as these need
  * free slots more.
  */
 struct adm_verdict adm_hedge(struct adm *a, int64_t now, adm_ticket ticket)
--- a/src/adm_shift.c
+++ b/src/adm_shift.c
@@ -180,12 +180,12 @@
  * credit with each report. Without spare capacity, requests that end aren't
  * replaced.
  */
-void adm_zone_room(struct adm *a, int64_t now, uint32_t pool, int zone,
-		   struct adm_room capacity, int64_t age_us)
+void adm_set_zone_capacity(struct adm *a, int64_t now, uint32_t pool, int zone,
+			   struct adm_spare_capacity capacity, int64_t age_us)
 {
 	struct adm_pool *p = adm_pool_find(a, pool);
 	uint32_t senders =
-		(uint32_t)MAX(a->conf.entries + a->conf.entries_away, 1);
+		(uint32_t)MAX(a->conf.entries + a->conf.entries_elsewhere, 1);
 	struct adm_zone_credit *credit;
 
 	if (!p || zone < 0 || zone >= ADM_ZONES_MAX)
@@ -238,20 +238,21 @@
  * zone and not a share of it: receivers must use the lowest report of the
  * zone's VMs, never the sum.
  */
-struct adm_room adm_room(struct adm *a, int64_t now, uint32_t pool)
+struct adm_spare_capacity adm_spare_capacity(struct adm *a, int64_t now,
+					     uint32_t pool)
 {
 	struct adm_pool *p = adm_pool_find(a, pool);
 	int slots = 0;
 	int spare;
 
 	if (!p)
-		return (struct adm_room){0};
+		return (struct adm_spare_capacity){0};
 	adm_recheck_due(p, now);
 	spare = adm_sum_free_slots(a, p, now, &slots);
 	if (p->saturated || adm_queue_len(p))
 		spare = 0;
-	return (struct adm_room){.slots = (uint32_t)slots,
-				 .free = (uint32_t)MAX(spare, 0)};
+	return (struct adm_spare_capacity){.slots = (uint32_t)slots,
+					   .free = (uint32_t)MAX(spare, 0)};
 }
 
 /*
--- a/src/ent_admin.c
+++ b/src/ent_admin.c
@@ -108,8 +108,8 @@
 		return;
 	}
 	e->counts[ENT_ANNOUNCED]++;
-	adm_target_busy(e->adm, ent_now_us(e),
-			tgt_find(e->targets, info.name)->id, info.busy);
+	adm_target_set_busy(e->adm, ent_now_us(e),
+			    tgt_find(e->targets, info.name)->id, info.busy);
 	/* A stopping daemon is no home; the target goes to its other ones. */
 	text = g_strdup_printf("home=%s\ninterval_ms=%d",
 			       e->draining ? "" : e->config.admin,
--- a/src/ent_peer.c
+++ b/src/ent_peer.c
@@ -344,15 +344,15 @@
 		char *name = lstr_dup(pk_get_str(&item));
 		const struct ent_pool *pool =
 			g_hash_table_lookup(e->pools, name);
-		struct adm_room room = {
+		struct adm_spare_capacity room = {
 			.slots = (uint32_t)pk_get_u(&item),
 			.free = (uint32_t)pk_get_u(&item),
 		};
 
 		g_free(name);
 		if (pool && pk_in_ok(&item))
-			adm_zone_room(e->adm, ent_now_us(e), pool->id, zone,
-				      room, 0);
+			adm_set_zone_capacity(e->adm, ent_now_us(e), pool->id,
+					      zone, room, 0);
 	}
 }
 
@@ -444,8 +444,8 @@
 	pk_arr(&o, n);
 	g_hash_table_iter_init(&it, e->pools);
 	while (n && g_hash_table_iter_next(&it, &name, &pool)) {
-		struct adm_room room = adm_room(e->adm, ent_now_us(e),
-						((struct ent_pool *)pool)->id);
+		struct adm_spare_capacity room = adm_spare_capacity(
+			e->adm, ent_now_us(e), ((struct ent_pool *)pool)->id);
 
 		pk_arr(&o, 3);
 		pk_cstr(&o, name);
--- a/src/ent_req.c
+++ b/src/ent_req.c
@@ -409,7 +409,8 @@
 	struct ent *e = q->e;
 
 	adm_done(e->adm, ent_now_us(e), q->ticket,
-		 &(struct adm_result){.outcome = ADM_DONE_LEFT, .busy = -1});
+		 &(struct adm_result){.outcome = ADM_DONE_CANCELLED,
+				      .busy = -1});
 	q->ticket = 0;
 	if (q->srv)
 		ent_give_up(q, &(struct ent_refusal){
@@ -459,7 +460,7 @@
 		ups_cancel(q->call);
 		q->may_have_run = true;
 		adm_done(e->adm, ent_now_us(e), q->ticket,
-			 &(struct adm_result){.outcome = ADM_DONE_LEFT,
+			 &(struct adm_result){.outcome = ADM_DONE_CANCELLED,
 					      .busy = -1});
 	} else if (q->ticket) {
 		adm_cancel(e->adm, ent_now_us(e), q->ticket);
--- a/src/ent_target.c
+++ b/src/ent_target.c
@@ -35,7 +35,7 @@
 
 static void ent_target_forget(void *arg, const struct tgt *t)
 {
-	ent_target_put(arg, t, ADM_GONE);
+	ent_target_put(arg, t, ADM_REMOVED);
 }
 
 /*
--- a/src/hfd.c
+++ b/src/hfd.c
@@ -58,7 +58,7 @@
 	if (!evbuffer_get_length(from))
 		return HFD_WAIT;
 	v = hfd_state_fns[h->state](h, from, to);
-	if (v == HFD_MALFORMED || v == HFD_LARGE)
+	if (v == HFD_MALFORMED || v == HFD_HEAD_TOO_LARGE)
 		h->state = HFD_CLOSED;
 	return v;
 }
@@ -87,11 +87,11 @@
 		len = evbuffer_get_length(from);
 		if (evbuffer_search(from, "\n\n", 2, NULL).pos >= 0)
 			return HFD_MALFORMED;
-		return len > HFD_HEAD_MAX ? HFD_LARGE : HFD_WAIT;
+		return len > HFD_HEAD_MAX ? HFD_HEAD_TOO_LARGE : HFD_WAIT;
 	}
 	len = (size_t)end.pos + 4;
 	if (len > HFD_HEAD_MAX)
-		return HFD_LARGE;
+		return HFD_HEAD_TOO_LARGE;
 	p = (const char *)evbuffer_pullup(from, (ev_ssize_t)len);
 	if (!hfd_is_head_valid(p, len))
 		return HFD_MALFORMED;
--- a/src/hfd.h
+++ b/src/hfd.h
@@ -35,7 +35,7 @@
 	HFD_WAIT, /* nothing to pass on until more bytes arrive */
 	HFD_PASS, /* some bytes were passed on */
 	HFD_MALFORMED, /* answer 400 and close the connection */
-	HFD_LARGE, /* head too large: answer 431 and close */
+	HFD_HEAD_TOO_LARGE, /* head too large: answer 431 and close */
 };
 
 enum hfd_verdict hfd_step(struct hfd *h, struct evbuffer *from,
--- a/src/hub_carry.c
+++ b/src/hub_carry.c
@@ -72,7 +72,7 @@
 const char *hub_carrier(void *arg, const struct jtb_worker *w, uint32_t turn)
 {
 	const struct hub *h = arg;
-	int i = lod_carrier(h->carriers->len, g_str_hash(w->info.id), turn);
+	int i = lod_pick_relay(h->carriers->len, g_str_hash(w->info.id), turn);
 
 	return i < 0 ? NULL : g_ptr_array_index(h->carriers, i);
 }
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -497,9 +497,9 @@
 	if (h->leading)
 		hub_plan(h);
 	cpu_leave(before);
-	lod_planned(&h->planned,
-		    (double)(cpu_used_us(CPU_PLAN) - from_us) / 1000,
-		    tmr_now(h->tmr));
+	lod_record_plan(&h->planned,
+			(double)(cpu_used_us(CPU_PLAN) - from_us) / 1000,
+			tmr_now(h->tmr));
 }
 
 /* Starts what can be started in one pool. */
--- a/src/lod.c
+++ b/src/lod.c
@@ -57,7 +57,7 @@
  * Records the end and the duration of a plan, in ms. The duration is capped, as
  * the time added by a process pause says nothing about the next plans.
  */
-void lod_planned(struct lod_plan *p, double took_ms, int64_t now_ms)
+void lod_record_plan(struct lod_plan *p, double took_ms, int64_t now_ms)
 {
 	double capped_ms = MIN(took_ms, LOD_PLAN_DELAY_MAX_MS);
 
@@ -75,7 +75,8 @@
  * (retry storm). Limit: half of the lease time, or timeout_ms if that is
  * longer, so that a lost worker is detected while its lease is still valid.
  */
-int64_t lod_patience_ms(int64_t timeout_ms, int64_t lease_ms, int64_t lag_ms)
+int64_t lod_answer_timeout_ms(int64_t timeout_ms, int64_t lease_ms,
+			      int64_t lag_ms)
 {
 	int64_t max_ms = MAX(timeout_ms, lease_ms / LOD_TIMEOUT_LEASE_PARTS);
 
@@ -93,7 +94,7 @@
  * takes 10 ms or less, as each delay of a report delays the steps that depend
  * on the task; at most 80 ms without lag and 250 ms with it.
  */
-int64_t lod_gather_ms(unsigned int busy, int64_t lag_ms)
+int64_t lod_poll_delay_ms(unsigned int busy, int64_t lag_ms)
 {
 	int64_t round_ms = (int64_t)busy * LOD_POLL_COST_US / 1000;
 
@@ -115,7 +116,7 @@
  * reused. attempt: number of calls lost so far; the next one goes through
  * another replica, and after all of them directly from the leader.
  */
-int lod_carrier(unsigned int relays, uint32_t worker, uint32_t attempt)
+int lod_pick_relay(unsigned int relays, uint32_t worker, uint32_t attempt)
 {
 	uint32_t choices = relays + (attempt > 0);
 	uint32_t choice;
--- a/src/lod.h
+++ b/src/lod.h
@@ -20,9 +20,10 @@
 
 int64_t lod_plan_wait_ms(const struct lod_plan *p, int64_t batch_ms,
 			 int64_t now_ms);
-void lod_planned(struct lod_plan *p, double took_ms, int64_t now_ms);
-int64_t lod_patience_ms(int64_t timeout_ms, int64_t lease_ms, int64_t lag_ms);
-int64_t lod_gather_ms(unsigned int busy, int64_t lag_ms);
-int lod_carrier(unsigned int relays, uint32_t worker, uint32_t attempt);
+void lod_record_plan(struct lod_plan *p, double took_ms, int64_t now_ms);
+int64_t lod_answer_timeout_ms(int64_t timeout_ms, int64_t lease_ms,
+			      int64_t lag_ms);
+int64_t lod_poll_delay_ms(unsigned int busy, int64_t lag_ms);
+int lod_pick_relay(unsigned int relays, uint32_t worker, uint32_t attempt);
 
 #endif
--- a/src/srv.c
+++ b/src/srv.c
@@ -486,8 +486,9 @@
 	}
 	if (v == HFD_WAIT)
 		return;
-	srv_turn_away(c, v == HFD_LARGE ? 431 : 400,
-		      v == HFD_LARGE ? "headers too large" : "malformed");
+	srv_turn_away(c, v == HFD_HEAD_TOO_LARGE ? 431 : 400,
+		      v == HFD_HEAD_TOO_LARGE ? "headers too large"
+					      : "malformed");
 	evhtp_connection_free(c->ev);
 }
 
--- a/src/wkr.c
+++ b/src/wkr.c
@@ -175,7 +175,7 @@
 		if (!l->await_no || l->w->end_no < l->await_no)
 			continue;
 		l->await_no = 0;
-		wkr_hold_after(l, lod_gather_ms(k->busy, lag));
+		wkr_hold_after(l, lod_poll_delay_ms(k->busy, lag));
 	}
 }
 
@@ -323,7 +323,8 @@
 		.method = EVHTTP_REQ_POST,
 		.headers = headers,
 		.n_headers = G_N_ELEMENTS(headers),
-		.timeout_ms = lod_patience_ms(timeout_ms, l->k->lease_ms,
+		.timeout_ms =
+			lod_answer_timeout_ms(timeout_ms, l->k->lease_ms,
 					      tmr_lag_ms(l->k->config.tmr)),
 		.connect_ms = WKR_CONNECT_MS,
 		.max_answer = WKR_ANSWER_MAX,
--- a/tests/fuzz/hfd_fuzz.c
+++ b/tests/fuzz/hfd_fuzz.c
@@ -15,7 +15,8 @@
 	size_t n;
 
 	*last = HFD_WAIT;
-	while (at < input.len && *last != HFD_MALFORMED && *last != HFD_LARGE) {
+	while (at < input.len && *last != HFD_MALFORMED &&
+	       *last != HFD_HEAD_TOO_LARGE) {
 		n = MIN(piece, input.len - at);
 		evbuffer_add(from, input.p + at, n);
 		at += n;
@@ -49,7 +50,8 @@
 	g_assert_true(g_string_equal(pieces_1, pieces_7));
 	g_assert_cmpint(verdict_1, ==, verdict_7);
 	/* A head that is too large is detected earlier in small pieces. */
-	if (verdict_1 != HFD_LARGE && verdict_whole != HFD_LARGE)
+	if (verdict_1 != HFD_HEAD_TOO_LARGE &&
+	    verdict_whole != HFD_HEAD_TOO_LARGE)
 		g_assert_true(g_string_equal(whole, pieces_1));
 	g_string_free(whole, TRUE);
 	g_string_free(pieces_1, TRUE);
--- a/tests/prop/adm_prop.cc
+++ b/tests/prop/adm_prop.cc
@@ -75,7 +75,7 @@
 };
 
 struct Target {
-	adm_target_state state = ADM_GONE;
+	adm_target_state state = ADM_REMOVED;
 	int64_t lease = ADM_NEVER;
 	int incarnation = 0;
 };
@@ -167,8 +167,8 @@
 			target(s);
 			break;
 		case BUSY:
-			adm_target_busy(adm, now, s.a % TARGETS,
-					(int)(s.b % (SLOTS + 1)));
+			adm_target_set_busy(adm, now, s.a % TARGETS,
+					    (int)(s.b % (SLOTS + 1)));
 			break;
 		case CAPACITY:
 			report_capacity(1 + (int)(s.a % (ZONES - 1)), s.b % 6);
@@ -323,7 +323,7 @@
 			spec.state = ADM_SERVING;
 			spec.lease_until_us = now + s.b % (60 * MS);
 		}
-		if (spec.state == ADM_GONE && t.state != ADM_GONE)
+		if (spec.state == ADM_REMOVED && t.state != ADM_REMOVED)
 			t.incarnation++;
 		t.state = spec.state;
 		t.lease = spec.lease_until_us;
@@ -332,11 +332,11 @@
 
 	void report_capacity(int zone, uint32_t spare)
 	{
-		struct adm_room r = {};
+		struct adm_spare_capacity r = {};
 
 		r.slots = 10;
 		r.free = spare;
-		adm_zone_room(adm, now, 0, zone, r, 0);
+		adm_set_zone_capacity(adm, now, 0, zone, r, 0);
 		if (!spare)
 			peak[zone] = shifted[zone];
 		allowed[zone] = peak[zone] + (int)spare;
--- a/tests/unit/adm_place_test.c
+++ b/tests/unit/adm_place_test.c
@@ -80,7 +80,7 @@
 	fill_slots(a, now, held, SLOTS);
 	offer_request(a, now, "b", ADM_NORMAL);
 	offer_request(a, now, "c", ADM_NORMAL);
-	set_target_state(a, now, 1, ADM_GONE);
+	set_target_state(a, now, 1, ADM_REMOVED);
 	assert_int_equal(adm_poll(a, now, out, 4, &next), 2);
 	assert_int_equal(out[0].reason, ADM_NO_TARGETS);
 	end_request(a, now, held[0], ADM_DONE_OK, 100 * MS);
@@ -253,7 +253,7 @@
 
 	load_run(&l, 2500, 2 * SEC);
 	for (t = 2; t <= 10; t++)
-		set_target_state(l.a, l.now, t, ADM_GONE);
+		set_target_state(l.a, l.now, t, ADM_REMOVED);
 	assert_int_equal(offer_request(l.a, l.now, "a", ADM_URGENT).target, 1);
 	adm_free(l.a);
 }
@@ -296,7 +296,7 @@
 	int64_t next;
 	int i;
 
-	adm_target_busy(a, now, 1, SLOTS - 2);
+	adm_target_set_busy(a, now, 1, SLOTS - 2);
 	for (i = 0; i < 2; i++)
 		assert_int_equal(offer_request(a, now, "a", ADM_NORMAL).kind,
 				 ADM_RUN);
--- a/tests/unit/adm_shift_test.c
+++ b/tests/unit/adm_shift_test.c
@@ -10,8 +10,9 @@
 static void report_capacity(struct adm *a, int64_t now, int zone,
 			    uint32_t spare)
 {
-	adm_zone_room(a, now, 0, zone,
-		      (struct adm_room){.slots = 80, .free = spare}, 0);
+	adm_set_zone_capacity(
+		a, now, 0, zone,
+		(struct adm_spare_capacity){.slots = 80, .free = spare}, 0);
 }
 
 /*
@@ -125,7 +126,7 @@
 	assert_int_equal(v.kind, ADM_REFUSE);
 	assert_int_equal(v.reason, ADM_ZONE_FULL);
 	assert_int_equal(n, 5 * SLOTS * 4 / 5);
-	assert_int_equal(adm_room(a, 0, 0).free, 0);
+	assert_int_equal(adm_spare_capacity(a, 0, 0).free, 0);
 	assert_int_equal(offer_request(a, 0, "own", ADM_NORMAL).kind, ADM_RUN);
 	adm_free(a);
 }
@@ -147,7 +148,7 @@
 	set_target_state(a, 0, 1, ADM_SERVING);
 	v = adm_retry(a, MS, v.ticket, &busy);
 	assert_int_equal(v.kind, ADM_RUN);
-	set_target_state(a, MS, 1, ADM_GONE);
+	set_target_state(a, MS, 1, ADM_REMOVED);
 	assert_int_equal(shift_all(a, MS, &last), 0);
 	assert_int_equal(shift_all(a, 50 * MS, &last), 0);
 	assert_int_equal(shift_all(a, 51 * MS, &last), 14);
--- a/tests/unit/lod_test.c
+++ b/tests/unit/lod_test.c
@@ -31,7 +31,7 @@
 		}
 		now += took_ms;
 		total_ms += took_ms;
-		lod_planned(p, (double)took_ms, now);
+		lod_record_plan(p, (double)took_ms, now);
 		now++;
 	}
 	return total_ms;
@@ -42,7 +42,7 @@
 {
 	struct lod_plan p = {0};
 
-	lod_planned(&p, 0.5, SECOND_MS);
+	lod_record_plan(&p, 0.5, SECOND_MS);
 	assert_int_equal(lod_plan_wait_ms(&p, 0, SECOND_MS + 5), 0);
 }
 
@@ -82,7 +82,7 @@
 	int i;
 
 	for (i = 0; i < 20; i++)
-		lod_planned(&p, 5000, SECOND_MS);
+		lod_record_plan(&p, 5000, SECOND_MS);
 	assert_in_range(lod_plan_wait_ms(&p, 0, SECOND_MS), 1, 150);
 }
 
@@ -95,9 +95,9 @@
 	struct lod_plan p = {0};
 	int i;
 
-	lod_planned(&p, 12000, SECOND_MS);
+	lod_record_plan(&p, 12000, SECOND_MS);
 	for (i = 0; i < 10; i++)
-		lod_planned(&p, 0.5, SECOND_MS);
+		lod_record_plan(&p, 0.5, SECOND_MS);
 	assert_in_range(lod_plan_wait_ms(&p, 0, SECOND_MS), 0, 20);
 }
 
@@ -107,13 +107,13 @@
  */
 static void lagging_leader_extends_answer_timeout(void **state)
 {
-	assert_int_equal(lod_patience_ms(400, 5000, 0), 400);
+	assert_int_equal(lod_answer_timeout_ms(400, 5000, 0), 400);
 	/* One loop iteration to send, and three until the answer is read. */
-	assert_true(lod_patience_ms(400, 5000, 150) >= 400 + 3 * 150);
+	assert_true(lod_answer_timeout_ms(400, 5000, 150) >= 400 + 3 * 150);
 	/* A lost worker is detected while its lease is still valid. */
-	assert_true(lod_patience_ms(400, 5000, 60000) <= 2500);
-	assert_true(lod_patience_ms(400, 1000, 60000) <= 500);
-	assert_int_equal(lod_patience_ms(2500, 1000, 60000), 2500);
+	assert_true(lod_answer_timeout_ms(400, 5000, 60000) <= 2500);
+	assert_true(lod_answer_timeout_ms(400, 1000, 60000) <= 500);
+	assert_int_equal(lod_answer_timeout_ms(2500, 1000, 60000), 2500);
 }
 
 /*
@@ -122,9 +122,9 @@
  */
 static void lagging_leader_polls_workers_less_often(void **state)
 {
-	assert_int_equal(lod_gather_ms(10, 0), 0);
-	assert_true(lod_gather_ms(1100, 100) > lod_gather_ms(1100, 0));
-	assert_true(lod_gather_ms(9200, 60000) <= 250);
+	assert_int_equal(lod_poll_delay_ms(10, 0), 0);
+	assert_true(lod_poll_delay_ms(1100, 100) > lod_poll_delay_ms(1100, 0));
+	assert_true(lod_poll_delay_ms(9200, 60000) <= 250);
 }
 
 /* Guards against a leader that makes all calls while others are idle. */
@@ -134,10 +134,10 @@
 	uint32_t w;
 
 	for (w = 0; w < 1000; w++)
-		shares[lod_carrier(4, w, 0)]++;
+		shares[lod_pick_relay(4, w, 0)]++;
 	for (w = 0; w < 4; w++)
 		assert_int_equal(shares[w], 250);
-	assert_int_equal(lod_carrier(0, 5, 0), -1);
+	assert_int_equal(lod_pick_relay(0, 5, 0), -1);
 }
 
 /* Guards against calls that are relayed by a lost replica again and again. */
@@ -147,12 +147,12 @@
 	uint32_t attempt;
 
 	for (attempt = 0; attempt < 4; attempt++) {
-		assert_int_not_equal(lod_carrier(4, 6, attempt),
-				     lod_carrier(4, 6, attempt + 1));
-		direct = direct || lod_carrier(4, 6, attempt) == -1;
+		assert_int_not_equal(lod_pick_relay(4, 6, attempt),
+				     lod_pick_relay(4, 6, attempt + 1));
+		direct = direct || lod_pick_relay(4, 6, attempt) == -1;
 	}
 	assert_true(direct);
-	assert_int_not_equal(lod_carrier(1, 6, 0), lod_carrier(1, 6, 1));
+	assert_int_not_equal(lod_pick_relay(1, 6, 0), lod_pick_relay(1, 6, 1));
 }
 
 int main(void)
--- a/tests/unit/wkr_test.c
+++ b/tests/unit/wkr_test.c
@@ -1085,8 +1085,8 @@
 	struct jtb_name n = {.id = "j"};
 	struct pk_out o;
 
-	assert_int_equal(lod_gather_ms(49, 0), 0);
-	assert_int_equal(lod_gather_ms(9200, 0), 80);
+	assert_int_equal(lod_poll_delay_ms(49, 0), 0);
+	assert_int_equal(lod_poll_delay_ms(9200, 0), 80);
 	b->wkr->busy = 9200;
 	b->lists = true;
 	start(b);
