--- a/bench/flo_bench.c
+++ b/bench/flo_bench.c
@@ -47,7 +47,7 @@
 {
 	const struct upk *u = arg;
 
-	return upk_holds(u, vm) || upk_urgent(u, vm, WALL_MS);
+	return upk_is_in_upkeep(u, vm) || upk_urgent(u, vm, WALL_MS);
 }
 
 static void put_config(struct jtb *t)
@@ -154,13 +154,13 @@
 {
 	static const struct upk_ops upk_ops = {.stop = stop,
 					       .note = note,
-					       .held = none,
-					       .spared = none,
-					       .reached = reached};
+					       .is_moving = none,
+					       .is_spare = none,
+					       .is_reachable = reached};
 	static const struct flo_ops ops = {.order = order,
 					   .stop = stop,
 					   .may_stop = may_stop,
-					   .held = held};
+					   .is_pinned = held};
 	struct event_base *base = event_base_new();
 	struct tmr *tmr = tmr_new_manual(WALL_MS);
 	struct jtb *t = jtb_new(NULL, NULL);
@@ -186,7 +186,7 @@
 	from = bench_now_ms();
 	flo_tick(f, WALL_MS + 400, WALL_MS + 400);
 	tell("flo", vms, "beside-wave", from);
-	fprintf(stderr, "flo_bench: %u VMs on their way\n", flo_moving(f));
+	fprintf(stderr, "flo_bench: %u VMs on their way\n", flo_count_moves(f));
 	flo_free(f);
 	upk_free(u);
 	vms_free(v);
--- a/bench/pln_bench.c
+++ b/bench/pln_bench.c
@@ -297,7 +297,7 @@
 /* The platform for a wave: a step takes two minutes on each VM. */
 struct platform {
 	int64_t *due; /* by VM; 0: nothing asked */
-	struct wav_act *act;
+	struct wav_request *act;
 	int64_t step_ms;
 };
 
@@ -314,14 +314,14 @@
 		if (p->due[i] == 0 || p->due[i] > now)
 			continue;
 		p->due[i] = 0;
-		r.act = p->act[i];
+		r.request = p->act[i];
 		wav_reply(w, f, &r, now, out);
 	}
 	wav_tick(w, f, now, out);
 	start = now_ms() - start;
-	for (i = 0; i < out->acts->len; i++) {
-		struct wav_act *a =
-			&g_array_index(out->acts, struct wav_act, i);
+	for (i = 0; i < out->requests->len; i++) {
+		struct wav_request *a =
+			&g_array_index(out->requests, struct wav_request, i);
 
 		/* An act that is sent again is done once. */
 		if (p->due[a->vm] && p->act[a->vm].step == a->step &&
@@ -344,10 +344,11 @@
 	int over;
 	int sw;
 
-	for (height = 0; height <= p->worst_sw; height++) {
+	for (height = 0; height <= p->max_behind_switch; height++) {
 		over = 0;
 		for (sw = 0; sw < f->n_switches; sw++)
-			over += MAX(0, flt_at_sw(p, sw)->serving - height);
+			over += MAX(0,
+				    flt_behind_switch(p, sw)->serving - height);
 		if (over <= p->serving - height - flt_floor(p))
 			return p->serving - height - flt_floor(p);
 	}
@@ -442,7 +443,7 @@
 	best = rounds(f, false) * 4 * p.step_ms;
 	single = rounds(f, true) * 4 * p.step_ms;
 	p.due = g_new0(int64_t, f->vms->len);
-	p.act = g_new0(struct wav_act, f->vms->len);
+	p.act = g_new0(struct wav_request, f->vms->len);
 	w = wave_of(u, f, 1, &out);
 	do {
 		now += 1000;
@@ -519,7 +520,7 @@
 	wav_out_init(&out);
 	fleet_replan(f, &c);
 	p.due = g_new0(int64_t, f->vms->len);
-	p.act = g_new0(struct wav_act, f->vms->len);
+	p.act = g_new0(struct wav_request, f->vms->len);
 	w = wave_of(u, f, 1, &out);
 	do {
 		now += MINUTE;
--- a/bench/plnways_bench.c
+++ b/bench/plnways_bench.c
@@ -47,7 +47,7 @@
 	guint i;
 
 	for (i = 1; i < f->pools->len; i++)
-		losses += flt_pool(f, (int)i)->worst_sw;
+		losses += flt_pool(f, (int)i)->max_behind_switch;
 	printf("ways/%s/%s/%d/time\t%.3f\tms\t0\n", way, task, vms, ms);
 	printf("ways/%s/%s/%d/moves\t%d\tmoves\t0\n", way, task, vms, moves);
 	printf("ways/%s/%s/%d/losses\t%d\tVMs\t%d\n", way, task, vms, losses,
@@ -183,19 +183,21 @@
 	w.queued = g_new0(bool, nodes);
 	w.queue = g_new0(int, nodes + 1);
 	for (s = 0; s < w.switches; s++)
-		w.spare[s] = flt_at_sw(flt_pool(f, FLT_SPARE), s)->serving;
+		w.spare[s] =
+			flt_behind_switch(flt_pool(f, FLT_SPARE), s)->serving;
 	for (p = 0; p < w.pools; p++) {
 		w.lacking[p] = MAX(0, pr->wanted - flt_pool(f, p + 1)->serving);
 		for (s = 0; s < w.switches; s++)
 			w.base[p * w.switches + s] =
-				flt_at_sw(flt_pool(f, p + 1), s)->serving;
+				flt_behind_switch(flt_pool(f, p + 1), s)
+					->serving;
 	}
 	while ((end = shortest(&w)) >= 0)
 		augment(&w, end);
 	for (p = 0; p < w.pools; p++)
 		for (s = 0; s < w.switches; s++)
 			for (; w.given[p * w.switches + s] > 0; moves++) {
-				flt_put(f, spare_at(f, s), p + 1);
+				flt_assign(f, spare_at(f, s), p + 1);
 				w.given[p * w.switches + s]--;
 			}
 	g_free(w.given);
@@ -215,7 +217,8 @@
 
 	if (pool == FLT_SPARE)
 		return 0;
-	return flt_at_sw(flt_pool(f, pool), flt_rack_of(f, vm)->sw)->serving;
+	return flt_behind_switch(flt_pool(f, pool), flt_rack_of(f, vm)->sw)
+		->serving;
 }
 
 /* First fit, then swaps of two VMs that spread their pools better. */
@@ -233,7 +236,7 @@
 		for (; flt_pool(f, i)->serving < pr->wanted && next < n; next++)
 			if (flt_vm(f, next)->pool == FLT_SPARE &&
 			    flt_vm(f, next)->state == FLT_UP) {
-				flt_put(f, next, i);
+				flt_assign(f, next, i);
 				moves++;
 			}
 	for (i = 0; i < SEARCH_TRIES; i++) {
@@ -249,14 +252,14 @@
 		    flt_vm(f, b)->state != FLT_UP)
 			continue;
 		before = cost_of(f, a) + cost_of(f, b);
-		flt_put(f, a, pb);
-		flt_put(f, b, pa);
+		flt_assign(f, a, pb);
+		flt_assign(f, b, pa);
 		if (cost_of(f, a) + cost_of(f, b) < before) {
 			moves += 2;
 			continue;
 		}
-		flt_put(f, a, pa);
-		flt_put(f, b, pb);
+		flt_assign(f, a, pa);
+		flt_assign(f, b, pb);
 	}
 	g_rand_free(rand);
 	return moves;
--- a/src/ctl_move.c
+++ b/src/ctl_move.c
@@ -12,7 +12,7 @@
 static void ctl_submit(void *arg, const struct fcm_cmd *cmd);
 
 static const struct mvr_ops ctl_mvr_ops = {
-	.works_by = ctl_works_by,
+	.applied_version = ctl_works_by,
 	.submit = ctl_submit,
 };
 
--- a/src/flo.c
+++ b/src/flo.c
@@ -55,7 +55,7 @@
  * since the VM list shows those that were accepted; rates from an earlier
  * leadership are outdated.
  */
-void flo_lead(struct flo *f)
+void flo_reset(struct flo *f)
 {
 	guint i;
 
@@ -90,7 +90,7 @@
 }
 
 /* Records that long-running work found too little free capacity in a pool. */
-void flo_starved(struct flo *f, const char *pool, int64_t now_ms)
+void flo_report_unschedulable(struct flo *f, const char *pool, int64_t now_ms)
 {
 	flo_get_pool(f, pool)->unschedulable_ms = now_ms;
 }
@@ -103,9 +103,9 @@
 
 	if (!m || m->accepted_ms)
 		return;
-	if (answer == VMS_YES)
+	if (answer == VMS_ACCEPTED)
 		m->accepted_ms = now_ms;
-	else if (answer != VMS_UNANSWERED && answer != VMS_SLOW_DOWN)
+	else if (answer != VMS_UNANSWERED && answer != VMS_RATE_LIMITED)
 		m->finished = true;
 }
 
@@ -121,7 +121,7 @@
 }
 
 /* Whether a VM is being drained for a move or moved. */
-bool flo_holds(const struct flo *f, const char *vm)
+bool flo_is_moving(const struct flo *f, const char *vm)
 {
 	return flo_find_move(f, vm) != NULL;
 }
@@ -130,7 +130,7 @@
  * Whether a VM can be down for a while without harm: no pool is short of VMs,
  * and the VM is switched off or is idle in a pool with spare capacity.
  */
-bool flo_spared(const struct flo *f, const char *name)
+bool flo_is_spare(const struct flo *f, const char *name)
 {
 	const struct vms_vm *vm = vms_find(f->vms, name);
 	const struct flo_pool *p = vm ? flo_pool(f, vm->pool) : NULL;
@@ -149,7 +149,7 @@
  * Adds the ids of workers that get no new work because their VMs are to be
  * moved. The set borrows the strings until the autoscaler is called again.
  */
-void flo_closed(const struct flo *f, GHashTable *ids)
+void flo_add_closed(const struct flo *f, GHashTable *ids)
 {
 	guint i;
 
@@ -162,7 +162,7 @@
 }
 
 /* Returns the number of moves in progress. */
-guint flo_moving(const struct flo *f)
+guint flo_count_moves(const struct flo *f)
 {
 	return f->moves->len;
 }
--- a/src/flo.h
+++ b/src/flo.h
@@ -27,7 +27,7 @@
 	/* Whether a run may be stopped within the budget of its step. */
 	bool (*may_stop)(void *arg, const struct jtb_run *run);
 	/* Whether a VM must not be moved. */
-	bool (*held)(void *arg, const char *vm);
+	bool (*is_pinned)(void *arg, const char *vm);
 };
 
 /* Measurements of a pool from the last tick, for decisions, logs and tests. */
@@ -64,16 +64,16 @@
 struct flo *flo_new(struct jtb *jtb, const struct vms *vms,
 		    const struct flo_ops *ops, void *arg);
 void flo_free(struct flo *f);
-void flo_lead(struct flo *f);
+void flo_reset(struct flo *f);
 void flo_tick(struct flo *f, int64_t now_ms, int64_t wall_ms);
-void flo_starved(struct flo *f, const char *pool, int64_t now_ms);
+void flo_report_unschedulable(struct flo *f, const char *pool, int64_t now_ms);
 void flo_answered(struct flo *f, const char *vm, enum vms_answer answer,
 		  int64_t now_ms);
 const char *flo_worker(const struct flo *f, const char *vm);
-bool flo_holds(const struct flo *f, const char *vm);
-bool flo_spared(const struct flo *f, const char *vm);
-void flo_closed(const struct flo *f, GHashTable *ids);
-guint flo_moving(const struct flo *f);
+bool flo_is_moving(const struct flo *f, const char *vm);
+bool flo_is_spare(const struct flo *f, const char *vm);
+void flo_add_closed(const struct flo *f, GHashTable *ids);
+guint flo_count_moves(const struct flo *f);
 GPtrArray *flo_pools(const struct flo *f);
 const struct flo_pool *flo_pool(const struct flo *f, const char *name);
 
--- a/src/flo_load.c
+++ b/src/flo_load.c
@@ -84,7 +84,8 @@
 		/*
 		 * a VM in upkeep or being drained for it provides no capacity
 		 */
-		if (vm->state == VMS_DOWN || f->ops->held(f->arg, vm->name))
+		if (vm->state == VMS_DOWN ||
+		    f->ops->is_pinned(f->arg, vm->name))
 			continue;
 		p->vms++;
 		p->cores += vm->cpu / 1000.0;
--- a/src/flo_pick.c
+++ b/src/flo_pick.c
@@ -34,7 +34,7 @@
 		struct flo_candidate candidate = {.vm = vm, .index = i};
 
 		if (vm->state != VMS_UP || flo_find_move(f, vm->name) ||
-		    f->ops->held(f->arg, vm->name))
+		    f->ops->is_pinned(f->arg, vm->name))
 			continue;
 		candidate.cost = flo_move_cost(f, vm);
 		if (candidate.cost >= 0)
--- a/src/flt.c
+++ b/src/flt.c
@@ -19,11 +19,11 @@
 	[FLT_FAIL] = "fail",
 };
 
-static const char *const flt_whys[FLT_WHYS] = {
+static const char *const flt_refusals[FLT_REFUSALS] = {
 	[FLT_OK] = "allowed",
 	[FLT_NOT_UP] = "VM is not up",
-	[FLT_CUT_OFF] = "zone is cut off",
-	[FLT_TAKEN] = "taken by another wave",
+	[FLT_PARTITIONED] = "zone is cut off",
+	[FLT_IN_WAVE] = "taken by another wave",
 	[FLT_BUDGET] = "budget would not survive the declared failure",
 	[FLT_RACK_BUDGET] = "too many of the pool missing behind one switch",
 	[FLT_ZONE_BUDGET] = "too many of the pool missing in one zone",
@@ -164,7 +164,7 @@
 
 	p.places = g_array_new(FALSE, TRUE, sizeof(struct flt_place));
 	p.by_zone = g_array_new(FALSE, TRUE, sizeof(struct flt_tally));
-	p.sw_having = g_array_new(FALSE, TRUE, sizeof(int));
+	p.n_switches_by_serving = g_array_new(FALSE, TRUE, sizeof(int));
 	flt_grow_pool(f, &p);
 	g_array_append_val(f->pools, p);
 	return (int)f->pools->len - 1;
@@ -218,7 +218,7 @@
 }
 
 /* Returns a pool's numbers of VMs behind a switch. */
-const struct flt_tally *flt_at_sw(const struct flt_pool *p, int sw)
+const struct flt_tally *flt_behind_switch(const struct flt_pool *p, int sw)
 {
 	static const struct flt_tally none;
 	guint at = flt_find_place(p, sw);
@@ -229,7 +229,7 @@
 }
 
 /* Returns a pool's numbers of VMs in a zone. */
-struct flt_tally *flt_at_zone(const struct flt_pool *p, int zone)
+struct flt_tally *flt_in_zone(const struct flt_pool *p, int zone)
 {
 	return &g_array_index(p->by_zone, struct flt_tally, zone);
 }
@@ -259,8 +259,8 @@
 int flt_largest_loss(const struct flt_pool *p)
 {
 	if (!p->budget.survive_zone)
-		return p->worst_sw;
-	return MAX(p->worst_sw, flt_max_serving(p->by_zone));
+		return p->max_behind_switch;
+	return MAX(p->max_behind_switch, flt_max_serving(p->by_zone));
 }
 
 /*
@@ -280,14 +280,14 @@
  * alone, a rack lost a minute later would break the budget while the VMs taken
  * out are already rebooting.
  */
-enum flt_why flt_can_lose(struct flt *f, int vm)
+enum flt_refusal flt_can_lose(struct flt *f, int vm)
 {
-	enum flt_why why;
+	enum flt_refusal why;
 
 	if (!flt_is_serving(f, vm))
 		return FLT_OK;
 	flt_add_count(f, vm, 0, -1);
-	why = flt_kept(f, vm);
+	why = flt_check_budget(f, vm);
 	flt_add_count(f, vm, 0, 1);
 	return why;
 }
@@ -297,13 +297,13 @@
  * its budget through its declared failure: FLT_OK, or the limit that is
  * exceeded.
  */
-enum flt_why flt_kept(const struct flt *f, int vm)
+enum flt_refusal flt_check_budget(const struct flt *f, int vm)
 {
 	const struct flt_pool *p = flt_pool(f, flt_vm(f, vm)->pool);
 	const struct flt_rack *r = flt_rack_of(f, vm);
 	const struct flt_budget *b = &p->budget;
-	const struct flt_tally *sw = flt_at_sw(p, r->sw);
-	const struct flt_tally *zone = flt_at_zone(p, r->zone);
+	const struct flt_tally *sw = flt_behind_switch(p, r->sw);
+	const struct flt_tally *zone = flt_in_zone(p, r->zone);
 
 	if (b->missing_rack && sw->size - sw->serving > b->missing_rack)
 		return FLT_RACK_BUDGET;
@@ -349,17 +349,17 @@
 }
 
 /* Takes a VM out for a wave, to be drained, if its pool can do without it. */
-enum flt_why flt_take(struct flt *f, int vm, uint64_t wave)
+enum flt_refusal flt_claim(struct flt *f, int vm, uint64_t wave)
 {
 	struct flt_vm *v = flt_vm(f, vm);
-	enum flt_why why;
+	enum flt_refusal why;
 
 	if (v->wave != FLT_NO_WAVE && v->wave != wave)
-		return FLT_TAKEN;
+		return FLT_IN_WAVE;
 	if (v->state != FLT_UP)
 		return FLT_NOT_UP;
-	if (flt_zone_of(f, vm)->cut)
-		return FLT_CUT_OFF;
+	if (flt_zone_of(f, vm)->partitioned)
+		return FLT_PARTITIONED;
 	why = flt_can_lose(f, vm);
 	if (why != FLT_OK)
 		return why;
@@ -371,13 +371,13 @@
 /*
  * Drains a VM for an operator; force overrides the budget, not the state chart.
  */
-enum flt_why flt_hold(struct flt *f, int vm, bool force)
+enum flt_refusal flt_hold(struct flt *f, int vm, bool force)
 {
 	struct flt_vm *v = flt_vm(f, vm);
-	enum flt_why why = FLT_OK;
+	enum flt_refusal why = FLT_OK;
 
 	if (v->wave != FLT_NO_WAVE)
-		return FLT_TAKEN;
+		return FLT_IN_WAVE;
 	if (v->state == FLT_UP && !force)
 		why = flt_can_lose(f, vm);
 	if (why != FLT_OK)
@@ -403,23 +403,23 @@
  * planning: between plan and move a VM may fail, be taken by a wave or be
  * partitioned.
  */
-enum flt_why flt_move(struct flt *f, int vm, int to)
+enum flt_refusal flt_move(struct flt *f, int vm, int to)
 {
 	struct flt_vm *v = flt_vm(f, vm);
-	enum flt_why why;
+	enum flt_refusal why;
 
 	if (!flt_fits(f, vm, to))
 		return FLT_UNFIT;
 	if (v->wave != FLT_NO_WAVE)
-		return FLT_TAKEN;
+		return FLT_IN_WAVE;
 	if (v->state != FLT_UP && v->state != FLT_HELD)
 		return FLT_NOT_UP;
-	if (flt_zone_of(f, vm)->cut)
-		return FLT_CUT_OFF;
+	if (flt_zone_of(f, vm)->partitioned)
+		return FLT_PARTITIONED;
 	why = flt_can_lose(f, vm);
 	if (why != FLT_OK)
 		return why;
-	flt_put(f, vm, to);
+	flt_assign(f, vm, to);
 	return FLT_OK;
 }
 
@@ -427,7 +427,7 @@
  * Changes a VM's pool without a check: for first assignments, and to apply and
  * undo moves on a plan's copy.
  */
-void flt_put(struct flt *f, int vm, int to)
+void flt_assign(struct flt *f, int vm, int to)
 {
 	struct flt_vm *v = flt_vm(f, vm);
 	int serving = flt_is_serving(f, vm);
@@ -463,31 +463,31 @@
  * count as missing: whether they serve is unknown, and no VM of the reachable
  * zones may be taken down on the assumption that they do.
  */
-void flt_cut(struct flt *f, int zone, bool cut)
+void flt_set_partitioned(struct flt *f, int zone, bool partitioned)
 {
 	struct flt_zone *z = flt_zone(f, zone);
 	bool was_serving;
 	guint i;
 
-	if (z->cut == cut)
+	if (z->partitioned == partitioned)
 		return;
 	for (i = 0; i < f->vms->len; i++) {
 		if (flt_rack_of(f, (int)i)->zone != zone)
 			continue;
-		z->cut = !cut;
+		z->partitioned = !partitioned;
 		was_serving = flt_is_serving(f, (int)i);
-		z->cut = cut;
+		z->partitioned = partitioned;
 		flt_add_count(f, (int)i, 0,
 			      (int)flt_is_serving(f, (int)i) -
 				      (int)was_serving);
 	}
-	z->cut = cut;
+	z->partitioned = partitioned;
 }
 
 /* Returns the reason as a text for audit entries and operators. */
-const char *flt_why_text(enum flt_why why)
+const char *flt_refusal_text(enum flt_refusal why)
 {
-	return flt_whys[why];
+	return flt_refusals[why];
 }
 
 /* Returns the state's name as in the chart. */
@@ -508,7 +508,7 @@
 
 		pk_cstr(o, z->name);
 		pk_i(o, z->site);
-		pk_bool(o, z->cut);
+		pk_bool(o, z->partitioned);
 	}
 	pk_arr(o, (size_t)f->racks->len * 3);
 	for (i = 0; i < f->racks->len; i++) {
@@ -577,7 +577,8 @@
 /* Whether a VM is up and its zone is reachable. */
 static bool flt_is_serving(const struct flt *f, int vm)
 {
-	return flt_vm(f, vm)->state == FLT_UP && !flt_zone_of(f, vm)->cut;
+	return flt_vm(f, vm)->state == FLT_UP &&
+	       !flt_zone_of(f, vm)->partitioned;
 }
 
 /* Adds to the counts of a VM's pool, in total, by zone and by switch. */
@@ -585,7 +586,7 @@
 {
 	struct flt_pool *p = flt_pool(f, flt_vm(f, vm)->pool);
 	const struct flt_rack *r = flt_rack_of(f, vm);
-	struct flt_tally *zone = flt_at_zone(p, r->zone);
+	struct flt_tally *zone = flt_in_zone(p, r->zone);
 
 	if (size == 0 && serving == 0)
 		return;
@@ -623,15 +624,17 @@
 {
 	int *n_switches_with;
 
-	if (p->sw_having->len < (guint)t->serving + 2)
-		g_array_set_size(p->sw_having, (guint)t->serving + 2);
-	n_switches_with = (int *)(void *)p->sw_having->data;
+	if (p->n_switches_by_serving->len < (guint)t->serving + 2)
+		g_array_set_size(p->n_switches_by_serving,
+				 (guint)t->serving + 2);
+	n_switches_with = (int *)(void *)p->n_switches_by_serving->data;
 	n_switches_with[t->serving]--;
 	t->serving = (uint16_t)(t->serving + serving);
 	n_switches_with[t->serving]++;
-	p->worst_sw = MAX(p->worst_sw, (int)t->serving);
-	while (p->worst_sw > 0 && n_switches_with[p->worst_sw] == 0)
-		p->worst_sw--;
+	p->max_behind_switch = MAX(p->max_behind_switch, (int)t->serving);
+	while (p->max_behind_switch > 0 &&
+	       n_switches_with[p->max_behind_switch] == 0)
+		p->max_behind_switch--;
 }
 
 static struct flt_place *flt_get_place(const struct flt_pool *p, guint at)
@@ -671,7 +674,7 @@
 	c.name = NULL;
 	c.places = g_array_copy(p->places);
 	c.by_zone = g_array_copy(p->by_zone);
-	c.sw_having = g_array_copy(p->sw_having);
+	c.n_switches_by_serving = g_array_copy(p->n_switches_by_serving);
 	return c;
 }
 
@@ -680,7 +683,7 @@
 	g_free(p->name);
 	g_array_free(p->places, TRUE);
 	g_array_free(p->by_zone, TRUE);
-	g_array_free(p->sw_having, TRUE);
+	g_array_free(p->n_switches_by_serving, TRUE);
 }
 
 static int flt_max_serving(const GArray *tallies)
@@ -735,7 +738,7 @@
 	while (pk_in_ok(&zones) && pk_in_left(&zones)) {
 		name = pk_get_str(&zones);
 		at = flt_add_zone(f, name, (int)pk_get_i(&zones));
-		g_array_index(f->zones, struct flt_zone, at).cut =
+		g_array_index(f->zones, struct flt_zone, at).partitioned =
 			pk_get_bool(&zones);
 	}
 	while (pk_in_ok(&racks) && pk_in_left(&racks)) {
--- a/src/flt.h
+++ b/src/flt.h
@@ -41,16 +41,16 @@
 };
 
 /* Why an operation on a VM is refused now. */
-enum flt_why {
+enum flt_refusal {
 	FLT_OK,
 	FLT_NOT_UP,
-	FLT_CUT_OFF,
-	FLT_TAKEN, /* the VM belongs to another wave */
+	FLT_PARTITIONED, /* the zone of the VM is partitioned */
+	FLT_IN_WAVE, /* the VM is in maintenance by another wave */
 	FLT_BUDGET, /* the budget would not survive the declared failure */
 	FLT_RACK_BUDGET, /* too many VMs missing behind one switch */
 	FLT_ZONE_BUDGET, /* too many VMs missing in one zone */
 	FLT_UNFIT, /* the pool cannot use the VM's kind or site */
-	FLT_WHYS
+	FLT_REFUSALS
 };
 
 /* The pool of all VMs that are in no other pool. */
@@ -61,7 +61,7 @@
 struct flt_zone {
 	char *name;
 	int site;
-	bool cut; /* the zone is partitioned from the control daemons */
+	bool partitioned; /* the zone is partitioned from the control daemons */
 };
 
 /* A rack is connected to one switch; racks of one switch fail together. */
@@ -126,8 +126,8 @@
 	GArray *places;
 	GArray *by_zone; /* struct flt_tally by zone */
 	/* int: number of switches with N serving VMs, by N */
-	GArray *sw_having;
-	int worst_sw; /* most serving VMs behind one switch */
+	GArray *n_switches_by_serving;
+	int max_behind_switch; /* most serving VMs behind one switch */
 };
 
 struct flt {
@@ -154,29 +154,29 @@
 struct flt_rack *flt_rack_of(const struct flt *f, int vm);
 struct flt_zone *flt_zone_of(const struct flt *f, int vm);
 struct flt_pool *flt_pool(const struct flt *f, int pool);
-const struct flt_tally *flt_at_sw(const struct flt_pool *p, int sw);
-struct flt_tally *flt_at_zone(const struct flt_pool *p, int zone);
+const struct flt_tally *flt_behind_switch(const struct flt_pool *p, int sw);
+struct flt_tally *flt_in_zone(const struct flt_pool *p, int zone);
 int flt_find_vm(const struct flt *f, struct lstr name);
 int flt_find_pool(const struct flt *f, struct lstr name);
 
 int flt_floor(const struct flt_pool *p);
 int flt_largest_loss(const struct flt_pool *p);
 int flt_margin(const struct flt_pool *p);
-enum flt_why flt_can_lose(struct flt *f, int vm);
-enum flt_why flt_kept(const struct flt *f, int vm);
+enum flt_refusal flt_can_lose(struct flt *f, int vm);
+enum flt_refusal flt_check_budget(const struct flt *f, int vm);
 bool flt_fits(const struct flt *f, int vm, int pool);
 
 bool flt_vm_event(struct flt *f, int vm, enum flt_event ev);
-enum flt_why flt_take(struct flt *f, int vm, uint64_t wave);
-enum flt_why flt_hold(struct flt *f, int vm, bool force);
+enum flt_refusal flt_claim(struct flt *f, int vm, uint64_t wave);
+enum flt_refusal flt_hold(struct flt *f, int vm, bool force);
 void flt_unhold(struct flt *f, int vm);
-enum flt_why flt_move(struct flt *f, int vm, int to);
-void flt_put(struct flt *f, int vm, int to);
+enum flt_refusal flt_move(struct flt *f, int vm, int to);
+void flt_assign(struct flt *f, int vm, int to);
 void flt_fail_rack(struct flt *f, int rack);
 void flt_fail_zone(struct flt *f, int zone);
-void flt_cut(struct flt *f, int zone, bool cut);
+void flt_set_partitioned(struct flt *f, int zone, bool partitioned);
 
-const char *flt_why_text(enum flt_why why);
+const char *flt_refusal_text(enum flt_refusal why);
 const char *flt_state_name(enum flt_state state);
 void flt_pack(const struct flt *f, struct pk_out *o);
 struct flt *flt_unpack(struct lstr bytes, GError **err);
--- a/src/hub_held.c
+++ b/src/hub_held.c
@@ -40,10 +40,10 @@
 	closed = g_hash_table_new(g_str_hash, g_str_equal);
 	v.moving = g_hash_table_new(g_str_hash, g_str_equal);
 	v.upkeep = g_hash_table_new(g_str_hash, g_str_equal);
-	upk_closed(h->upk, v.upkeep);
-	flo_closed(h->flo, v.moving);
-	upk_closed(h->upk, closed);
-	flo_closed(h->flo, closed);
+	upk_add_closed(h->upk, v.upkeep);
+	flo_add_closed(h->flo, v.moving);
+	upk_add_closed(h->upk, closed);
+	flo_add_closed(h->flo, closed);
 	hub_view(h, closed, &plan);
 	hld_look(&v, &h->held, hub_held_tell, h);
 	g_hash_table_destroy(closed);
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -510,8 +510,8 @@
 	GHashTableIter it;
 	char *pool;
 
-	upk_closed(h->upk, closed);
-	flo_closed(h->flo, closed);
+	upk_add_closed(h->upk, closed);
+	flo_add_closed(h->flo, closed);
 	hub_view(h, closed, &v);
 	g_hash_table_iter_init(&it, h->dirty);
 	while (g_hash_table_iter_next(&it, (gpointer *)&pool, NULL))
@@ -609,8 +609,8 @@
 	GHashTable *closed = g_hash_table_new(g_str_hash, g_str_equal);
 	struct sch_view v;
 
-	upk_closed(h->upk, closed);
-	flo_closed(h->flo, closed);
+	upk_add_closed(h->upk, closed);
+	flo_add_closed(h->flo, closed);
 	hub_view(h, closed, &v);
 	adv_line_look(h->advice, &v);
 	g_hash_table_destroy(closed);
@@ -639,7 +639,7 @@
 {
 	struct hub *h = arg;
 
-	flo_starved(h->flo, pool, tmr_now(h->tmr));
+	flo_report_unschedulable(h->flo, pool, tmr_now(h->tmr));
 }
 
 /* A task is to start on a worker: a command for the log. */
@@ -672,8 +672,8 @@
 		"worker=%s percent=%d away=%u may_miss=%u why=\"%s\"",
 		run->job->spec.id, run->turn, run->step, run->index,
 		run->attempt, run->worker->info.id, run->percent,
-		s->flags & JTB_LASTS ? upk_away(h->upk, run) : 0, s->may_miss,
-		why);
+		s->flags & JTB_LASTS ? upk_count_unavailable(h->upk, run) : 0,
+		s->may_miss, why);
 	if (!agree) {
 		wkr_stop(h->wkr, run);
 		return;
--- a/src/hub_tell.c
+++ b/src/hub_tell.c
@@ -215,7 +215,7 @@
 		(uint64_t)q.leaderless_ms,
 		jtb_live(h->jtb)->len,
 		g_hash_table_size(jtb_workers(h->jtb)),
-		flo_moving(h->flo),
+		flo_count_moves(h->flo),
 		rep_syncs(h->rep),
 		(uint64_t)rep_sync_us(h->rep),
 		wkr_conns(h->wkr).connects,
--- a/src/hub_vm.c
+++ b/src/hub_vm.c
@@ -38,32 +38,32 @@
 static const struct vms_ops hub_vms_ops = {
 	.listed = hub_vm_listed,
 	.answered = hub_vm_answered,
-	.sure = hub_vm_sure,
+	.confirmed_ms = hub_vm_sure,
 };
 
 static const struct upk_ops hub_upk_ops = {
 	.stop = hub_stop,
 	.order = hub_vm_order,
 	.note = hub_vm_note,
-	.held = hub_vm_moving,
-	.spared = hub_vm_spared,
-	.reached = hub_vm_reached,
+	.is_moving = hub_vm_moving,
+	.is_spare = hub_vm_spared,
+	.is_reachable = hub_vm_reached,
 };
 
 static const struct flo_ops hub_flo_ops = {
 	.order = hub_vm_move,
 	.stop = hub_stop,
 	.may_stop = hub_vm_may_stop,
-	.held = hub_vm_held,
+	.is_pinned = hub_vm_held,
 };
 
 static const char *const hub_vm_answers[] = {
-	[VMS_YES] = "yes",
+	[VMS_ACCEPTED] = "yes",
 	[VMS_FENCED] = "fenced",
 	[VMS_BUSY] = "busy",
 	[VMS_OTHER_WAVE] = "other-wave",
 	[VMS_NO_SUCH] = "no-such-vm",
-	[VMS_SLOW_DOWN] = "too-many-calls",
+	[VMS_RATE_LIMITED] = "too-many-calls",
 	[VMS_UNANSWERED] = "unanswered",
 };
 
@@ -95,9 +95,9 @@
 /* We lead: orders carry our term as fence. */
 void hub_vm_lead(struct hub *h, uint64_t term)
 {
-	vms_lead(h->vms, term);
-	upk_lead(h->upk);
-	flo_lead(h->flo);
+	vms_start(h->vms, term);
+	upk_reset(h->upk);
+	flo_reset(h->flo);
 	/*
 	 * Two leaders must not give a VM orders by turns: one that leads again
 	 * soon after it lost its place lets the other's orders pass first. For
@@ -130,7 +130,7 @@
 {
 	tmr_cancel(h->tmr, h->vm_timer);
 	h->vm_timer = 0;
-	vms_rest(h->vms);
+	vms_stop(h->vms);
 	h->rested_ms = tmr_now(h->tmr);
 }
 
@@ -232,7 +232,7 @@
 		.listed = vm != NULL,
 		.up = vm && vm->state == VMS_UP,
 		.other = vm && !on && *vm->worker,
-		.unread = vms_unread(h->vms),
+		.unread = vms_has_unknown_worker(h->vms),
 		.without = w->unlisted,
 	};
 }
@@ -252,7 +252,7 @@
 		upk_answered(h->upk, vm, answer, tmr_now(h->tmr));
 	else
 		flo_answered(h->flo, vm, answer, tmr_now(h->tmr));
-	if (answer != VMS_YES)
+	if (answer != VMS_ACCEPTED)
 		return;
 	/* The lifetime that was on it is over, with all that it ran. */
 	w = worker ? jtb_worker(h->jtb, worker) : NULL;
@@ -288,7 +288,7 @@
 {
 	const struct hub *h = arg;
 
-	return flo_spared(h->flo, vm);
+	return flo_is_spare(h->flo, vm);
 }
 
 /* Whether a worker answers. */
@@ -304,7 +304,7 @@
 {
 	const struct hub *h = arg;
 
-	return flo_holds(h->flo, vm);
+	return flo_is_moving(h->flo, vm);
 }
 
 /* A VM is to be moved to a pool. */
@@ -329,5 +329,6 @@
 {
 	const struct hub *h = arg;
 
-	return upk_holds(h->upk, vm) || upk_urgent(h->upk, vm, hub_wall_ms());
+	return upk_is_in_upkeep(h->upk, vm) ||
+	       upk_urgent(h->upk, vm, hub_wall_ms());
 }
--- a/src/mvr.c
+++ b/src/mvr.c
@@ -147,7 +147,7 @@
 	for (i = 0; i < fst_nodes(f); i++) {
 		fst_node(f, i, &node, &zone);
 		if (strcmp(zone, home) == 0 &&
-		    m->ops->works_by(m->arg, node) < vm->since)
+		    m->ops->applied_version(m->arg, node) < vm->since)
 			return node;
 	}
 	return NULL;
--- a/src/mvr.h
+++ b/src/mvr.h
@@ -21,7 +21,7 @@
 	 * Returns the view version that an entry daemon has reported as
 	 * applied; 0: none.
 	 */
-	uint64_t (*works_by)(void *arg, const char *node);
+	uint64_t (*applied_version)(void *arg, const char *node);
 	/*
 	 * Submits a step; the command's identity and time are set by the
 	 * submitter.
--- a/src/pln.c
+++ b/src/pln.c
@@ -320,7 +320,7 @@
 				      v->state != FLT_UP &&
 				      v->state != FLT_DOWN;
 	if (v->state == FLT_UP && v->wave == FLT_NO_WAVE && !v->hold &&
-	    !flt_zone_of(p->f, p->vm)->cut &&
+	    !flt_zone_of(p->f, p->vm)->partitioned &&
 	    (v->pool == FLT_SPARE || pool->serving > flt_floor(pool))) {
 		sw = flt_rack_of(p->f, p->vm)->sw;
 		p->next_donor[p->vm] = p->donors[sw];
@@ -395,7 +395,7 @@
 		return;
 	}
 	move.from = flt_vm(p->f, move.vm)->pool;
-	flt_put(p->f, move.vm, move.to);
+	flt_assign(p->f, move.vm, move.to);
 	g_array_append_val(p->moves, move);
 	if (move.reason == PLN_REFILL || flt_margin(pool) > margin)
 		p->futile = 0;
@@ -452,8 +452,8 @@
 	guint z;
 
 	for (z = 0; z < f->zones->len; z++)
-		if (g_array_index(f->zones, struct flt_zone, z).cut &&
-		    flt_at_zone(pool, (int)z)->size)
+		if (g_array_index(f->zones, struct flt_zone, z).partitioned &&
+		    flt_in_zone(pool, (int)z)->size)
 			return true;
 	return false;
 }
@@ -467,10 +467,11 @@
 static uint64_t pln_rank(const struct pln *p, int pool, int sw, int zone)
 {
 	const struct flt_pool *at = flt_pool(p->f, pool);
-	uint64_t in_zone = flt_at_zone(at, zone)->serving;
-	uint64_t in_sw = flt_at_sw(at, sw)->serving;
+	uint64_t in_zone = flt_in_zone(at, zone)->serving;
+	uint64_t in_sw = flt_behind_switch(at, sw)->serving;
 	const struct flt_pool *spare = flt_pool(p->f, FLT_SPARE);
-	uint64_t spare_rank = UINT16_MAX - flt_at_sw(spare, sw)->serving;
+	uint64_t spare_rank =
+		UINT16_MAX - flt_behind_switch(spare, sw)->serving;
 
 	if (at->budget.survive_zone)
 		return in_zone << 32 | in_sw << 16 | spare_rank;
@@ -565,7 +566,7 @@
 	while (p->futile > 0) {
 		last = &g_array_index(p->moves, struct pln_move,
 				      p->moves->len - 1);
-		flt_put(p->f, last->vm, last->from);
+		flt_assign(p->f, last->vm, last->from);
 		g_array_set_size(p->moves, p->moves->len - 1);
 		p->futile--;
 	}
--- a/src/sim.c
+++ b/src/sim.c
@@ -29,16 +29,16 @@
 	.stop = sim_stop,
 	.order = sim_order_upkeep,
 	.note = sim_note,
-	.held = sim_moving,
-	.spared = sim_spared,
-	.reached = sim_reached,
+	.is_moving = sim_moving,
+	.is_spare = sim_spared,
+	.is_reachable = sim_reached,
 };
 
 static const struct flo_ops sim_flo_ops = {
 	.order = sim_move,
 	.stop = sim_stop,
 	.may_stop = sim_may_stop,
-	.held = sim_held,
+	.is_pinned = sim_held,
 };
 
 static const struct crs_ops sim_crs_ops = {
@@ -316,8 +316,8 @@
 		.start = sim_start,
 		.starved = sim_starved,
 	};
-	upk_closed(s->upk, closed);
-	flo_closed(s->flo, closed);
+	upk_add_closed(s->upk, closed);
+	flo_add_closed(s->flo, closed);
 }
 
 /* Whether a worker may be given work now. */
@@ -339,7 +339,7 @@
 {
 	struct sim *s = arg;
 
-	flo_starved(s->flo, pool, s->now);
+	flo_report_unschedulable(s->flo, pool, s->now);
 }
 
 /* A start is proposed. */
@@ -464,7 +464,7 @@
 {
 	const struct sim *s = arg;
 
-	return flo_holds(s->flo, vm);
+	return flo_is_moving(s->flo, vm);
 }
 
 /* Whether nobody would miss a VM now. */
@@ -472,7 +472,7 @@
 {
 	const struct sim *s = arg;
 
-	return flo_spared(s->flo, vm);
+	return flo_is_spare(s->flo, vm);
 }
 
 /* Whether a worker answers. */
@@ -502,7 +502,7 @@
 {
 	const struct sim *s = arg;
 
-	return upk_holds(s->upk, vm);
+	return upk_is_in_upkeep(s->upk, vm);
 }
 
 /* For how long a run had been seen at work when its worker crashed. */
--- a/src/sim_check.c
+++ b/src/sim_check.c
@@ -326,8 +326,8 @@
 	guint i;
 
 	sim_view(s, &plan, closed);
-	upk_closed(s->upk, v.upkeep);
-	flo_closed(s->flo, v.moving);
+	upk_add_closed(s->upk, v.upkeep);
+	flo_add_closed(s->flo, v.moving);
 	for (i = 0; i < live->len; i++) {
 		struct jtb_job *job = g_ptr_array_index(live, i);
 
--- a/src/sim_trouble.c
+++ b/src/sim_trouble.c
@@ -64,8 +64,8 @@
 	s->led_ms = s->now;
 	crs_clear(s->crs);
 	if (s->config.keep_proposed) {
-		upk_lead(s->upk);
-		flo_lead(s->flo);
+		upk_reset(s->upk);
+		flo_reset(s->flo);
 		return;
 	}
 	pk_out_init(&o);
@@ -75,8 +75,8 @@
 	pk_out_done(&o);
 	jtb_unplan_all(s->jtb);
 	sim_inherit(s);
-	upk_lead(s->upk);
-	flo_lead(s->flo);
+	upk_reset(s->upk);
+	flo_reset(s->flo);
 }
 
 /* A worker is cut off, for less than its lease or more. */
--- a/src/sim_world.c
+++ b/src/sim_world.c
@@ -535,7 +535,7 @@
 	m->busy_until = s->now + (o->pool ? SIM_MOVE_MS : SIM_UPKEEP_MS);
 	if (o->pool)
 		m->next_pool = g_strdup(o->pool);
-	return VMS_YES;
+	return VMS_ACCEPTED;
 }
 
 /* The leader orders a VM to a pool, or its upkeep (NULL). */
--- a/src/upk.c
+++ b/src/upk.c
@@ -88,7 +88,7 @@
 static uint32_t upk_count_wanted(const struct jtb_wave *w, uint32_t remaining,
 				 int64_t wall);
 static uint32_t upk_start_drains(struct upk *u, struct jtb_wave *w,
-				 uint32_t most, bool spared, int64_t now);
+				 uint32_t most, bool spare_only, int64_t now);
 static int upk_compare_candidates(gconstpointer a, gconstpointer b);
 static struct upk_drain *upk_add_drain(struct upk *u, const struct jtb_wave *w,
 				       const char *vm, const char *worker,
@@ -138,7 +138,7 @@
  * Resets the planner when this replica becomes leader: all state is derived
  * from the job table again.
  */
-void upk_lead(struct upk *u)
+void upk_reset(struct upk *u)
 {
 	g_hash_table_remove_all(u->by_vm);
 	g_ptr_array_set_size(u->drains, 0);
@@ -196,7 +196,7 @@
 		return;
 	if (answer == VMS_FENCED)
 		d->fenced = true;
-	else if (answer == VMS_YES && !d->accepted_ms)
+	else if (answer == VMS_ACCEPTED && !d->accepted_ms)
 		d->accepted_ms = now_ms;
 }
 
@@ -212,7 +212,7 @@
 }
 
 /* Whether a VM is being drained or is down for its upkeep. */
-bool upk_holds(const struct upk *u, const char *vm)
+bool upk_is_in_upkeep(const struct upk *u, const char *vm)
 {
 	return upk_find_drain(u, vm) != NULL;
 }
@@ -278,7 +278,7 @@
  * drained. The set borrows the strings until the planner is called again or a
  * worker leaves the job table.
  */
-void upk_closed(const struct upk *u, GHashTable *ids)
+void upk_add_closed(const struct upk *u, GHashTable *ids)
 {
 	GPtrArray *waves = jtb_waves(u->jtb);
 	bool unlisted = false;
@@ -354,14 +354,14 @@
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 
 	return !(s->flags & JTB_LASTS) ||
-	       upk_away(u, run) < MAX(1, s->may_miss);
+	       upk_count_unavailable(u, run) < MAX(1, s->may_miss);
 }
 
 /*
  * Returns how many other tasks of a run's step are unavailable, for any reason.
  * A run below 100 percent has just begun and does not count as available.
  */
-uint32_t upk_away(const struct upk *u, const struct jtb_run *run)
+uint32_t upk_count_unavailable(const struct upk *u, const struct jtb_run *run)
 {
 	const struct jtb_step *s = &run->job->spec.steps[run->step];
 	const struct jtb_part *part =
@@ -375,7 +375,7 @@
 		if (other == run)
 			continue;
 		if (!other || jtb_leaves(other) || other->percent < 100 ||
-		    !u->ops->reached(u->arg, other->worker))
+		    !u->ops->is_reachable(u->arg, other->worker))
 			away++;
 	}
 	return away;
@@ -541,12 +541,12 @@
 
 /*
  * Starts to drain at most `most` VMs, the cheapest first; returns how many were
- * started. spared: only VMs that can be down without being missed. The wave is
+ * started. spare_only: only VMs that can be down without being missed. The wave is
  * scanned once for all of them: a scan for each VM blocked the event loop when
  * a wave of hundreds of VMs began.
  */
 static uint32_t upk_start_drains(struct upk *u, struct jtb_wave *w,
-				 uint32_t most, bool spared, int64_t now)
+				 uint32_t most, bool spare_only, int64_t now)
 {
 	GArray *candidates =
 		g_array_new(FALSE, FALSE, sizeof(struct upk_candidate));
@@ -559,8 +559,9 @@
 		struct upk_candidate candidate = {.vm = vm, .index = i};
 
 		if (v->state != JTB_VM_WAITS || !vm || vm->state != VMS_UP ||
-		    upk_find_drain(u, v->vm) || u->ops->held(u->arg, v->vm) ||
-		    (spared && !u->ops->spared(u->arg, v->vm)))
+		    upk_find_drain(u, v->vm) ||
+		    u->ops->is_moving(u->arg, v->vm) ||
+		    (spare_only && !u->ops->is_spare(u->arg, v->vm)))
 			continue;
 		candidate.cost = upk_drain_cost(u, vm, now);
 		g_array_append_val(candidates, candidate);
--- a/src/upk.h
+++ b/src/upk.h
@@ -25,27 +25,27 @@
 	void (*note)(void *arg, struct jtb_wave *w, struct jtb_wave_vm *vm,
 		     enum jtb_vm_state state, const char *worker_before);
 	/* Whether a VM is being moved to another pool. */
-	bool (*held)(void *arg, const char *vm);
+	bool (*is_moving)(void *arg, const char *vm);
 	/* Whether a VM can be down now without being missed by its pool. */
-	bool (*spared)(void *arg, const char *vm);
+	bool (*is_spare)(void *arg, const char *vm);
 	/* Whether a worker is reachable. */
-	bool (*reached)(void *arg, const struct jtb_worker *w);
+	bool (*is_reachable)(void *arg, const struct jtb_worker *w);
 };
 
 struct upk *upk_new(struct jtb *jtb, const struct vms *vms,
 		    const struct upk_ops *ops, void *arg);
 void upk_free(struct upk *u);
-void upk_lead(struct upk *u);
+void upk_reset(struct upk *u);
 void upk_tick(struct upk *u, int64_t now_ms, int64_t wall_ms);
 void upk_answered(struct upk *u, const char *vm, enum vms_answer answer,
 		  int64_t now_ms);
 const char *upk_worker(const struct upk *u, const char *vm);
 bool upk_busy(const struct upk *u);
 bool upk_due(const struct upk *u, const char *worker);
-void upk_closed(const struct upk *u, GHashTable *ids);
-bool upk_holds(const struct upk *u, const char *vm);
+void upk_add_closed(const struct upk *u, GHashTable *ids);
+bool upk_is_in_upkeep(const struct upk *u, const char *vm);
 bool upk_urgent(const struct upk *u, const char *vm, int64_t wall_ms);
-uint32_t upk_away(const struct upk *u, const struct jtb_run *run);
+uint32_t upk_count_unavailable(const struct upk *u, const struct jtb_run *run);
 bool upk_may_stop(const struct upk *u, const struct jtb_run *run);
 
 #endif
--- a/src/vms.c
+++ b/src/vms.c
@@ -84,7 +84,7 @@
 };
 
 /*
- * Creates a session that does nothing until vms_lead(). What config points to
+ * Creates a session that does nothing until vms_start(). What config points to
  * must outlive it.
  */
 struct vms *vms_new(const struct vms_config *config, const struct vms_ops *ops,
@@ -113,7 +113,7 @@
 {
 	if (!v)
 		return;
-	vms_rest(v);
+	vms_stop(v);
 	ups_free(v->ups);
 	g_ptr_array_free(v->calls, TRUE);
 	g_hash_table_destroy(v->by_name);
@@ -127,9 +127,9 @@
  * Starts the session when this replica becomes leader. Orders carry the fencing
  * token.
  */
-void vms_lead(struct vms *v, uint64_t fence)
+void vms_start(struct vms *v, uint64_t fence)
 {
-	vms_rest(v);
+	vms_stop(v);
 	v->leading = true;
 	v->fence = fence;
 }
@@ -138,7 +138,7 @@
  * Stops the session when this replica is no leader any more: aborts all calls
  * and drops the list.
  */
-void vms_rest(struct vms *v)
+void vms_stop(struct vms *v)
 {
 	v->leading = false;
 	tmr_cancel(v->config.tmr, v->check_timer);
@@ -225,7 +225,7 @@
 }
 
 /* Whether an order for a VM has been sent and not been answered. */
-bool vms_asked(const struct vms *v, const char *vm)
+bool vms_has_order(const struct vms *v, const char *vm)
 {
 	guint i;
 
@@ -284,7 +284,7 @@
 }
 
 /* Whether a VM in the latest list is up without a known worker. */
-bool vms_unread(const struct vms *v)
+bool vms_has_unknown_worker(const struct vms *v)
 {
 	return v->worker_unknown;
 }
@@ -317,7 +317,7 @@
  */
 static bool vms_is_leader_confirmed(const struct vms *v, int64_t for_ms)
 {
-	int64_t age_ms = tmr_now(v->config.tmr) - v->ops->sure(v->arg);
+	int64_t age_ms = tmr_now(v->config.tmr) - v->ops->confirmed_ms(v->arg);
 
 	return v->leading && age_ms <= for_ms;
 }
@@ -331,7 +331,7 @@
 static bool vms_may_order(const struct vms *v, const char *vm)
 {
 	return vms_is_leader_confirmed(v, VMS_SEND_LIMIT_MS) &&
-	       !vms_asked(v, vm);
+	       !vms_has_order(v, vm);
 }
 
 /* Checks again when the call is written, as connecting may have taken long. */
@@ -447,7 +447,7 @@
 		vms_schedule_check(v);
 		msg(MSG_VMS_SENT,
 		    "vm=%s fence=%" PRIu64 " sure_age_ms=%" PRId64, c->vm,
-		    o.fence, c->sent_ms - v->ops->sure(v->arg));
+		    o.fence, c->sent_ms - v->ops->confirmed_ms(v->arg));
 	}
 	g_free(path);
 	return c;
--- a/src/vms.h
+++ b/src/vms.h
@@ -38,12 +38,12 @@
 };
 
 enum vms_answer {
-	VMS_YES,
+	VMS_ACCEPTED,
 	VMS_FENCED, /* refused: a later leader has given orders for the VM */
 	VMS_BUSY, /* refused: the VM is not up, or is being taken down */
 	VMS_OTHER_WAVE, /* refused: the VM is not due in that wave */
 	VMS_NO_SUCH,
-	VMS_SLOW_DOWN, /* refused: too many calls */
+	VMS_RATE_LIMITED, /* refused: too many calls */
 	VMS_UNANSWERED, /* no answer: the order may still be carried out */
 };
 
@@ -91,7 +91,7 @@
 	void (*answered)(void *arg, enum vms_kind kind, const char *vm,
 			 enum vms_answer answer);
 	/* Returns when leadership was last confirmed, by tmr's clock. */
-	int64_t (*sure)(void *arg);
+	int64_t (*confirmed_ms)(void *arg);
 };
 
 struct vms_config {
@@ -106,20 +106,20 @@
 struct vms *vms_new(const struct vms_config *config, const struct vms_ops *ops,
 		    void *arg);
 void vms_free(struct vms *v);
-void vms_lead(struct vms *v, uint64_t fence);
-void vms_rest(struct vms *v);
+void vms_start(struct vms *v, uint64_t fence);
+void vms_stop(struct vms *v);
 void vms_refresh(struct vms *v);
 void vms_put_list(struct vms *v, GPtrArray *list, int64_t asked_ms);
 void vms_upkeep(struct vms *v, const char *vm, uint64_t wave);
 void vms_move(struct vms *v, const char *vm, const char *pool);
-bool vms_asked(const struct vms *v, const char *vm);
+bool vms_has_order(const struct vms *v, const char *vm);
 GPtrArray *vms_all(const struct vms *v);
 const struct vms_vm *vms_find(const struct vms *v, const char *name);
 const struct vms_vm *vms_of_worker(const struct vms *v, const char *worker);
 const struct vms_vm *vms_last_of_worker(const struct vms *v,
 					const char *worker);
 void vms_forget_worker(struct vms *v, const char *worker);
-bool vms_unread(const struct vms *v);
+bool vms_has_unknown_worker(const struct vms *v);
 int64_t vms_listed_ms(const struct vms *v);
 uint64_t vms_calls(const struct vms *v);
 void vms_vm_free(gpointer p);
--- a/src/wav.c
+++ b/src/wav.c
@@ -12,7 +12,7 @@
 	uint32_t attempt; /* number of drains begun */
 	int drain_timeouts; /* number of drains that timed out */
 	int64_t since_ms; /* when the step began */
-	int64_t sent_ms; /* when the step's act was last sent; 0: not yet */
+	int64_t sent_ms; /* when the step's request was last sent; 0: not yet */
 	int64_t probation_end_ms; /* end of the probation; 0: over or not begun */
 };
 
@@ -88,9 +88,9 @@
 			    bool largest, int64_t now_ms);
 static bool wav_is_in_largest_domain(const struct flt *f, int vm);
 static int wav_count_startable(const struct wav *w);
-static void wav_send_act(struct wav *w, const struct flt *f,
-			 struct wav_target *t, int64_t now_ms,
-			 struct wav_out *out);
+static void wav_send_request(struct wav *w, const struct flt *f,
+			     struct wav_target *t, int64_t now_ms,
+			     struct wav_out *out);
 static bool wav_must_return_vms(const struct wav *w);
 static void wav_audit(const struct wav *w, struct wav_out *out, const char *fmt,
 		      ...) G_GNUC_PRINTF(3, 4);
@@ -197,14 +197,14 @@
 void wav_reply(struct wav *w, struct flt *f, const struct wav_reply *r,
 	       int64_t now_ms, struct wav_out *out)
 {
-	gpointer entry =
-		g_hash_table_lookup(w->by_vm, GINT_TO_POINTER(r->act.vm + 1));
+	gpointer entry = g_hash_table_lookup(
+		w->by_vm, GINT_TO_POINTER(r->request.vm + 1));
 	struct wav_target *t;
 
-	if (!entry || r->act.wave != w->id)
+	if (!entry || r->request.wave != w->id)
 		return;
 	t = wav_get_target(w, GPOINTER_TO_INT(entry) - 1);
-	if (t->step != r->act.step || t->attempt != r->act.attempt ||
+	if (t->step != r->request.step || t->attempt != r->request.attempt ||
 	    !wav_defs[t->step].active)
 		return;
 	if (flt_vm(f, t->vm)->state != wav_defs[t->step].vm_state) {
@@ -217,7 +217,7 @@
 
 /*
  * Advances the wave: detects failures, returns VMs that budgets need, starts to
- * drain VMs that budgets allow, and sends acts that are due.
+ * drain VMs that budgets allow, and sends requests that are due.
  */
 void wav_tick(struct wav *w, struct flt *f, int64_t now_ms, struct wav_out *out)
 {
@@ -233,7 +233,7 @@
 		struct wav_target *t = wav_get_target(w, i);
 
 		if (wav_defs[t->step].active) {
-			wav_send_act(w, f, t, now_ms, out);
+			wav_send_request(w, f, t, now_ms, out);
 			active++;
 		}
 		open += t->step == WAV_WAITING || t->probation_end_ms;
@@ -311,9 +311,9 @@
 
 /*
  * Returns the wave that wav_pack wrote, or NULL with ERR_CORRUPT. The times at
- * which acts were sent are not stored: all unanswered acts are sent again at
- * the next tick under their old keys, so that none is lost and the platform
- * repeats none.
+ * which requests were sent are not stored: all unanswered requests are sent
+ * again at the next tick under their old keys, so that none is lost and the
+ * platform repeats none.
  */
 struct wav *wav_unpack(struct lstr bytes, GError **err)
 {
@@ -357,21 +357,21 @@
 /* Initializes empty arrays. */
 void wav_out_init(struct wav_out *out)
 {
-	out->acts = g_array_new(FALSE, FALSE, sizeof(struct wav_act));
+	out->requests = g_array_new(FALSE, FALSE, sizeof(struct wav_request));
 	out->audit = g_ptr_array_new_with_free_func(g_free);
 }
 
 /* Empties the arrays. */
 void wav_out_clear(struct wav_out *out)
 {
-	g_array_set_size(out->acts, 0);
+	g_array_set_size(out->requests, 0);
 	g_ptr_array_set_size(out->audit, 0);
 }
 
 /* Frees the arrays. */
 void wav_out_done(struct wav_out *out)
 {
-	g_array_free(out->acts, TRUE);
+	g_array_free(out->requests, TRUE);
 	g_ptr_array_free(out->audit, TRUE);
 }
 
@@ -384,11 +384,11 @@
 static void wav_on_drained(struct wav *w, struct flt *f, struct wav_target *t,
 			   int64_t now_ms, struct wav_out *out)
 {
-	enum flt_why why = flt_kept(f, t->vm);
+	enum flt_refusal why = flt_check_budget(f, t->vm);
 
 	if (why != FLT_OK || wav_must_return_vms(w)) {
 		wav_audit(w, out, "%s given back: %s", flt_vm(f, t->vm)->name,
-			  why != FLT_OK ? flt_why_text(why)
+			  why != FLT_OK ? flt_refusal_text(why)
 					: wav_states[w->state]);
 		wav_set_step(t, WAV_GIVE_BACK, now_ms);
 		return;
@@ -503,20 +503,21 @@
 		return;
 	}
 	/*
-	 * While a zone is partitioned, no act or reply passes: timeouts are
+	 * While a zone is partitioned, no request or reply passes: timeouts are
 	 * suspended, or the wave would take the missing replies for a bad
 	 * image.
 	 */
-	if (flt_zone_of(f, t->vm)->cut) {
+	if (flt_zone_of(f, t->vm)->partitioned) {
 		t->since_ms = now_ms;
 		return;
 	}
 	if (t->step == WAV_DRAIN &&
-	    (wav_must_return_vms(w) || flt_kept(f, t->vm) != FLT_OK)) {
-		wav_audit(w, out, "%s given back: %s", flt_vm(f, t->vm)->name,
-			  wav_must_return_vms(w)
-				  ? wav_states[w->state]
-				  : flt_why_text(flt_kept(f, t->vm)));
+	    (wav_must_return_vms(w) || flt_check_budget(f, t->vm) != FLT_OK)) {
+		wav_audit(
+			w, out, "%s given back: %s", flt_vm(f, t->vm)->name,
+			wav_must_return_vms(w)
+				? wav_states[w->state]
+				: flt_refusal_text(flt_check_budget(f, t->vm)));
 		wav_set_step(t, WAV_GIVE_BACK, now_ms);
 		return;
 	}
@@ -755,7 +756,7 @@
 				   g_array_index(q->waiting, int, q->next++));
 		if (t->step != WAV_WAITING ||
 		    (largest && !wav_is_in_largest_domain(f, t->vm)) ||
-		    flt_take(f, t->vm, w->id) != FLT_OK)
+		    flt_claim(f, t->vm, w->id) != FLT_OK)
 			continue;
 		t->attempt++;
 		wav_set_step(t, WAV_DRAIN, now_ms);
@@ -771,9 +772,9 @@
 	const struct flt_pool *p = flt_pool(f, flt_vm(f, vm)->pool);
 	int largest = flt_largest_loss(p);
 
-	return flt_at_sw(p, r->sw)->serving == largest ||
+	return flt_behind_switch(p, r->sw)->serving == largest ||
 	       (p->budget.survive_zone &&
-		flt_at_zone(p, r->zone)->serving == largest);
+		flt_in_zone(p, r->zone)->serving == largest);
 }
 
 /*
@@ -806,25 +807,25 @@
 }
 
 /*
- * Sends the act of a step, again until its reply arrives, but not into a
+ * Sends the request of a step, again until its reply arrives, but not into a
  * partitioned zone.
  */
-static void wav_send_act(struct wav *w, const struct flt *f,
-			 struct wav_target *t, int64_t now_ms,
-			 struct wav_out *out)
+static void wav_send_request(struct wav *w, const struct flt *f,
+			     struct wav_target *t, int64_t now_ms,
+			     struct wav_out *out)
 {
-	struct wav_act act = {
+	struct wav_request request = {
 		.wave = w->id,
 		.vm = t->vm,
 		.step = t->step,
 		.attempt = t->attempt,
 	};
 
-	if (flt_zone_of(f, t->vm)->cut ||
+	if (flt_zone_of(f, t->vm)->partitioned ||
 	    (t->sent_ms && now_ms - t->sent_ms < w->config.retry_ms))
 		return;
 	t->sent_ms = now_ms;
-	g_array_append_val(out->acts, act);
+	g_array_append_val(out->requests, request);
 }
 
 /* Whether VMs that are still draining must return to service. */
--- a/src/wav.h
+++ b/src/wav.h
@@ -13,10 +13,10 @@
 
 /*
  * A maintenance wave drains, reboots, checks and returns the VMs in it, as many
- * at a time as budgets allow. It emits acts, the requests to the platform, and
- * consumes the platform's replies; wav_tick(), called at least every second,
- * advances it. All that must survive a restart is in the output of wav_pack()
- * together with that of flt_pack().
+ * at a time as budgets allow. It emits requests to the platform and consumes
+ * the platform's replies; wav_tick(), called at least every second, advances
+ * it. All that must survive a restart is in the output of wav_pack() together
+ * with that of flt_pack().
  */
 
 /* In the order of the state names in charts/wave.chart. */
@@ -43,7 +43,8 @@
 };
 
 /*
- * Progress of a VM in the wave; WAV_DRAIN to WAV_GIVE_BACK are also the acts.
+ * Progress of a VM in the wave. Steps from WAV_DRAIN to WAV_GIVE_BACK have a
+ * request to the platform.
  */
 enum wav_step {
 	WAV_WAITING,
@@ -80,7 +81,7 @@
 	int64_t check_ms;
 	/* a failure within this time after the return counts */
 	int64_t probation_ms;
-	/* an act without a reply is sent again after this time */
+	/* a request without a reply is sent again after this time */
 	int64_t retry_ms;
 };
 
@@ -88,7 +89,7 @@
  * A request to the platform, which carries out each key (wave, vm, step,
  * attempt) once and answers a repeated key with the same reply.
  */
-struct wav_act {
+struct wav_request {
 	uint64_t wave;
 	int vm;
 	enum wav_step step;
@@ -96,13 +97,13 @@
 };
 
 struct wav_reply {
-	struct wav_act act;
+	struct wav_request request;
 	bool ok;
 };
 
 /* Output of a call; the caller owns the arrays. */
 struct wav_out {
-	GArray *acts; /* struct wav_act, to be sent to the platform */
+	GArray *requests; /* struct wav_request, to be sent to the platform */
 	GPtrArray *audit; /* char *, audit texts; freed with g_free */
 };
 
--- a/tests/prop/flo_prop.cc
+++ b/tests/prop/flo_prop.cc
@@ -41,7 +41,7 @@
 	std::string worker; /* id of the worker on it; "": none */
 	enum vms_state state = VMS_UP;
 	int64_t upAt = 0; /* time at which it is up again */
-	bool held = false; /* in upkeep */
+	bool inUpkeep = false; /* in upkeep */
 };
 
 struct Run {
@@ -78,7 +78,7 @@
 		ops.order = onOrder;
 		ops.stop = onStop;
 		ops.may_stop = onMayStop;
-		ops.held = onHeld;
+		ops.is_pinned = onPinned;
 		vms = vms_new(&c, NULL, NULL);
 		flo = flo_new(jtb, vms, &ops, this);
 		for (int i = randomInt(1, 5); i > 0; i--)
@@ -197,9 +197,9 @@
 		return false;
 	}
 
-	static bool onHeld(void *arg, const char *vm)
+	static bool onPinned(void *arg, const char *vm)
 	{
-		return static_cast<World *>(arg)->machine(vm).held;
+		return static_cast<World *>(arg)->machine(vm).inUpkeep;
 	}
 
 	/*
@@ -211,7 +211,7 @@
 		Machine &m = machine(vm);
 		bool up = m.state == VMS_UP;
 
-		RC_ASSERT(flo_holds(flo, vm));
+		RC_ASSERT(flo_is_moving(flo, vm));
 		for (auto &r : runs)
 			RC_ASSERT(m.worker.empty() || r.worker != m.worker);
 		if (randomInt(0, 100) < lossPercent) {
@@ -226,7 +226,7 @@
 		}
 		flo_answered(flo, vm,
 			     randomInt(0, 100) < lossPercent ? VMS_UNANSWERED
-			     : up			     ? VMS_YES
+			     : up			     ? VMS_ACCEPTED
 							     : VMS_BUSY,
 			     now);
 	}
@@ -299,7 +299,7 @@
 	{
 		World *r = static_cast<World *>(arg);
 
-		flo_starved(r->flo, pool, r->now);
+		flo_report_unschedulable(r->flo, pool, r->now);
 	}
 
 	static void onStart(void *arg, struct jtb_job *job,
@@ -336,7 +336,7 @@
 		v.leaving = onLeaving;
 		v.start = onStart;
 		v.starved = onUnschedulable;
-		flo_closed(flo, closed);
+		flo_add_closed(flo, closed);
 		for (auto &p : pools)
 			sch_plan(&v, p.c_str());
 		g_hash_table_destroy(closed);
@@ -394,7 +394,7 @@
 			if (v && !v->finished)
 				pool_after = v->to;
 			n += pool_after == pool && m.state != VMS_DOWN &&
-			     !m.held;
+			     !m.inUpkeep;
 		}
 		return n;
 	}
@@ -409,13 +409,13 @@
 		std::vector<bool> before;
 
 		for (auto &m : machines)
-			before.push_back(flo_holds(flo, m.name.c_str()));
+			before.push_back(flo_is_moving(flo, m.name.c_str()));
 		/* a copy, as an order in this tick changes the originals */
 		std::vector<Machine> originals = machines;
 		flo_tick(flo, now, wall());
 		for (size_t i = 0; i < originals.size(); i++)
 			if (!before[i] &&
-			    flo_holds(flo, originals[i].name.c_str()))
+			    flo_is_moving(flo, originals[i].name.c_str()))
 				checkMove(originals[i]);
 	}
 
@@ -425,7 +425,7 @@
 		const struct flo_pool *p = flo_pool(flo, m.pool.c_str());
 
 		RC_ASSERT(m.state == VMS_UP);
-		RC_ASSERT(!m.held);
+		RC_ASSERT(!m.inUpkeep);
 		RC_ASSERT(m.pool == v->from);
 		RC_ASSERT(m.pool != v->to);
 		for (auto &r : runs)
@@ -453,7 +453,7 @@
 
 		switch (randomInt(0, 16)) {
 		case 0:
-			flo_lead(flo);
+			flo_reset(flo);
 			break;
 		case 1:
 		case 2:
@@ -461,8 +461,8 @@
 				down(m, VMS_DOWN, randomInt(1, 40));
 			break;
 		case 3:
-			m.held = randomInt(0, 2) &&
-				 !flo_holds(flo, m.name.c_str());
+			m.inUpkeep = randomInt(0, 2) &&
+				     !flo_is_moving(flo, m.name.c_str());
 			break;
 		case 4:
 			submit(true);
@@ -511,7 +511,7 @@
 		}
 		r.lossPercent = 0;
 		for (auto &m : r.machines)
-			m.held = false;
+			m.inUpkeep = false;
 		for (int t = 0;
 		     t < SETTLE_STEPS || (r.hasWork() && t < MAX_WORK_STEPS);
 		     t++)
@@ -520,7 +520,7 @@
 		moved = r.moves;
 		for (int t = 0; t < QUIET_STEPS; t++)
 			r.step();
-		RC_ASSERT(flo_moving(r.flo) == 0u);
+		RC_ASSERT(flo_count_moves(r.flo) == 0u);
 		RC_ASSERT(r.moves == moved);
 	});
 	return ok ? 0 : 1;
--- a/tests/prop/pln_prop.cc
+++ b/tests/prop/pln_prop.cc
@@ -59,10 +59,10 @@
 		flt_fail_rack(f, randomInt(0, (int)f->racks->len));
 		break;
 	case 1:
-		flt_cut(f, zone, true);
+		flt_set_partitioned(f, zone, true);
 		break;
 	case 2:
-		flt_cut(f, zone, false);
+		flt_set_partitioned(f, zone, false);
 		break;
 	case 3:
 		flt_hold(f, vm, false);
@@ -96,14 +96,14 @@
 				continue;
 			size++;
 			if (flt_vm(f, v)->state != FLT_UP ||
-			    flt_zone_of(f, v)->cut)
+			    flt_zone_of(f, v)->partitioned)
 				continue;
 			serving++;
 			bySw[flt_rack_of(f, v)->sw]++;
 		}
 		RC_ASSERT(pool->size == size);
 		RC_ASSERT(pool->serving == serving);
-		RC_ASSERT(pool->worst_sw ==
+		RC_ASSERT(pool->max_behind_switch ==
 			  *std::max_element(bySw.begin(), bySw.end()));
 		total += size;
 	}
--- a/tests/prop/upk_prop.cc
+++ b/tests/prop/upk_prop.cc
@@ -40,7 +40,7 @@
 	enum vms_state state = VMS_UP;
 	int64_t upAt = 0; /* time at which it is up again */
 	uint64_t upkeepWave = 0; /* wave whose upkeep is under way; 0: none */
-	bool held = false;
+	bool moving = false;
 	bool partitioned = false;
 	std::set<uint64_t> upkeepsHad; /* waves in which it had its upkeep */
 };
@@ -109,9 +109,9 @@
 		ops.stop = onStop;
 		ops.order = onOrder;
 		ops.note = onNote;
-		ops.held = onMoving;
-		ops.spared = onSpared;
-		ops.reached = onReached;
+		ops.is_moving = onMoving;
+		ops.is_spare = onSpare;
+		ops.is_reachable = onReachable;
 		vms = vms_new(&c, NULL, NULL);
 		upk = upk_new(jtb, vms, &ops, this);
 		jobs_config(jtb, 1, "p", 3);
@@ -194,15 +194,15 @@
 
 	static bool onMoving(void *arg, const char *vm)
 	{
-		return static_cast<World *>(arg)->machine(vm).held;
+		return static_cast<World *>(arg)->machine(vm).moving;
 	}
 
-	static bool onSpared(void *arg, const char *vm)
+	static bool onSpare(void *arg, const char *vm)
 	{
 		return randomInt(0, 2);
 	}
 
-	static bool onReached(void *arg, const struct jtb_worker *w)
+	static bool onReachable(void *arg, const struct jtb_worker *w)
 	{
 		Machine *m = static_cast<World *>(arg)->machineOf(w->info.id);
 
@@ -278,7 +278,7 @@
 		uint32_t ongoing = 0;
 
 		if (m.upkeepsHad.count(o.wave))
-			return VMS_YES;
+			return VMS_ACCEPTED;
 		if (m.state != VMS_UP)
 			return VMS_BUSY;
 		for (auto &r : runs)
@@ -289,7 +289,7 @@
 		for (auto &other : machines)
 			ongoing += other.upkeepWave == o.wave;
 		RC_ASSERT(ongoing <= limit[o.wave - 1]);
-		return VMS_YES;
+		return VMS_ACCEPTED;
 	}
 
 	void workerUp(Machine &m)
@@ -332,7 +332,7 @@
 		GPtrArray *live = jtb_live(jtb);
 		std::vector<Machine *> open;
 
-		upk_closed(upk, closed);
+		upk_add_closed(upk, closed);
 		for (auto &m : machines)
 			if (m.state == VMS_UP && !m.partitioned &&
 			    !g_hash_table_contains(closed, m.worker.c_str()))
@@ -483,7 +483,7 @@
 		jtb_snapshot(jtb, &o);
 		RC_ASSERT(jtb_restore(jtb, pk_out_view(&o)));
 		pk_out_done(&o);
-		upk_lead(upk);
+		upk_reset(upk);
 	}
 
 	void tick()
@@ -514,8 +514,8 @@
 			m.partitioned = randomInt(0, 2);
 			break;
 		case 3:
-			m.held = randomInt(0, 2) &&
-				 !upk_holds(upk, m.name.c_str());
+			m.moving = randomInt(0, 2) &&
+				   !upk_is_in_upkeep(upk, m.name.c_str());
 			break;
 		case 4:
 		case 5:
@@ -531,7 +531,7 @@
 		lossPercent = 0;
 		for (auto &m : machines) {
 			m.partitioned = false;
-			m.held = false;
+			m.moving = false;
 		}
 	}
 
@@ -580,7 +580,7 @@
 			r.checkCompleted(w);
 		}
 		for (auto &m : r.machines)
-			RC_ASSERT(!upk_holds(r.upk, m.name.c_str()));
+			RC_ASSERT(!upk_is_in_upkeep(r.upk, m.name.c_str()));
 	});
 	return ok ? 0 : 1;
 }
--- a/tests/prop/wav_prop.cc
+++ b/tests/prop/wav_prop.cc
@@ -102,9 +102,9 @@
 
 	/*
 	 * Runs a tick of a wave. A VM that it newly drains or reboots leaves
-	 * its pool able to survive the declared failure, no act is sent to a
-	 * partitioned zone, and no VM is rebooted twice except one that failed
-	 * during its maintenance.
+	 * its pool able to survive the declared failure, no request is sent to
+	 * a partitioned zone, and no VM is rebooted twice except one that
+	 * failed during its maintenance.
 	 */
 	void tick(int i)
 	{
@@ -120,12 +120,12 @@
 					fleet_survives(f, flt_vm(f, v)->pool));
 			RC_ASSERT(p[i]->reboots[v] <= 1 + losses[v]);
 		}
-		for (guint a = 0; a < out.acts->len; a++)
-			RC_ASSERT(
-				!flt_zone_of(f, g_array_index(out.acts,
-							      struct wav_act, a)
-							.vm)
-					 ->cut);
+		for (guint a = 0; a < out.requests->len; a++)
+			RC_ASSERT(!flt_zone_of(f, g_array_index(
+							  out.requests,
+							  struct wav_request, a)
+							  .vm)
+					   ->partitioned);
 	}
 
 	void injectFault()
@@ -152,7 +152,7 @@
 			break;
 		case 2:
 		case 3:
-			flt_cut(f, zone, randomInt(0, 2));
+			flt_set_partitioned(f, zone, randomInt(0, 2));
 			break;
 		case 4:
 			flt_hold(f, vm, false);
@@ -229,7 +229,7 @@
 			r.tick(randomInt(0, WAVES));
 		}
 		for (int z = 0; z < (int)r.f->zones->len; z++)
-			flt_cut(r.f, z, false);
+			flt_set_partitioned(r.f, z, false);
 		for (int v = 0; v < (int)r.f->vms->len; v++)
 			flt_unhold(r.f, v);
 		for (int t = 0; t < 3000; t++) {
--- a/tests/unit/fake_platform.h
+++ b/tests/unit/fake_platform.h
@@ -7,7 +7,7 @@
 
 /*
  * A platform that carries out each key once, after a delay, and answers a
- * repeated key with the same reply. Acts and replies may be lost.
+ * repeated key with the same reply. Requests and replies may be lost.
  */
 struct fake_job {
 	int64_t due_ms; /* when the reply is due; -1: sent or lost */
@@ -18,7 +18,7 @@
 	GHashTable *by_key; /* char *: index in jobs + 1 */
 	GArray *jobs; /* struct fake_job */
 	GRand *rand;
-	int lost_percent; /* percentage of acts and of replies */
+	int lost_percent; /* percentage of requests and of replies */
 	/* percentage of VMs that do not get healthy after the reboot */
 	int bad_percent;
 	int64_t step_ms; /* duration of each step, up to twice that */
@@ -52,7 +52,7 @@
 	return g_rand_int_range(p->rand, 0, 100) < percent;
 }
 
-static inline void fake_do(struct fake *p, const struct wav_act *act,
+static inline void fake_do(struct fake *p, const struct wav_request *request,
 			   int64_t now_ms)
 {
 	struct fake_job job = {};
@@ -61,19 +61,19 @@
 
 	if (fake_percent(p, p->lost_percent))
 		return;
-	key = g_strdup_printf("%d/%d/%d/%u", (int)act->wave, act->vm,
-			      (int)act->step, act->attempt);
+	key = g_strdup_printf("%d/%d/%d/%u", (int)request->wave, request->vm,
+			      (int)request->step, request->attempt);
 	at = GPOINTER_TO_INT(g_hash_table_lookup(p->by_key, key));
 	if (!at) {
-		job.reply.act = *act;
-		job.reply.ok = act->step != WAV_CHECK ||
+		job.reply.request = *request;
+		job.reply.ok = request->step != WAV_CHECK ||
 			       !fake_percent(p, p->bad_percent);
 		job.due_ms = now_ms + p->step_ms +
 			     g_rand_int_range(p->rand, 0, (gint32)p->step_ms);
 		g_array_append_val(p->jobs, job);
 		g_hash_table_insert(p->by_key, key,
 				    GINT_TO_POINTER(p->jobs->len));
-		p->reboots[act->vm] += act->step == WAV_REBOOT;
+		p->reboots[request->vm] += request->step == WAV_REBOOT;
 		return;
 	}
 	g_free(key);
@@ -130,8 +130,8 @@
 	while (fake_next(p, now_ms, &r))
 		wav_reply(w, f, &r, now_ms, out);
 	wav_tick(w, f, now_ms, out);
-	for (i = 0; i < out->acts->len; i++)
-		fake_do(p, &g_array_index(out->acts, struct wav_act, i),
+	for (i = 0; i < out->requests->len; i++)
+		fake_do(p, &g_array_index(out->requests, struct wav_request, i),
 			now_ms);
 }
 
--- a/tests/unit/fleet_make.h
+++ b/tests/unit/fleet_make.h
@@ -60,7 +60,8 @@
 
 	for (i = 0; i < (int)f->vms->len; i++)
 		n += flt_vm(f, i)->pool == pool &&
-		     flt_vm(f, i)->state == FLT_UP && !flt_zone_of(f, i)->cut &&
+		     flt_vm(f, i)->state == FLT_UP &&
+		     !flt_zone_of(f, i)->partitioned &&
 		     flt_rack_of(f, i)->sw != sw &&
 		     flt_rack_of(f, i)->zone != zone;
 	return n;
--- a/tests/unit/flo_test.c
+++ b/tests/unit/flo_test.c
@@ -22,7 +22,7 @@
 	GPtrArray *list; /* contents of the next list */
 	int orders;
 	int stops;
-	const char *held;
+	const char *pinned_vm;
 };
 
 static void fixture_order(void *arg, const char *vm, const char *pool)
@@ -44,18 +44,18 @@
 	return true;
 }
 
-static bool fixture_held(void *arg, const char *vm)
+static bool fixture_is_pinned(void *arg, const char *vm)
 {
 	const struct fixture *f = arg;
 
-	return f->held && strcmp(f->held, vm) == 0;
+	return f->pinned_vm && strcmp(f->pinned_vm, vm) == 0;
 }
 
 static const struct flo_ops fixture_ops = {
 	.order = fixture_order,
 	.stop = fixture_stop,
 	.may_stop = fixture_may_stop,
-	.held = fixture_held,
+	.is_pinned = fixture_is_pinned,
 };
 
 static struct vms_vm *vm_new(const char *name, const char *pool,
@@ -208,8 +208,8 @@
 	submit_burst(f);
 	tick(f);
 	assert_int_equal(f->orders, 1);
-	assert_true(flo_holds(f->flo, "vm1"));
-	assert_int_equal(flo_moving(f->flo), 1);
+	assert_true(flo_is_moving(f->flo, "vm1"));
+	assert_int_equal(flo_count_moves(f->flo), 1);
 }
 
 /* Submits a job of `count` tasks of one core that take `ms` each. */
@@ -397,7 +397,7 @@
 static void vm_is_not_chosen_twice(void **state)
 {
 	struct fixture *f = *state;
-	guint held = 0;
+	guint moving = 0;
 	char vm[8];
 	int i;
 
@@ -406,10 +406,10 @@
 	tick(f);
 	for (i = 1; i <= 8; i++) {
 		g_snprintf(vm, sizeof(vm), "vm%d", i);
-		held += flo_holds(f->flo, vm);
+		moving += flo_is_moving(f->flo, vm);
 	}
-	assert_true(held > 1);
-	assert_int_equal(flo_moving(f->flo), held);
+	assert_true(moving > 1);
+	assert_int_equal(flo_count_moves(f->flo), moving);
 }
 
 /* Returns the number of moves after jobs[i] jobs were submitted in tick i. */
@@ -435,7 +435,7 @@
 		}
 		tick(f);
 	}
-	return flo_moving(f->flo);
+	return flo_count_moves(f->flo);
 }
 
 /*
@@ -477,11 +477,11 @@
 
 	vm_add(f, "vm1", "off", "");
 	vm_add(f, "vm2", "off", "");
-	f->held = "vm1";
+	f->pinned_vm = "vm1";
 	submit_burst(f);
 	ticks(f, 5);
-	assert_false(flo_holds(f->flo, "vm1"));
-	assert_true(flo_holds(f->flo, "vm2"));
+	assert_false(flo_is_moving(f->flo, "vm1"));
+	assert_true(flo_is_moving(f->flo, "vm2"));
 }
 
 /*
@@ -497,11 +497,11 @@
 	add_other_vms(f, 6, &s);
 	submit_burst(f);
 	ticks(f, 3);
-	assert_true(flo_moving(f->flo) > 0);
+	assert_true(flo_count_moves(f->flo) > 0);
 	assert_int_equal(f->orders, 0);
 	ticks(f, 12);
 	assert_int_equal(f->orders, 0);
-	assert_true(flo_moving(f->flo) > 0);
+	assert_true(flo_count_moves(f->flo) > 0);
 }
 
 /*
@@ -517,7 +517,7 @@
 	add_other_vms(f, 6, &s);
 	submit_burst(f);
 	ticks(f, 3);
-	assert_true(flo_moving(f->flo) > 0);
+	assert_true(flo_count_moves(f->flo) > 0);
 	return f->stops;
 }
 
@@ -599,7 +599,7 @@
 	jobs_cancel(f->jtb, "burst");
 	for (i = 0; i < 60; i++) {
 		tick(f);
-		moving = MAX(moving, flo_moving(f->flo));
+		moving = MAX(moving, flo_count_moves(f->flo));
 	}
 	assert_true(moving > 0);
 	assert_int_equal(f->stops, 0);
@@ -621,8 +621,8 @@
 	jobs_start(f->jtb, "w4", 0, 0, 1, "w4");
 	submit_burst(f);
 	ticks(f, 2);
-	assert_int_equal(flo_moving(f->flo), 1);
-	assert_true(flo_holds(f->flo, "vm4"));
+	assert_int_equal(flo_count_moves(f->flo), 1);
+	assert_true(flo_is_moving(f->flo, "vm4"));
 }
 
 /* The same if that VM's run saves its progress and can be stopped at once. */
@@ -639,7 +639,7 @@
 	jobs_start(f->jtb, "w4", 0, 0, 1, "w4");
 	submit_burst(f);
 	ticks(f, 2);
-	assert_true(flo_holds(f->flo, "vm4"));
+	assert_true(flo_is_moving(f->flo, "vm4"));
 }
 
 /* Submits a job to "other" that was accepted 3 s ago. */
@@ -672,9 +672,9 @@
 	submit_old_job(f, 8, 20000);
 	add_other_vms(f, 8, NULL);
 	submit_burst(f);
-	flo_lead(f->flo);
+	flo_reset(f->flo);
 	ticks(f, 2);
-	assert_true(flo_moving(f->flo) > 0);
+	assert_true(flo_count_moves(f->flo) > 0);
 }
 
 /*
@@ -689,7 +689,7 @@
 	submit_job(f, "j", 20, 1000);
 	tick(f);
 	assert_true(flo_pool(f->flo, "p")->rate > 0);
-	flo_lead(f->flo);
+	flo_reset(f->flo);
 	tick(f);
 	assert_true(flo_pool(f->flo, "p")->rate == 0);
 }
@@ -709,13 +709,13 @@
 	jobs_job(f->jtb, "j", &s, 1, JOBS_WALL_MS - 3000);
 	jobs_start(f->jtb, "j", 0, 0, 1, "w1");
 	tick(f);
-	assert_false(flo_spared(f->flo, "vm1"));
-	assert_true(flo_spared(f->flo, "vm2"));
-	assert_true(flo_spared(f->flo, "off1"));
+	assert_false(flo_is_spare(f->flo, "vm1"));
+	assert_true(flo_is_spare(f->flo, "vm2"));
+	assert_true(flo_is_spare(f->flo, "off1"));
 	submit_burst(f);
 	tick(f);
-	assert_false(flo_spared(f->flo, "off1"));
-	assert_false(flo_spared(f->flo, "vm2"));
+	assert_false(flo_is_spare(f->flo, "off1"));
+	assert_false(flo_is_spare(f->flo, "vm2"));
 }
 
 static void last_vms_of_a_pool_are_not_spare(void **state)
@@ -724,7 +724,7 @@
 
 	add_other_vms(f, 3, NULL);
 	tick(f);
-	assert_false(flo_spared(f->flo, "vm1"));
+	assert_false(flo_is_spare(f->flo, "vm1"));
 }
 
 static void vms_needed_by_load_are_not_spare(void **state)
@@ -734,7 +734,7 @@
 	add_other_vms(f, 6, NULL);
 	submit_old_job(f, 60, 20000);
 	tick(f);
-	assert_false(flo_spared(f->flo, "vm1"));
+	assert_false(flo_is_spare(f->flo, "vm1"));
 }
 
 /*
@@ -755,7 +755,7 @@
 	}
 	submit_burst(f);
 	ticks(f, 3);
-	assert_true(flo_moving(f->flo) > 0);
+	assert_true(flo_count_moves(f->flo) > 0);
 	assert_int_equal(f->orders, 0);
 	jtb_unplan_all(f->jtb);
 	ticks(f, 2);
@@ -785,7 +785,7 @@
 	add_other_vms(f, 6, &s);
 	submit_burst(f);
 	ticks(f, 10);
-	assert_int_equal(flo_moving(f->flo), 0);
+	assert_int_equal(flo_count_moves(f->flo), 0);
 	assert_int_equal(f->stops, 0);
 }
 
@@ -811,7 +811,7 @@
 			continue;
 		g_free(vm->pool);
 		vm->pool = g_strdup(m->to);
-		flo_answered(f->flo, vm->name, VMS_YES, f->now);
+		flo_answered(f->flo, vm->name, VMS_ACCEPTED, f->now);
 	}
 }
 
@@ -881,7 +881,7 @@
 	assert_int_equal(f->orders, 5);
 	ticks(f, 100);
 	assert_int_equal(f->orders, 5);
-	assert_int_equal(flo_moving(f->flo), 0);
+	assert_int_equal(flo_count_moves(f->flo), 0);
 }
 
 /* Returns a VM with a move in progress. */
@@ -892,7 +892,7 @@
 	for (i = 0; i < f->list->len; i++) {
 		struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
-		if (flo_holds(f->flo, vm->name))
+		if (flo_is_moving(f->flo, vm->name))
 			return vm;
 	}
 	fail();
@@ -921,7 +921,7 @@
 	*vm->worker = '\0';
 	vm->state = VMS_MOVING;
 	ticks(f, 3);
-	flo_closed(f->flo, ids);
+	flo_add_closed(f->flo, ids);
 	assert_true(g_hash_table_contains(ids, worker));
 	assert_string_equal(flo_worker(f->flo, vm->name), worker);
 	vm->state = VMS_UP;
@@ -929,7 +929,7 @@
 	vm->pool = g_strdup("p");
 	g_hash_table_remove_all(ids);
 	ticks(f, 2);
-	assert_false(flo_holds(f->flo, vm->name));
+	assert_false(flo_is_moving(f->flo, vm->name));
 	g_hash_table_destroy(ids);
 }
 
@@ -972,11 +972,11 @@
 	vm_add(f, "vm1", "off", "");
 	submit_burst(f);
 	ticks(f, 2);
-	assert_true(flo_holds(f->flo, "vm1"));
+	assert_true(flo_is_moving(f->flo, "vm1"));
 	jobs_cancel(f->jtb, "burst");
 	ticks(f, 100);
 	assert_true(f->orders > 1);
-	assert_int_equal(flo_moving(f->flo), 0);
+	assert_int_equal(flo_count_moves(f->flo), 0);
 }
 
 static void accepted_move_is_done_with_a_later_list(void **state)
@@ -987,17 +987,17 @@
 	vm_add(f, "vm1", "off", "");
 	submit_burst(f);
 	ticks(f, 2);
-	flo_answered(f->flo, "vm1", VMS_YES, f->now);
+	flo_answered(f->flo, "vm1", VMS_ACCEPTED, f->now);
 	vm = g_ptr_array_index(f->list, 0);
 	vm->state = VMS_MOVING;
 	ticks(f, 5);
 	assert_int_equal(f->orders, 1);
-	assert_true(flo_holds(f->flo, "vm1"));
+	assert_true(flo_is_moving(f->flo, "vm1"));
 	vm->state = VMS_UP;
 	g_free(vm->pool);
 	vm->pool = g_strdup("p");
 	tick(f);
-	assert_false(flo_holds(f->flo, "vm1"));
+	assert_false(flo_is_moving(f->flo, "vm1"));
 }
 
 /*
@@ -1026,7 +1026,7 @@
 		jobs_job(f->jtb, "j", &s, 1, JOBS_WALL_MS - 600000);
 		ticks(f, 3);
 		assert_int_equal(f->orders, 1);
-		assert_true(flo_holds(f->flo, "vm1"));
+		assert_true(flo_is_moving(f->flo, "vm1"));
 	}
 }
 
--- a/tests/unit/pln_test.c
+++ b/tests/unit/pln_test.c
@@ -103,12 +103,12 @@
 
 	fleet_pool(f, 9, 4, true);
 	fleet_replan(f, &c);
-	flt_cut(f, 1, true);
+	flt_set_partitioned(f, 1, true);
 	p = fleet_plan(f, &c, NULL);
 	assert_int_equal(pln_moves(p)->len, 0);
 	assert_int_equal(pln_shortages(p)->len, 0);
 	pln_free(p);
-	flt_cut(f, 1, false);
+	flt_set_partitioned(f, 1, false);
 	check_every_pool(f);
 	flt_free(f);
 }
@@ -211,11 +211,11 @@
 
 	flt_vm_event(f, 7, FLT_FAIL);
 	assert_int_equal(flt_move(f, 7, 1), FLT_NOT_UP);
-	flt_cut(f, 0, true);
-	assert_int_equal(flt_move(f, 0, 1), FLT_CUT_OFF);
-	flt_cut(f, 0, false);
+	flt_set_partitioned(f, 0, true);
+	assert_int_equal(flt_move(f, 0, 1), FLT_PARTITIONED);
+	flt_set_partitioned(f, 0, false);
 	for (i = 8; i < 16; i++)
-		flt_put(f, i, 1);
+		flt_assign(f, i, 1);
 	assert_int_equal(flt_move(f, 8, 2), FLT_BUDGET);
 	flt_free(f);
 }
@@ -228,16 +228,16 @@
 	int i;
 
 	for (i = 0; i < 12; i++)
-		flt_put(f, i, pool);
+		flt_assign(f, i, pool);
 	b.missing_rack = 1;
 	b.missing_zone = 2;
 	flt_set_budget(f, pool, &b);
-	assert_int_equal(flt_take(f, 0, 1), FLT_OK);
-	assert_int_equal(flt_take(f, 1, 1), FLT_RACK_BUDGET);
-	assert_int_equal(flt_take(f, 6, 1), FLT_OK);
+	assert_int_equal(flt_claim(f, 0, 1), FLT_OK);
+	assert_int_equal(flt_claim(f, 1, 1), FLT_RACK_BUDGET);
+	assert_int_equal(flt_claim(f, 6, 1), FLT_OK);
 	b.missing_rack = 2;
 	flt_set_budget(f, pool, &b);
-	assert_int_equal(flt_take(f, 7, 1), FLT_ZONE_BUDGET);
+	assert_int_equal(flt_claim(f, 7, 1), FLT_ZONE_BUDGET);
 	assert_int_equal(flt_hold(f, 7, false), FLT_ZONE_BUDGET);
 	assert_int_equal(flt_hold(f, 3, false), FLT_OK);
 	flt_free(f);
@@ -271,9 +271,9 @@
 	int i;
 
 	for (i = 0; i < 12; i++)
-		flt_put(f, i, pool);
+		flt_assign(f, i, pool);
 	for (i = 0; i < 3; i++)
-		assert_int_equal(flt_take(f, i, 1), FLT_OK);
+		assert_int_equal(flt_claim(f, i, 1), FLT_OK);
 	assert_int_equal(fleet_replan(f, &c), 0);
 	flt_vm_event(f, 5, FLT_FAIL);
 	assert_int_equal(fleet_replan(f, &c), 1);
@@ -303,8 +303,8 @@
 
 	fleet_replan(f, &c);
 	flt_fail_rack(f, 4);
-	flt_cut(f, 2, true);
-	flt_take(f, 3, 77);
+	flt_set_partitioned(f, 2, true);
+	flt_claim(f, 3, 77);
 	pk_out_init(&a);
 	pk_out_init(&b);
 	flt_pack(f, &a);
--- a/tests/unit/replay.h
+++ b/tests/unit/replay.h
@@ -110,7 +110,7 @@
 	int i;
 
 	for (i = 0; i < (int)r->f->zones->len; i++)
-		if (g_array_index(r->f->zones, struct flt_zone, i).cut)
+		if (g_array_index(r->f->zones, struct flt_zone, i).partitioned)
 			return MAX(0, flt_floor(p) - p->serving);
 	for (i = 0; i < (int)r->f->vms->len; i++)
 		coming += flt_vm(r->f, i)->pool == pool &&
@@ -136,11 +136,11 @@
 	/* The buffer is what an intact fleet sets aside. */
 	for (i = 0; i < (int)r->f->vms->len; i++)
 		if (flt_vm(r->f, i)->state != FLT_UP ||
-		    flt_zone_of(r->f, i)->cut)
+		    flt_zone_of(r->f, i)->partitioned)
 			return;
 	pln_measure(r->f, &r->config, &m);
 	for (i = 1; i < (int)r->f->pools->len; i++)
-		fixed += flt_pool(r->f, i)->worst_sw + r->config.slack;
+		fixed += flt_pool(r->f, i)->max_behind_switch + r->config.slack;
 	r->wanted = m.wanted;
 	r->buffer = MAX(r->buffer, m.embedded + m.reserve);
 	r->fixed = MAX(r->fixed, fixed);
@@ -181,12 +181,12 @@
 
 static inline void replay_cut(struct replay *r, char **w)
 {
-	flt_cut(r->f, atoi(w[1]), true);
+	flt_set_partitioned(r->f, atoi(w[1]), true);
 }
 
 static inline void replay_heal(struct replay *r, char **w)
 {
-	flt_cut(r->f, atoi(w[1]), false);
+	flt_set_partitioned(r->f, atoi(w[1]), false);
 }
 
 static inline void replay_image(struct replay *r, char **w)
--- a/tests/unit/upk_test.c
+++ b/tests/unit/upk_test.c
@@ -28,8 +28,8 @@
 	int done;
 	char ordered[32]; /* VM of the last order */
 	bool unreached; /* no worker is reachable */
-	const char *held;
-	bool spared; /* every VM can be spared */
+	const char *moving_vm;
+	bool all_spare; /* every VM can be spared */
 	bool log_delayed; /* recording a VM as done is not committed yet */
 };
 
@@ -63,21 +63,21 @@
 	jobs_apply(f->jtb, &o);
 }
 
-static bool fixture_held(void *arg, const char *vm)
+static bool fixture_is_moving(void *arg, const char *vm)
 {
 	const struct fixture *f = arg;
 
-	return f->held && strcmp(f->held, vm) == 0;
+	return f->moving_vm && strcmp(f->moving_vm, vm) == 0;
 }
 
-static bool fixture_spared(void *arg, const char *vm)
+static bool fixture_is_spare(void *arg, const char *vm)
 {
 	const struct fixture *f = arg;
 
-	return f->spared;
+	return f->all_spare;
 }
 
-static bool fixture_reached(void *arg, const struct jtb_worker *w)
+static bool fixture_is_reachable(void *arg, const struct jtb_worker *w)
 {
 	const struct fixture *f = arg;
 
@@ -88,9 +88,9 @@
 	.stop = fixture_stop,
 	.order = fixture_order,
 	.note = fixture_note,
-	.held = fixture_held,
-	.spared = fixture_spared,
-	.reached = fixture_reached,
+	.is_moving = fixture_is_moving,
+	.is_spare = fixture_is_spare,
+	.is_reachable = fixture_is_reachable,
 };
 
 static void vm_add(struct fixture *f, const char *name, const char *worker)
@@ -219,7 +219,7 @@
 	GHashTable *ids = g_hash_table_new(g_str_hash, g_str_equal);
 	bool found;
 
-	upk_closed(f->upk, ids);
+	upk_add_closed(f->upk, ids);
 	found = g_hash_table_contains(ids, worker);
 	g_hash_table_destroy(ids);
 	return found;
@@ -266,7 +266,7 @@
 	ticks(f, 3);
 	assert_int_equal(f->done, 0);
 	/* accepted after the newest list was requested */
-	upk_answered(f->upk, "vm1", VMS_YES, f->now + STEP_MS);
+	upk_answered(f->upk, "vm1", VMS_ACCEPTED, f->now + STEP_MS);
 	tick(f);
 	assert_int_equal(f->done, 0);
 	find_vm(f, "vm1")->state = VMS_UPKEEP;
@@ -281,7 +281,7 @@
 /* Has a VM's order accepted; the VM is down for a tick and up again. */
 static void do_upkeep(struct fixture *f, const char *vm)
 {
-	upk_answered(f->upk, vm, VMS_YES, f->now);
+	upk_answered(f->upk, vm, VMS_ACCEPTED, f->now);
 	find_vm(f, vm)->state = VMS_UPKEEP;
 	tick(f);
 	find_vm(f, vm)->state = VMS_UP;
@@ -347,7 +347,7 @@
 	do_upkeep(f, "vm1");
 	ticks(f, 2);
 	assert_true(jtb_wave(f->jtb, WAVE)->completed);
-	assert_false(upk_holds(f->upk, "vm1"));
+	assert_false(upk_is_in_upkeep(f->upk, "vm1"));
 	assert_false(is_closed(f, "w1"));
 }
 
@@ -370,7 +370,7 @@
 	for (i = 0; i < (int)f->list->len; i++) {
 		const struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
-		open += upk_holds(f->upk, vm->name);
+		open += upk_is_in_upkeep(f->upk, vm->name);
 	}
 	return open;
 }
@@ -400,10 +400,10 @@
 	struct fixture *f = *state;
 
 	assert_int_equal(in_progress_of_six(f, WITHIN_MS), 1);
-	f->spared = true;
+	f->all_spare = true;
 	ticks(f, 5);
-	assert_true(upk_holds(f->upk, "vm2"));
-	assert_false(upk_holds(f->upk, "vm3"));
+	assert_true(upk_is_in_upkeep(f->upk, "vm2"));
+	assert_false(upk_is_in_upkeep(f->upk, "vm3"));
 }
 
 /*
@@ -436,7 +436,7 @@
 	add_wave(f, 1, WITHIN_MS);
 	ticks(f, 3);
 	assert_int_equal(f->orders, 1);
-	upk_lead(f->upk);
+	upk_reset(f->upk);
 	assert_true(is_closed(f, "w1"));
 	/* The order is sent again, since its answer is unknown. */
 	ticks(f, 2);
@@ -499,7 +499,7 @@
 	assert_true(f->orders > 0);
 	/* The order still ends the worker that it was given for. */
 	assert_string_equal(upk_worker(f->upk, "vm1"), "w1");
-	upk_answered(f->upk, "vm1", VMS_YES, f->now);
+	upk_answered(f->upk, "vm1", VMS_ACCEPTED, f->now);
 	ticks(f, 2);
 	assert_int_equal(f->done, 1);
 }
@@ -527,8 +527,8 @@
 	assert_int_equal(f->done, 4);
 	assert_true(jtb_wave(f->jtb, WAVE)->completed);
 	assert_true(jtb_wave(f->jtb, WAVE + 1)->completed);
-	assert_false(upk_holds(f->upk, "vm1"));
-	assert_false(upk_holds(f->upk, "vm2"));
+	assert_false(upk_is_in_upkeep(f->upk, "vm1"));
+	assert_false(upk_is_in_upkeep(f->upk, "vm2"));
 }
 
 /*
@@ -555,22 +555,22 @@
 	for (i = 0; i < (int)f->list->len; i++) {
 		struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
-		if (!upk_holds(f->upk, vm->name))
+		if (!upk_is_in_upkeep(f->upk, vm->name))
 			continue;
-		upk_answered(f->upk, vm->name, VMS_YES, f->now);
+		upk_answered(f->upk, vm->name, VMS_ACCEPTED, f->now);
 		jobs_gone(f->jtb, vm->worker, true);
 		*vm->worker = '\0';
 		vm->state = i ? VMS_DOWN : VMS_UPKEEP;
 	}
 	f->orders = 0;
 	ticks(f, 100);
-	upk_lead(f->upk);
+	upk_reset(f->upk);
 	ticks(f, 100);
 	for (i = 0; i < (int)f->list->len; i++) {
 		const struct vms_vm *vm = g_ptr_array_index(f->list, i);
 
 		assert_true((vm->state == VMS_UP) !=
-			    upk_holds(f->upk, vm->name));
+			    upk_is_in_upkeep(f->upk, vm->name));
 	}
 	assert_int_equal(f->done, 0);
 }
@@ -693,11 +693,11 @@
 {
 	struct fixture *f = *state;
 
-	f->held = "vm1";
+	f->moving_vm = "vm1";
 	add_wave(f, 1, WITHIN_MS);
 	ticks(f, 5);
 	assert_int_equal(f->orders, 0);
-	f->held = NULL;
+	f->moving_vm = NULL;
 	ticks(f, 5);
 	assert_int_equal(f->orders, 1);
 }
--- a/tests/unit/vms_test.c
+++ b/tests/unit/vms_test.c
@@ -59,7 +59,7 @@
 
 static enum vms_answer fixture_answer(int status, struct lstr body)
 {
-	return status == 200 ? VMS_YES : VMS_BUSY;
+	return status == 200 ? VMS_ACCEPTED : VMS_BUSY;
 }
 
 static bool fixture_list(struct lstr body, GPtrArray *vms, char **next)
@@ -93,7 +93,7 @@
 {
 	struct fixture *f = arg;
 
-	f->yes += answer == VMS_YES;
+	f->yes += answer == VMS_ACCEPTED;
 	f->unanswered += answer == VMS_UNANSWERED;
 }
 
@@ -107,7 +107,7 @@
 static const struct vms_ops fixture_ops = {
 	.listed = fixture_listed,
 	.answered = fixture_answered,
-	.sure = fixture_confirmed_ms,
+	.confirmed_ms = fixture_confirmed_ms,
 };
 
 static int setup(void **state)
@@ -129,7 +129,7 @@
 					      .addr = f->addr,
 					      .node = "n"},
 			 &fixture_ops, f);
-	vms_lead(f->vms, FENCE);
+	vms_start(f->vms, FENCE);
 	current_fixture = f;
 	*state = f;
 	return 0;
@@ -158,7 +158,7 @@
 	net_run(f->base, SETTLE_MS);
 	assert_int_equal(f->orders, 2);
 	assert_int_equal(f->yes, 2);
-	assert_false(vms_asked(f->vms, "vm1"));
+	assert_false(vms_has_order(f->vms, "vm1"));
 }
 
 /*
@@ -188,7 +188,7 @@
 {
 	struct fixture *f = *state;
 
-	vms_rest(f->vms);
+	vms_stop(f->vms);
 	vms_move(f->vms, "vm1", "p");
 	vms_refresh(f->vms);
 	net_run(f->base, SETTLE_MS);
@@ -209,7 +209,7 @@
 	f->confirmed_age_ms = 12000;
 	net_run(f->base, SETTLE_MS);
 	assert_int_equal(f->orders, 0);
-	assert_false(vms_asked(f->vms, "vm1"));
+	assert_false(vms_has_order(f->vms, "vm1"));
 	/* the same over an established connection */
 	f->confirmed_age_ms = 0;
 	vms_move(f->vms, "vm1", "p");
@@ -219,7 +219,7 @@
 	f->confirmed_age_ms = 12000;
 	net_run(f->base, SETTLE_MS);
 	assert_int_equal(f->orders, 1);
-	assert_false(vms_asked(f->vms, "vm1"));
+	assert_false(vms_has_order(f->vms, "vm1"));
 }
 
 /*
@@ -246,7 +246,7 @@
 					 .addr = addr,
 					 .node = "n"},
 		    &fixture_ops, f);
-	vms_lead(v, FENCE);
+	vms_start(v, FENCE);
 	return v;
 }
 
@@ -288,7 +288,7 @@
 	vms_move(v, "vm1", "p");
 	fd = net_accept(f->base, listener, SETTLE_MS);
 	net_run(f->base, SETTLE_MS / 2);
-	vms_rest(v);
+	vms_stop(v);
 	net_run(f->base, SETTLE_MS / 2);
 	assert_true(is_aborted(f, fd));
 	close(fd);
@@ -316,7 +316,7 @@
 	f->confirmed_age_ms = 12000;
 	net_run(f->base, SETTLE_MS);
 	assert_int_equal(f->unanswered, 1);
-	assert_false(vms_asked(v, "vm1"));
+	assert_false(vms_has_order(v, "vm1"));
 	assert_true(is_aborted(f, fd));
 	close(fd);
 	vms_free(v);
--- a/tests/unit/wav_test.c
+++ b/tests/unit/wav_test.c
@@ -167,12 +167,12 @@
 }
 
 /*
- * Guards against acts that a restart loses or repeats; here the control daemon
- * restarts after every tick, and one in five acts and replies is lost. A lost
- * act would leave its VM drained for ever; one repeated under a new key would
- * reboot the VM under work.
+ * Guards against requests that a restart loses or repeats; here the control
+ * daemon restarts after every tick, and one in five requests and replies is
+ * lost. A lost request would leave its VM drained for ever; one repeated under
+ * a new key would reboot the VM under work.
  */
-static void restarts_neither_repeat_nor_lose_acts(void **state)
+static void restarts_neither_repeat_nor_lose_requests(void **state)
 {
 	struct fixture *r = fixture_new();
 	int i;
@@ -201,7 +201,7 @@
 	if (vm < 0)
 		vm = fixture_find_vm(r, FLT_DRAINING, 2);
 	assert_true(vm >= 0);
-	while (flt_kept(r->f, vm) == FLT_OK)
+	while (flt_check_budget(r->f, vm) == FLT_OK)
 		flt_vm_event(r->f,
 			     fixture_find_vm(r, FLT_UP, flt_vm(r->f, vm)->pool),
 			     FLT_FAIL);
@@ -225,8 +225,8 @@
 
 	fixture_run(r, 1);
 	vm = fixture_find_vm(r, FLT_DRAINING, 1);
-	reply.act = (struct wav_act){7, vm, WAV_DRAIN, 1};
-	while (flt_kept(r->f, vm) == FLT_OK)
+	reply.request = (struct wav_request){7, vm, WAV_DRAIN, 1};
+	while (flt_check_budget(r->f, vm) == FLT_OK)
 		flt_vm_event(r->f, fixture_find_vm(r, FLT_UP, 1), FLT_FAIL);
 	wav_reply(r->w, r->f, &reply, r->now, &r->out);
 	assert_int_equal(fixture_count_at(r, WAV_REBOOT), 0);
@@ -357,29 +357,31 @@
 }
 
 /*
- * A zone is partitioned for hours. No VM is taken down in it, no act is sent to
- * it, and missing replies do not count against the image; after the partition
- * the wave continues.
+ * A zone is partitioned for hours. No VM is taken down in it, no request is
+ * sent to it, and missing replies do not count against the image; after the
+ * partition the wave continues.
  */
 static void partitioned_zone_is_left_alone(void **state)
 {
 	struct fixture *r = fixture_new();
 	int zone = flt_rack_of(r->f, fixture_run_until_reboot(r))->zone;
-	const struct wav_act *act;
+	const struct wav_request *request;
 	guint i;
 	int t;
 
-	flt_cut(r->f, zone, true);
+	flt_set_partitioned(r->f, zone, true);
 	for (t = 0; t < 6 * HOUR_TICKS; t++) {
 		r->now += TICK_MS;
 		wav_out_clear(&r->out);
 		wav_tick(r->w, r->f, r->now, &r->out);
-		for (i = 0; i < r->out.acts->len; i++) {
-			act = &g_array_index(r->out.acts, struct wav_act, i);
-			assert_false(flt_zone_of(r->f, act->vm)->cut);
+		for (i = 0; i < r->out.requests->len; i++) {
+			request = &g_array_index(r->out.requests,
+						 struct wav_request, i);
+			assert_false(
+				flt_zone_of(r->f, request->vm)->partitioned);
 		}
 	}
-	flt_cut(r->f, zone, false);
+	flt_set_partitioned(r->f, zone, false);
 	wav_tick(r->w, r->f, r->now + 1, &r->out);
 	for (t = 0; t < VMS; t++)
 		if (flt_rack_of(r->f, t)->zone == zone)
@@ -403,8 +405,8 @@
 	flt_vm_event(r->f, vm, FLT_FAIL);
 	flt_vm_event(r->f, vm, FLT_BOOTED);
 	flt_vm_event(r->f, vm, FLT_HEALTHY);
-	assert_int_equal(flt_take(r->f, vm, 8), FLT_TAKEN);
-	assert_int_equal(flt_move(r->f, vm, 2), FLT_TAKEN);
+	assert_int_equal(flt_claim(r->f, vm, 8), FLT_IN_WAVE);
+	assert_int_equal(flt_move(r->f, vm, 2), FLT_IN_WAVE);
 	fixture_free(r);
 }
 
@@ -530,7 +532,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(each_vm_is_maintained_once),
-		cmocka_unit_test(restarts_neither_repeat_nor_lose_acts),
+		cmocka_unit_test(restarts_neither_repeat_nor_lose_requests),
 		cmocka_unit_test(failure_while_draining_returns_the_vm),
 		cmocka_unit_test(reply_after_a_failure_does_not_reboot),
 		cmocka_unit_test(bad_image_halts_after_the_stated_number),
