--- a/src/adm.h
+++ b/src/adm.h
@@ -18,9 +18,9 @@
  */
 struct adm;
 
-#define ADM_ZONES_MAX 16
-#define ADM_POOLS_MAX 1024
-#define ADM_NEVER INT64_MAX
+#define ADM_ZONES_MAX 16 /* zones are numbered from 0 */
+#define ADM_POOLS_MAX 1024 /* pools are numbered from 0 */
+#define ADM_NEVER INT64_MAX /* a time that is not reached */
 
 /* Identifies a running, queued or shifted request; 0 is never used. */
 typedef uint64_t adm_ticket;
@@ -30,7 +30,7 @@
 	uint64_t seed; /* of the pseudo-random numbers */
 	int zone; /* own zone, 0 to ADM_ZONES_MAX - 1 */
 	int entries; /* entry VMs in the own zone, including this one */
-	int entries_away; /* entry VMs in all other zones together */
+	int entries_elsewhere; /* entry VMs in all other zones together */
 	uint32_t queue_max; /* requests held in all queues; 0: 20000 */
 	int choices; /* targets compared for a placement; 0: 2 */
 };
@@ -44,10 +44,11 @@
 	int priority; /* a larger one may use more of the queue memory */
 };
 
+/* Whether a target gets new requests. */
 enum adm_target_state {
 	ADM_SERVING,
 	ADM_NO_NEW_WORK, /* leaving, drained or expired; running work goes on */
-	ADM_GONE, /* as above; freed once no request runs on the target */
+	ADM_REMOVED, /* as above; freed once no request runs on the target */
 };
 
 struct adm_target_spec {
@@ -90,7 +91,7 @@
 	ADM_DEADLINE_SHORT, /* too short even for an idle target */
 	ADM_DEADLINE_LOAD, /* can't be met at the current load */
 	ADM_QUEUE_WAIT, /* would wait, or has waited, longer than allowed */
-	ADM_QUEUE_FULL, /* the memory for queued requests is used up */
+	ADM_QUEUE_FULL, /* no queue memory for this caller or pool */
 	ADM_ZONE_FULL, /* shifted to this zone, which has no spare capacity */
 	ADM_MAY_HAVE_RUN, /* not repeatable, and its outcome is unknown */
 	ADM_RETRY_BUDGET, /* retry budget spent: it would add to an overload */
@@ -98,6 +99,7 @@
 	ADM_REASONS
 };
 
+/* The decision about a request. */
 struct adm_verdict {
 	enum adm_kind kind;
 	enum adm_reason reason;
@@ -111,11 +113,11 @@
 /* How an attempt ended. Only the time of ADM_DONE_OK is a service time. */
 enum adm_outcome {
 	ADM_DONE_OK, /* complete answer, also one with a client error (4xx) */
-	ADM_DONE_BUSY, /* rejected by target or zone as overloaded: not run */
+	ADM_DONE_BUSY, /* overload refusal by target or zone: not run */
 	ADM_DONE_UNSENT, /* no connection: not run */
 	ADM_DONE_FAILED, /* 5xx, reset or truncated: may have run */
 	ADM_DONE_TIMEOUT, /* no answer in time: may have run */
-	ADM_DONE_LEFT, /* cancelled by the caller; no sign of target health */
+	ADM_DONE_CANCELLED, /* the caller left; no sign of target health */
 };
 
 /* The end of an attempt and what the answer reported. */
@@ -152,20 +154,20 @@
 };
 
 /* Spare capacity of a zone for a pool, in concurrent requests. */
-struct adm_room {
+struct adm_spare_capacity {
 	uint32_t slots; /* all slots of the zone's healthy targets */
 	uint32_t free; /* for work of other zones, less the zone's reserve */
 };
 
 struct adm *adm_new(const struct adm_config *config);
 void adm_free(struct adm *a);
-void adm_set_entries(struct adm *a, int entries, int entries_away);
+void adm_set_entries(struct adm *a, int entries, int entries_elsewhere);
 
 bool adm_pool_set(struct adm *a, uint32_t pool,
 		  const struct adm_pool_spec *spec);
 bool adm_target_set(struct adm *a, int64_t now, uint64_t handle,
 		    const struct adm_target_spec *spec);
-void adm_target_busy(struct adm *a, int64_t now, uint64_t handle, int busy);
+void adm_target_set_busy(struct adm *a, int64_t now, uint64_t handle, int busy);
 
 int adm_idle_conns(const struct adm *a, uint32_t pool);
 
@@ -180,9 +182,10 @@
 size_t adm_poll(struct adm *a, int64_t now, struct adm_verdict *out, size_t max,
 		int64_t *next);
 
-void adm_zone_room(struct adm *a, int64_t now, uint32_t pool, int zone,
-		   struct adm_room room, int64_t age_us);
-struct adm_room adm_room(struct adm *a, int64_t now, uint32_t pool);
+void adm_set_zone_capacity(struct adm *a, int64_t now, uint32_t pool, int zone,
+			   struct adm_spare_capacity capacity, int64_t age_us);
+struct adm_spare_capacity adm_spare_capacity(struct adm *a, int64_t now,
+					     uint32_t pool);
 
 struct adm_stats adm_stats(const struct adm *a);
 const char *adm_reason_name(enum adm_reason reason);
--- a/src/adm_health.c
+++ b/src/adm_health.c
@@ -157,7 +157,7 @@
 }
 
 /*
- * Records the outcome of an attempt. Refusals as overloaded and cancellations
+ * Records the outcome of an attempt. Overload refusals and cancellations
  * say nothing about the health of a target, and are ignored.
  */
 void adm_health_record(struct adm *a, struct adm_pool *p, struct adm_target *t,
@@ -175,7 +175,7 @@
 		adm_record_failure(a, p, t, r->probe, now);
 		break;
 	case ADM_DONE_BUSY:
-	case ADM_DONE_LEFT:
+	case ADM_DONE_CANCELLED:
 		break;
 	}
 }
--- a/src/hub_carry.c
+++ b/src/hub_carry.c
@@ -78,7 +78,7 @@
 const char *hub_relay_addr(void *arg, const struct jtb_worker *w, uint32_t turn)
 {
 	const struct hub *h = arg;
-	int i = lod_carrier(h->relays->len, g_str_hash(w->info.id), turn);
+	int i = lod_pick_relay(h->relays->len, g_str_hash(w->info.id), turn);
 
 	return i < 0 ? NULL : g_ptr_array_index(h->relays, i);
 }
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -522,9 +522,9 @@
 	if (h->leading)
 		hub_plan_pools(h);
 	cpu_leave(before);
-	lod_planned(&h->plan_load,
-		    (double)(cpu_used_us(CPU_PLAN) - from_us) / 1000,
-		    tmr_now(h->tmr));
+	lod_record_plan(&h->plan_load,
+			(double)(cpu_used_us(CPU_PLAN) - from_us) / 1000,
+			tmr_now(h->tmr));
 }
 
 /*
--- a/src/wkr.c
+++ b/src/wkr.c
@@ -190,7 +190,7 @@
 		if (!s->await_end_no || s->w->last_end_no < s->await_end_no)
 			continue;
 		s->await_end_no = 0;
-		wkr_schedule_hold(s, lod_gather_ms(k->busy, lag));
+		wkr_schedule_hold(s, lod_poll_delay_ms(k->busy, lag));
 	}
 }
 
@@ -351,7 +351,8 @@
 		.method = EVHTTP_REQ_POST,
 		.headers = headers,
 		.n_headers = G_N_ELEMENTS(headers),
-		.timeout_ms = lod_patience_ms(timeout_ms, s->k->lease_ms,
+		.timeout_ms =
+			lod_answer_timeout_ms(timeout_ms, s->k->lease_ms,
 					      tmr_lag_ms(s->k->config.tmr)),
 		.connect_ms = WKR_CONNECT_TIMEOUT_MS,
 		.max_answer = WKR_ANSWER_MAX,
--- a/tests/unit/wkr_test.c
+++ b/tests/unit/wkr_test.c
@@ -1136,8 +1136,8 @@
 	struct jtb_name n = {.id = "j"};
 	struct pk_out o;
 
-	assert_int_equal(lod_gather_ms(49, 0), 0);
-	assert_int_equal(lod_gather_ms(9200, 0), 80);
+	assert_int_equal(lod_poll_delay_ms(49, 0), 0);
+	assert_int_equal(lod_poll_delay_ms(9200, 0), 80);
 	f->wkr->busy = 9200;
 	f->lists_run = true;
 	start_run(f);
