--- a/src/sto.c
+++ b/src/sto.c
@@ -7,40 +7,43 @@
 #include "err.h"
 
 /*
- * Bytes of a log file before the next is begun; with 200 bytes a change it
- * holds 20,000 changes, half a day's of the fleet in two years.
+ * Size of a log file at which the next one is started. At 200 bytes a command a
+ * file holds 20,000 commands, which is half a day of the fleet's expected load
+ * in two years.
  */
 #define STO_SEG_MAX (4u << 20)
-/* A log file's number in a folder that is being made. */
-#define STO_FIRST 1
-/* Bytes of a log file that holds no more than its head, at most. */
+/* Number of the first log file of a new folder. */
+#define STO_FIRST_SEG 1
+/* Maximum size of a log file that contains only its head record. */
 #define STO_HEAD_MAX 64
 
-static bool sto_empty(struct sto *s, GError **err);
-static bool sto_half_made(struct sto *s, uint64_t no, GError **err);
+static bool sto_is_empty(struct sto *s, GError **err);
+static bool sto_is_half_created(struct sto *s, uint64_t no, GError **err);
 static bool sto_set_aside(struct sto *s, GError **err);
-static bool sto_make(struct sto *s, const char *node, uint64_t new_id,
-		     GError **err);
+static bool sto_create(struct sto *s, const char *node, uint64_t new_id,
+		       GError **err);
 static uint64_t sto_random_id(void);
-static bool sto_go_on(struct sto *s, const struct sto_loaded *out,
-		      GError **err);
-static bool sto_tidy(struct sto *s, GError **err);
-static bool sto_begin(struct sto *s, uint64_t reset, uint64_t term,
-		      GError **err);
-static void sto_pend(struct sto *s, enum sto_kind kind, struct pk_out *o);
+static bool sto_continue(struct sto *s, const struct sto_loaded *out,
+			 GError **err);
+static bool sto_remove_leftovers(struct sto *s, GError **err);
+static bool sto_start_segment(struct sto *s, uint64_t reset, uint64_t term,
+			      GError **err);
+static void sto_add_pending(struct sto *s, enum sto_kind kind,
+			    struct pk_out *o);
 static bool sto_write(struct sto *s, int fd, const char *name,
 		      const GByteArray *bytes, GError **err);
-static bool sto_put_snap(struct sto *s, const struct cns_snap *snap,
-			 GError **err);
-static void sto_trim(struct sto *s);
+static bool sto_write_snap(struct sto *s, const struct cns_snap *snap,
+			   GError **err);
+static void sto_remove_old_segments(struct sto *s);
 
 /*
- * Opens a folder, an empty one as a new member with new_id. Content that may
- * have lost what others were promised is set aside and the folder is made
- * anew: the old member then never answers again, as if its machine were gone,
- * and the new one is let in only once it has caught up. So no promise is ever
- * broken, at the price of one repair. Its id is drawn then, and new_id not
- * taken: a caller may give the same one at every start. NULL with ERR_IO or ERR_INPUT.
+ * Opens a data folder; an empty one is created with new_id. If damaged content
+ * may have lost something acknowledged to others, the content is set aside and
+ * the folder is created again: the old member then never responds again, as if
+ * its machine were lost, and the new member is admitted only once it has caught
+ * up. This breaks no promise and costs one repair. In that case the id is drawn
+ * at random and new_id is not used, since a caller may pass the same one at
+ * every start. Returns NULL with ERR_IO or ERR_INPUT.
  */
 struct sto *sto_open(const struct sto_io *io, const char *node, uint64_t new_id,
 		     struct sto_loaded *out, GError **err)
@@ -53,7 +56,7 @@
 	s->fd = -1;
 	s->segs = g_array_new(FALSE, FALSE, sizeof(struct sto_seg));
 	s->pending = g_byte_array_new();
-	out->fresh = sto_empty(s, err);
+	out->fresh = sto_is_empty(s, err);
 	if (s->failed)
 		ok = false;
 	else if (!out->fresh)
@@ -68,9 +71,9 @@
 		ok = sto_set_aside(s, err);
 	}
 	if (ok && out->fresh)
-		ok = sto_make(s, node, new_id, err);
+		ok = sto_create(s, node, new_id, err);
 	else if (ok)
-		ok = sto_go_on(s, out, err);
+		ok = sto_continue(s, out, err);
 	out->id = s->id;
 	if (ok)
 		return s;
@@ -79,7 +82,7 @@
 	return NULL;
 }
 
-/* Closes a folder; what was not synced is lost. */
+/* Closes a data folder; unsynced records are lost. */
 void sto_free(struct sto *s)
 {
 	if (!s)
@@ -91,7 +94,7 @@
 	g_free(s);
 }
 
-/* Frees what a folder held. */
+/* Frees the content returned by sto_open. */
 void sto_loaded_clear(struct sto_loaded *l)
 {
 	cns_snap_free(l->snap);
@@ -101,7 +104,7 @@
 	*l = (struct sto_loaded){0};
 }
 
-/* Notes term and vote, to last from the next sync on. */
+/* Adds a record of term and vote, which is durable after the next sync. */
 void sto_vote(struct sto *s, uint64_t term, uint64_t vote)
 {
 	struct pk_out o;
@@ -112,10 +115,13 @@
 	pk_arr(&o, 2);
 	pk_u(&o, term);
 	pk_u(&o, vote);
-	sto_pend(s, STO_VOTE, &o);
+	sto_add_pending(s, STO_VOTE, &o);
 }
 
-/* Notes an entry in place of it and all later ones. */
+/*
+ * Adds a record of an entry, which replaces the entry at its index and all
+ * later ones.
+ */
 void sto_entry(struct sto *s, const struct cns_entry *e)
 {
 	struct sto_seg *seg =
@@ -130,15 +136,15 @@
 	pk_u(&o, e->term);
 	pk_u(&o, e->kind);
 	pk_str(&o, lstr_n(p ? p : "", len));
-	sto_pend(s, STO_ENTRY, &o);
+	sto_add_pending(s, STO_ENTRY, &o);
 	seg->max_index = MAX(seg->max_index, e->index);
-	s->last = e->index;
+	s->last_index = e->index;
 }
 
 /*
- * Makes all that was noted last. False with ERR_IO: what the disk holds is not
- * known any more (a failed sync may have dropped pages and marked them clean),
- * so every later call fails too and the voter must stop.
+ * Writes and syncs all pending records. Returns false with ERR_IO: the content
+ * of the disk is unknown then (a failed sync may have dropped pages and marked
+ * them clean), so every later call fails as well and the voter must stop.
  */
 bool sto_sync(struct sto *s, GError **err)
 {
@@ -151,17 +157,17 @@
 		return sto_fail(s, "sync", "log", err);
 	if (s->pending->len == 0)
 		return true;
-	name = sto_name(STO_PREFIX_LOG, seg->no);
+	name = sto_file_name(STO_PREFIX_LOG, seg->no);
 	ok = sto_write(s, s->fd, name, s->pending, err);
 	g_free(name);
 	if (!ok)
 		return false;
 	s->size += s->pending->len;
 	g_byte_array_set_size(s->pending, 0);
-	return s->size < STO_SEG_MAX || sto_begin(s, 0, 0, err);
+	return s->size < STO_SEG_MAX || sto_start_segment(s, 0, 0, err);
 }
 
-/* Puts a leader's snapshot in place of the whole log. */
+/* Replaces the whole log by a leader's snapshot. */
 bool sto_install(struct sto *s, const struct cns_snap *snap, GError **err)
 {
 	guint old = s->segs->len;
@@ -169,35 +175,39 @@
 	if (s->failed)
 		return sto_fail(s, "install", STO_PREFIX_SNAP, err);
 	g_byte_array_set_size(s->pending, 0);
-	s->last = snap->index;
-	if (!sto_put_snap(s, snap, err) ||
-	    !sto_begin(s, snap->index, snap->term, err))
+	s->last_index = snap->index;
+	if (!sto_write_snap(s, snap, err) ||
+	    !sto_start_segment(s, snap->index, snap->term, err))
 		return false;
 	while (old-- > 0)
 		g_array_index(s->segs, struct sto_seg, old).max_index = 0;
-	sto_trim(s);
+	sto_remove_old_segments(s);
 	return true;
 }
 
-/* Writes our own snapshot and drops the files that it makes needless. */
+/*
+ * Writes a snapshot of the local state and removes the log files that it makes
+ * obsolete.
+ */
 bool sto_snapshot(struct sto *s, const struct cns_snap *snap, GError **err)
 {
-	if (!sto_sync(s, err) || !sto_put_snap(s, snap, err) ||
-	    !sto_begin(s, 0, 0, err))
+	if (!sto_sync(s, err) || !sto_write_snap(s, snap, err) ||
+	    !sto_start_segment(s, 0, 0, err))
 		return false;
-	sto_trim(s);
+	sto_remove_old_segments(s);
 	return true;
 }
 
-/* A file's name. */
-char *sto_name(const char *prefix, uint64_t no)
+/* Returns the name of a file: the prefix followed by the number. */
+char *sto_file_name(const char *prefix, uint64_t no)
 {
 	return g_strdup_printf("%s%016" G_GINT64_MODIFIER "x", prefix, no);
 }
 
 /*
- * Names of the folder's files. NULL with an error: it can't be listed now. An
- * empty list instead would have a member's folder made anew under its files.
+ * Returns the names of the folder's files; NULL with an error if the folder
+ * cannot be listed. If an empty list were returned instead, a member's folder
+ * would be created again over its files.
  */
 char **sto_list(struct sto *s, GError **err)
 {
@@ -208,8 +218,11 @@
 	return names;
 }
 
-/* The number in a name with that prefix; false: another name. */
-bool sto_number(const char *name, const char *prefix, uint64_t *no)
+/*
+ * Parses the number in a file name with that prefix; returns false for any
+ * other name.
+ */
+bool sto_parse_name(const char *name, const char *prefix, uint64_t *no)
 {
 	char *end = NULL;
 
@@ -219,20 +232,23 @@
 	return end && *end == '\0' && end != name + strlen(prefix);
 }
 
-/* Notes that the folder has failed for good, with errno. */
+/*
+ * Marks the folder as permanently failed and reports errno; always returns
+ * false.
+ */
 bool sto_fail(struct sto *s, const char *step, const char *name, GError **err)
 {
 	s->failed = true;
 	err_set(err, ERR_IO, step, NULL, "data folder: %s: %s", name,
-		errno ? g_strerror(errno) : "it failed before");
+		errno ? g_strerror(errno) : "an earlier operation failed");
 	return false;
 }
 
 /*
- * Whether nothing of ours is in the folder, or a folder that was never made;
- * false as well when the disk fails, which s->failed tells.
+ * Whether the folder contains no data, or only the start of an interrupted
+ * creation. Also returns false if the disk fails; s->failed is set then.
  */
-static bool sto_empty(struct sto *s, GError **err)
+static bool sto_is_empty(struct sto *s, GError **err)
 {
 	char **names = sto_list(s, err);
 	bool empty = true;
@@ -246,27 +262,28 @@
 			s->set_aside = true;
 	for (i = 0; empty && names[i]; i++)
 		if (strcmp(names[i], STO_NAME_IDENTITY) == 0 ||
-		    sto_number(names[i], STO_PREFIX_SNAP, &no) ||
-		    (sto_number(names[i], STO_PREFIX_LOG, &no) &&
-		     !sto_half_made(s, no, err)))
+		    sto_parse_name(names[i], STO_PREFIX_SNAP, &no) ||
+		    (sto_parse_name(names[i], STO_PREFIX_LOG, &no) &&
+		     !sto_is_half_created(s, no, err)))
 			empty = false;
 	g_strfreev(names);
 	return empty;
 }
 
 /*
- * Whether a log file is what sto_make leaves when power goes before there is
- * an identity: the first, with no more than a head. Nobody was answered then.
+ * Whether a log file is what a power loss leaves before sto_create has written
+ * the identity: the first log file, with at most a head record. The folder has
+ * acknowledged nothing then.
  */
-static bool sto_half_made(struct sto *s, uint64_t no, GError **err)
+static bool sto_is_half_created(struct sto *s, uint64_t no, GError **err)
 {
 	char *name;
 	GBytes *b;
 	bool half;
 
-	if (no != STO_FIRST)
+	if (no != STO_FIRST_SEG)
 		return false;
-	name = sto_name(STO_PREFIX_LOG, no);
+	name = sto_file_name(STO_PREFIX_LOG, no);
 	b = s->io.read(s->io.arg, name);
 	half = b && g_bytes_get_size(b) <= STO_HEAD_MAX;
 	if (b)
@@ -278,9 +295,9 @@
 }
 
 /*
- * Renames all content, for whoever wants to look into it; only the newest set
- * is kept. The identity goes first and is synced: whatever of the rest a crash
- * leaves behind is then without one, and never read as a member again.
+ * Renames all content so that it can be inspected; only the newest set is kept.
+ * The identity is renamed first and synced: any other files that a crash leaves
+ * are then without an identity and are never read as a member's again.
  */
 static bool sto_set_aside(struct sto *s, GError **err)
 {
@@ -302,8 +319,8 @@
 	for (i = 0; names[i]; i++) {
 		char *to = g_strconcat(STO_PREFIX_DAMAGED, names[i], NULL);
 
-		if (sto_number(names[i], STO_PREFIX_LOG, &no) ||
-		    sto_number(names[i], STO_PREFIX_SNAP, &no))
+		if (sto_parse_name(names[i], STO_PREFIX_LOG, &no) ||
+		    sto_parse_name(names[i], STO_PREFIX_SNAP, &no))
 			s->io.rename(s->io.arg, names[i], to);
 		g_free(to);
 	}
@@ -312,19 +329,19 @@
 	s->set_aside = true;
 	s->term = 0;
 	s->vote = 0;
-	s->last = 0;
+	s->last_index = 0;
 	if (s->io.sync_folder(s->io.arg) != 0)
 		return sto_fail(s, "set aside", "folder", err);
 	return true;
 }
 
 /*
- * Begins a folder: the identity comes last, so that it has a log for sure. What
- * was set aside, now or before a crash, may have made promises under the given
- * id: the folder must be somebody else's.
+ * Creates a folder. The identity is written last, so that a folder with an
+ * identity always has a log. Content that was set aside, now or before a crash,
+ * may have been acknowledged under new_id, so the folder then gets another id.
  */
-static bool sto_make(struct sto *s, const char *node, uint64_t new_id,
-		     GError **err)
+static bool sto_create(struct sto *s, const char *node, uint64_t new_id,
+		       GError **err)
 {
 	GByteArray *bytes = g_byte_array_new();
 	struct pk_out o;
@@ -337,8 +354,8 @@
 	pk_cstr(&o, node);
 	sto_rec_add(bytes, 0, 0, STO_IDENTITY, pk_out_view(&o));
 	pk_out_done(&o);
-	ok = sto_begin(s, 0, 0, err) &&
-	     sto_put_file(s, STO_NAME_IDENTITY, bytes, err);
+	ok = sto_start_segment(s, 0, 0, err) &&
+	     sto_write_file(s, STO_NAME_IDENTITY, bytes, err);
 	g_byte_array_free(bytes, TRUE);
 	return ok;
 }
@@ -352,36 +369,38 @@
 	return id;
 }
 
-/* Goes on in a new log file, so that the old ones are never written again. */
-static bool sto_go_on(struct sto *s, const struct sto_loaded *out, GError **err)
+/* Continues in a new log file, so that old files are never written to again. */
+static bool sto_continue(struct sto *s, const struct sto_loaded *out,
+			 GError **err)
 {
 	uint64_t reset = 0;
 	uint64_t term = 0;
 
 	if (out->snap) {
 		s->snap_index = out->snap->index;
-		s->last = out->snap->index;
+		s->last_index = out->snap->index;
 		if (out->entries->len == 0) {
 			reset = out->snap->index;
 			term = out->snap->term;
 		}
 	}
 	if (out->entries->len)
-		s->last = g_array_index(out->entries, struct cns_entry,
-					out->entries->len - 1)
-				  .index;
+		s->last_index = g_array_index(out->entries, struct cns_entry,
+					      out->entries->len - 1)
+					.index;
 	/*
-	 * The snapshot that was read may owe its name to a rename that a killed
-	 * process never synced: removing the one before it first could, after a
-	 * loss of power, leave neither.
+	 * The rename of the snapshot that was read may not be synced yet if the
+	 * process that made it was killed. Removing the previous snapshot
+	 * before that sync could leave neither of them after a power loss.
 	 */
 	if (s->io.sync_folder(s->io.arg) != 0)
 		return sto_fail(s, "sync folder", "names", err);
-	return sto_tidy(s, err) && sto_begin(s, reset, term, err);
+	return sto_remove_leftovers(s, err) &&
+	       sto_start_segment(s, reset, term, err);
 }
 
-/* Removes what crashes left half done. */
-static bool sto_tidy(struct sto *s, GError **err)
+/* Removes files left by interrupted operations. */
+static bool sto_remove_leftovers(struct sto *s, GError **err)
 {
 	uint64_t first = g_array_index(s->segs, struct sto_seg, 0).no;
 	char **names = sto_list(s, err);
@@ -392,19 +411,23 @@
 		return false;
 	for (i = 0; names[i]; i++)
 		if (strcmp(names[i], STO_NAME_TMP) == 0 ||
-		    (sto_number(names[i], STO_PREFIX_LOG, &no) && no < first) ||
-		    (sto_number(names[i], STO_PREFIX_SNAP, &no) &&
+		    (sto_parse_name(names[i], STO_PREFIX_LOG, &no) &&
+		     no < first) ||
+		    (sto_parse_name(names[i], STO_PREFIX_SNAP, &no) &&
 		     no != s->snap_index))
 			s->io.remove(s->io.arg, names[i]);
 	g_strfreev(names);
 	return true;
 }
 
-/* Begins the next log file; with reset, the log starts after that index. */
-static bool sto_begin(struct sto *s, uint64_t reset, uint64_t term,
-		      GError **err)
+/*
+ * Starts the next log file; if reset is not zero, the log starts after that
+ * index.
+ */
+static bool sto_start_segment(struct sto *s, uint64_t reset, uint64_t term,
+			      GError **err)
 {
-	struct sto_seg seg = {.no = STO_FIRST};
+	struct sto_seg seg = {.no = STO_FIRST_SEG};
 	GByteArray *bytes = s->pending;
 	struct pk_out o;
 	char *name;
@@ -426,16 +449,16 @@
 	pk_u(&o, seg.no);
 	pk_u(&o, s->term);
 	pk_u(&o, s->vote);
-	pk_u(&o, reset ? 0 : s->last);
-	sto_pend(s, STO_HEAD, &o);
+	pk_u(&o, reset ? 0 : s->last_index);
+	sto_add_pending(s, STO_HEAD, &o);
 	if (reset) {
 		pk_out_init(&o);
 		pk_arr(&o, 2);
 		pk_u(&o, reset);
 		pk_u(&o, term);
-		sto_pend(s, STO_RESET, &o);
+		sto_add_pending(s, STO_RESET, &o);
 	}
-	name = sto_name(STO_PREFIX_LOG, seg.no);
+	name = sto_file_name(STO_PREFIX_LOG, seg.no);
 	s->fd = s->io.create(s->io.arg, name);
 	ok = s->fd >= 0 ? sto_write(s, s->fd, name, bytes, err)
 			: sto_fail(s, "create", name, err);
@@ -447,8 +470,8 @@
 	return ok;
 }
 
-/* Adds a record to what the next sync writes; takes o over. */
-static void sto_pend(struct sto *s, enum sto_kind kind, struct pk_out *o)
+/* Adds a record to the pending batch; takes ownership of o. */
+static void sto_add_pending(struct sto *s, enum sto_kind kind, struct pk_out *o)
 {
 	const struct sto_seg *seg =
 		&g_array_index(s->segs, struct sto_seg, s->segs->len - 1);
@@ -458,8 +481,9 @@
 }
 
 /*
- * Writes all bytes and syncs them. A write that the kernel cut short is synced
- * before the rest: of two that are not, the second alone may last.
+ * Writes all bytes and syncs them. After a short write the written part is
+ * synced before the rest is written: of two unsynced writes, only the second
+ * might survive a power loss.
  */
 static bool sto_write(struct sto *s, int fd, const char *name,
 		      const GByteArray *bytes, GError **err)
@@ -482,9 +506,9 @@
 	return true;
 }
 
-/* A whole file, or none: written under another name, synced, renamed. */
-bool sto_put_file(struct sto *s, const char *name, const GByteArray *bytes,
-		  GError **err)
+/* Writes a file atomically: under a temporary name, synced, then renamed. */
+bool sto_write_file(struct sto *s, const char *name, const GByteArray *bytes,
+		    GError **err)
 {
 	int fd = s->io.create(s->io.arg, STO_NAME_TMP);
 	bool ok;
@@ -501,11 +525,11 @@
 	return true;
 }
 
-static bool sto_put_snap(struct sto *s, const struct cns_snap *snap,
-			 GError **err)
+static bool sto_write_snap(struct sto *s, const struct cns_snap *snap,
+			   GError **err)
 {
 	GByteArray *bytes = g_byte_array_new();
-	char *name = sto_name(STO_PREFIX_SNAP, snap->index);
+	char *name = sto_file_name(STO_PREFIX_SNAP, snap->index);
 	struct pk_out members;
 	struct pk_out o;
 	gsize len;
@@ -523,9 +547,9 @@
 	sto_rec_add(bytes, snap->index, 0, STO_SNAP, pk_out_view(&o));
 	pk_out_done(&members);
 	pk_out_done(&o);
-	ok = sto_put_file(s, name, bytes, err);
+	ok = sto_write_file(s, name, bytes, err);
 	if (ok && s->snap_index && s->snap_index != snap->index) {
-		char *old = sto_name(STO_PREFIX_SNAP, s->snap_index);
+		char *old = sto_file_name(STO_PREFIX_SNAP, s->snap_index);
 
 		s->io.remove(s->io.arg, old);
 		g_free(old);
@@ -537,8 +561,10 @@
 	return ok;
 }
 
-/* Removes the oldest log files, as far as the snapshot holds all of them. */
-static void sto_trim(struct sto *s)
+/*
+ * Removes the oldest log files whose entries are all covered by the snapshot.
+ */
+static void sto_remove_old_segments(struct sto *s)
 {
 	while (s->segs->len > 1) {
 		const struct sto_seg *seg =
@@ -547,7 +573,7 @@
 
 		if (seg->max_index > s->snap_index)
 			break;
-		name = sto_name(STO_PREFIX_LOG, seg->no);
+		name = sto_file_name(STO_PREFIX_LOG, seg->no);
 		s->io.remove(s->io.arg, name);
 		g_free(name);
 		g_array_remove_index(s->segs, 0);
--- a/src/sto.h
+++ b/src/sto.h
@@ -1,6 +1,8 @@
 #ifndef STO_H
 #define STO_H
 
+/* Persistent storage of a Raft voter: write-ahead log and snapshots. */
+
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -9,34 +11,39 @@
 #include "cns.h"
 
 /*
- * A voter's data folder: what it promised to others. Records are written
- * together and last from sto_sync on; a failure of any write or sync is final.
+ * A voter's data folder, with the state that Raft requires to be persistent.
+ * Records are written in batches and are durable after sto_sync; after a failed
+ * write or sync every later call fails.
  */
 struct sto;
 
 /*
- * The file operations a folder needs. Names are within the folder; results as
- * of the calls they are named for, with errno set.
+ * The file operations that a data folder needs. Names are relative to the
+ * folder; results are those of the system calls of the same name, with errno
+ * set.
  */
 struct sto_io {
 	void *arg;
-	int (*create)(void *arg, const char *name); /* empty, to write at */
+	/* creates an empty file; returns a descriptor */
+	int (*create)(void *arg, const char *name);
 	ssize_t (*write)(void *arg, int fd, const void *p, size_t len);
 	int (*sync)(void *arg, int fd);
 	int (*close)(void *arg, int fd);
-	GBytes *(*read)(void *arg, const char *name); /* whole, or NULL */
-	char **(*list)(void *arg); /* all names, or NULL */
+	/* content of the file, or NULL */
+	GBytes *(*read)(void *arg, const char *name);
+	char **(*list)(void *arg); /* all file names, or NULL */
 	int (*rename)(void *arg, const char *from, const char *to);
 	int (*remove)(void *arg, const char *name);
 	int (*sync_folder)(void *arg);
 };
 
-/* What a folder held. */
+/* The content of a data folder, as read by sto_open. */
 struct sto_loaded {
-	uint64_t id; /* of the folder */
-	bool fresh; /* made just now */
-	char *damage; /* why old content was set aside; NULL: it was not */
-	uint64_t cut; /* bytes of a write that was never synced */
+	uint64_t id; /* id of the folder */
+	bool fresh; /* the folder was created by this call */
+	char *damage; /* why old content was set aside; NULL if it was not */
+	/* bytes dropped of a write that was never synced */
+	uint64_t torn_bytes;
 	uint64_t term;
 	uint64_t vote;
 	struct cns_snap *snap; /* NULL: none */
--- a/src/sto_folder.c
+++ b/src/sto_folder.c
@@ -10,7 +10,7 @@
 
 #include "err.h"
 
-/* A folder of the machine. */
+/* A data folder in the file system. */
 struct sto_folder {
 	struct sto_io io;
 	char *path;
@@ -40,8 +40,8 @@
 };
 
 /*
- * A folder that no other process holds: two voters that share one would each
- * promise what the other overwrites. NULL with ERR_IO.
+ * Opens and locks a folder. Two voters sharing one folder would each overwrite
+ * what the other has acknowledged. Returns NULL with ERR_IO.
  */
 struct sto_io *sto_folder_new(const char *path, GError **err)
 {
@@ -54,13 +54,13 @@
 	if (f->fd >= 0 && flock(f->fd, LOCK_EX | LOCK_NB) == 0)
 		return &f->io;
 	err_set(err, ERR_IO, "open data folder", NULL, "%s: %s", path,
-		errno == EWOULDBLOCK ? "another process holds it"
+		errno == EWOULDBLOCK ? "locked by another process"
 				     : g_strerror(errno));
 	sto_folder_free(&f->io);
 	return NULL;
 }
 
-/* Lets a folder go. */
+/* Closes and unlocks a folder. */
 void sto_folder_free(struct sto_io *io)
 {
 	struct sto_folder *f;
--- a/src/sto_int.h
+++ b/src/sto_int.h
@@ -11,10 +11,10 @@
 #define STO_PREFIX_SNAP "snap-"
 #define STO_PREFIX_DAMAGED "damaged-"
 
-/* A file of the log. */
+/* A log file (a segment of the log). */
 struct sto_seg {
 	uint64_t no;
-	uint64_t max_index; /* of its entries; 0: none */
+	uint64_t max_index; /* largest index of its entries; 0: none */
 };
 
 struct sto {
@@ -22,13 +22,14 @@
 	uint64_t id;
 	uint64_t term;
 	uint64_t vote;
-	uint64_t last; /* index of the last entry written */
-	GArray *segs; /* struct sto_seg, oldest first; the last is written */
-	int fd; /* of the last; -1: none */
-	uint64_t size; /* of the last, synced */
+	uint64_t last_index; /* index of the last entry written */
+	/* struct sto_seg, oldest first; the last one is written to */
+	GArray *segs;
+	int fd; /* descriptor of the last segment; -1: none */
+	uint64_t size; /* synced bytes of the last segment */
 	GByteArray *pending;
 	uint64_t snap_index; /* 0: none */
-	bool set_aside; /* damaged content was, now or before */
+	bool set_aside; /* damaged content was set aside, now or before */
 	bool failed;
 };
 
@@ -36,11 +37,11 @@
 bool sto_load(struct sto *s, const char *node, struct sto_loaded *out,
 	      char **damage, GError **err);
 /* sto */
-char *sto_name(const char *prefix, uint64_t no);
+char *sto_file_name(const char *prefix, uint64_t no);
 char **sto_list(struct sto *s, GError **err);
-bool sto_number(const char *name, const char *prefix, uint64_t *no);
-bool sto_put_file(struct sto *s, const char *name, const GByteArray *bytes,
-		  GError **err);
+bool sto_parse_name(const char *name, const char *prefix, uint64_t *no);
+bool sto_write_file(struct sto *s, const char *name, const GByteArray *bytes,
+		    GError **err);
 bool sto_fail(struct sto *s, const char *step, const char *name, GError **err);
 
 #endif
--- a/src/vot.c
+++ b/src/vot.c
@@ -190,12 +190,12 @@
 	config.id = l.id;
 	if (l.damage)
 		msg(MSG_STO_DAMAGED,
-		    "why=\"%s\" does=\"set aside; back as a new member once "
-		    "caught up\"",
+		    "why=\"%s\" does=\"set aside; rejoins as a new member "
+		    "once caught up\"",
 		    l.damage);
 	msg(MSG_STO_OPEN,
 	    "folder=%016" PRIx64 " fresh=%d cut=%" PRIu64 " entries=%u", l.id,
-	    l.fresh, l.cut, l.entries->len);
+	    l.fresh, l.torn_bytes, l.entries->len);
 	stored = (struct cns_stored){
 		.term = l.term,
 		.vote = l.vote,
--- a/tests/prop/sto_prop.cc
+++ b/tests/prop/sto_prop.cc
@@ -13,10 +13,13 @@
 #include "sto.h"
 }
 
-/* The least that a disk writes whole, bytes. */
-static const size_t SECTOR = 512;
+/* A disk writes whole sectors of so many bytes. */
+static const size_t SECTOR_BYTES = 512;
 
-/* A folder that can die at any operation and then lose what was not synced. */
+/*
+ * Simulated data folder that can crash at any operation and then lose unsynced
+ * data.
+ */
 struct Folder {
 	struct Write {
 		size_t at;
@@ -43,13 +46,13 @@
 
 	std::mt19937 rng;
 	Dir now;
-	Dir lasting;
+	Dir durable;
 	std::vector<std::function<void(Dir &)>> unsynced;
 	std::map<int, std::shared_ptr<Inode>> open;
 	int next_fd = 3;
-	int die_at = -1; /* operations until then; -1: never */
-	int fail_sync_at = -1;
-	size_t room = SIZE_MAX;
+	int crash_in = -1; /* operations until the crash; -1: never */
+	int fail_sync_in = -1;
+	size_t space_left = SIZE_MAX;
 	bool short_writes = false;
 	sto_io io = {};
 
@@ -66,7 +69,7 @@
 		io.remove = remove;
 		io.sync_folder = sync_folder;
 	}
-	size_t upto(size_t n)
+	size_t up_to(size_t n)
 	{
 		return std::uniform_int_distribution<size_t>(0, n)(rng);
 	}
@@ -74,12 +77,12 @@
 	{
 		return *static_cast<Folder *>(arg);
 	}
-	bool dead()
+	bool count_operation()
 	{
-		if (die_at > 0)
-			die_at--;
+		if (crash_in > 0)
+			crash_in--;
 		errno = EIO;
-		return die_at == 0;
+		return crash_in == 0;
 	}
 	void dir_op(std::function<void(Dir &)> op)
 	{
@@ -92,7 +95,7 @@
 		auto inode = std::make_shared<Inode>();
 		std::string n = name;
 
-		if (f.dead())
+		if (f.count_operation())
 			return -1;
 		f.dir_op([n, inode](Dir &d) { d[n] = inode; });
 		f.open[f.next_fd] = inode;
@@ -103,22 +106,22 @@
 		Folder &f = of(arg);
 		auto inode = f.open.at(fd);
 
-		if (f.die_at == 0)
+		if (f.crash_in == 0)
 			return -1;
-		if (f.dead()) {
-			inode->add(p, f.upto(len));
+		if (f.count_operation()) {
+			inode->add(p, f.up_to(len));
 			return -1;
 		}
-		if (f.short_writes && len > 1 && f.upto(3) == 0)
-			len = 1 + f.upto(len - 2);
-		if (f.room < len) {
-			len = f.room;
-			f.room = 0;
+		if (f.short_writes && len > 1 && f.up_to(3) == 0)
+			len = 1 + f.up_to(len - 2);
+		if (f.space_left < len) {
+			len = f.space_left;
+			f.space_left = 0;
 			errno = ENOSPC;
 			if (len == 0)
 				return -1;
-		} else if (f.room != SIZE_MAX) {
-			f.room -= len;
+		} else if (f.space_left != SIZE_MAX) {
+			f.space_left -= len;
 		}
 		inode->add(p, len);
 		return (ssize_t)len;
@@ -128,9 +131,9 @@
 		Folder &f = of(arg);
 		auto inode = f.open.at(fd);
 
-		if (f.dead())
+		if (f.count_operation())
 			return -1;
-		if (f.fail_sync_at > 0 && --f.fail_sync_at == 0) {
+		if (f.fail_sync_in > 0 && --f.fail_sync_in == 0) {
 			errno = EIO;
 			return -1;
 		}
@@ -166,7 +169,7 @@
 		std::string a = from;
 		std::string b = to;
 
-		if (f.dead() || !f.now.count(a))
+		if (f.count_operation() || !f.now.count(a))
 			return -1;
 		auto inode = f.now[a];
 		f.dir_op([a, b, inode](Dir &d) {
@@ -181,7 +184,7 @@
 		Folder &f = of(arg);
 		std::string n = name;
 
-		if (f.dead())
+		if (f.count_operation())
 			return -1;
 		f.dir_op([n](Dir &d) { d.erase(n); });
 		return 0;
@@ -190,35 +193,35 @@
 	{
 		Folder &f = of(arg);
 
-		if (f.dead())
+		if (f.count_operation())
 			return -1;
 		for (auto &op : f.unsynced)
-			op(f.lasting);
+			op(f.durable);
 		f.unsynced.clear();
 		return 0;
 	}
-	/* What a disk keeps of a write that it was busy with. */
+	/* Applies what a disk may keep of an interrupted write. */
 	void tear(std::string &kept, const Write &w)
 	{
 		size_t end = w.at + w.bytes.size();
-		size_t part = upto(w.bytes.size());
+		size_t part = up_to(w.bytes.size());
 
-		switch (upto(2)) {
-		case 0: /* the first bytes, and a file as long as these */
+		switch (up_to(2)) {
+		case 0: /* the first bytes; the file ends after them */
 			kept.resize(std::max(kept.size(), w.at + part));
 			kept.replace(w.at, part, w.bytes, 0, part);
 			break;
-		case 1: /* the first bytes, and the length of the whole */
+		case 1: /* the first bytes and the full length */
 			kept.resize(std::max(kept.size(), end));
 			kept.replace(w.at, part, w.bytes, 0, part);
 			break;
-		default: /* any sectors, and the length of the whole */
+		default: /* any sectors and the full length */
 			kept.resize(std::max(kept.size(), end));
 			for (size_t i = w.at; i < end;) {
-				size_t next = std::min(end, (i / SECTOR + 1) *
-								    SECTOR);
+				size_t next = std::min(end, (i / SECTOR_BYTES +
+							     1) * SECTOR_BYTES);
 
-				if (upto(1))
+				if (up_to(1))
 					kept.replace(i, next - i, w.bytes,
 						     i - w.at, next - i);
 				i = next;
@@ -226,54 +229,54 @@
 		}
 	}
 	/*
-	 * The machine loses power. Of what was not synced, each name that was
-	 * made, changed or removed lasts or not by itself, and each write is
-	 * there, missing or torn; at some losses all or none of it lasts.
+	 * Simulates a power loss. Each unsynced creation, rename or removal of
+	 * a name is kept or lost independently, and each unsynced write is
+	 * kept, lost or torn; in some runs everything or nothing is kept.
 	 */
 	void crash()
 	{
-		size_t mood = upto(4); /* 0: all lasts, 1: nothing */
+		size_t keep = up_to(4); /* 0: everything is kept, 1: nothing */
 
 		for (auto &op : unsynced)
-			if (mood == 0 || (mood > 1 && upto(1)))
-				op(lasting);
+			if (keep == 0 || (keep > 1 && up_to(1)))
+				op(durable);
 		unsynced.clear();
-		now = lasting;
+		now = durable;
 		open.clear();
 		for (auto &e : now) {
 			Inode &n = *e.second;
 			std::string kept = n.synced;
 
 			for (auto &w : n.unsynced) {
-				size_t fate = mood == 0	  ? 0
-					      : mood == 1 ? 1
-							  : upto(3);
+				size_t outcome = keep == 0   ? 0
+						 : keep == 1 ? 1
+							     : up_to(3);
 
-				if (fate == 0) {
+				if (outcome == 0) {
 					kept.resize(std::max(
 						kept.size(),
 						w.at + w.bytes.size()));
 					kept.replace(w.at, w.bytes.size(),
 						     w.bytes);
-				} else if (fate > 1) {
+				} else if (outcome > 1) {
 					tear(kept, w);
 				}
 			}
 			n.data = kept;
 			n.sync();
 		}
-		die_at = -1;
+		crash_in = -1;
 	}
 	std::string any_file()
 	{
 		auto it = now.begin();
 
-		std::advance(it, upto(now.size() - 1));
+		std::advance(it, up_to(now.size() - 1));
 		return it->first;
 	}
 };
 
-/* What a folder is to hold. */
+/* The expected content of a folder. */
 struct State {
 	uint64_t term = 0;
 	uint64_t vote = 0;
@@ -291,7 +294,7 @@
 	}
 };
 
-static State seen(const sto_loaded &l)
+static State loaded_state(const sto_loaded &l)
 {
 	State st;
 
@@ -306,13 +309,16 @@
 	return st;
 }
 
-/* A voter's use of a folder; may is what a crash could leave. */
+/*
+ * Uses a folder as a voter does. possible holds all states that a crash could
+ * leave.
+ */
 class Writer
 {
       public:
 	Folder f;
 	State st;
-	std::vector<State> may;
+	std::vector<State> possible;
 	sto *s = nullptr;
 	uint64_t id = 0;
 
@@ -326,7 +332,7 @@
 	bool open(sto_loaded *l)
 	{
 		sto_free(s);
-		s = sto_open(&f.io, "n1", 1000 + f.upto(1 << 30), l, nullptr);
+		s = sto_open(&f.io, "n1", 1000 + f.up_to(1 << 30), l, nullptr);
 		return s != nullptr;
 	}
 	void begin()
@@ -336,34 +342,34 @@
 		RC_ASSERT(open(&l));
 		RC_ASSERT(l.fresh);
 		id = l.id;
-		may = {st};
+		possible = {st};
 		sto_loaded_clear(&l);
 	}
 	bool sync()
 	{
 		if (!sto_sync(s, nullptr))
 			return false;
-		may = {st};
+		possible = {st};
 		return true;
 	}
 	void vote()
 	{
-		if (f.upto(1))
+		if (f.up_to(1))
 			st.term++;
-		st.vote = f.upto(3);
+		st.vote = f.up_to(3);
 		sto_vote(s, st.term, st.vote);
-		may.push_back(st);
+		possible.push_back(st);
 	}
 	void entry()
 	{
 		uint64_t first = st.snap + 1;
 		uint64_t last = st.last();
 		uint64_t index = last + 1;
-		std::string data(f.upto(300), f.upto(1) ? 'd' : '\0');
+		std::string data(f.up_to(300), f.up_to(1) ? 'd' : '\0');
 		cns_entry e = {};
 
-		if (index > first && f.upto(9) == 0)
-			index = first + f.upto(last - first);
+		if (index > first && f.up_to(9) == 0)
+			index = first + f.up_to(last - first);
 		st.log.erase(st.log.lower_bound(index), st.log.end());
 		st.log[index] = st.term + 1;
 		e.index = index;
@@ -371,11 +377,11 @@
 		e.data = g_bytes_new(data.data(), data.size());
 		sto_entry(s, &e);
 		g_bytes_unref(e.data);
-		may.push_back(st);
+		possible.push_back(st);
 	}
 	bool snapshot(bool install)
 	{
-		std::string data(f.upto(2000), 's');
+		std::string data(f.up_to(2000), 's');
 		struct cns_members m = {};
 		State then = st;
 		cns_snap *snap;
@@ -384,8 +390,8 @@
 
 		if (!install && st.log.empty())
 			return true;
-		then.snap = install ? st.last() + 1 + f.upto(5)
-				    : st.snap + 1 + f.upto(st.log.size() - 1);
+		then.snap = install ? st.last() + 1 + f.up_to(5)
+				    : st.snap + 1 + f.up_to(st.log.size() - 1);
 		then.log.erase(then.log.begin(),
 			       then.log.upper_bound(then.snap));
 		if (install)
@@ -395,52 +401,56 @@
 				    install ? st.term + 9 : st.log[then.snap],
 				    &m, b);
 		g_bytes_unref(b);
-		for (size_t i = may.size(); i-- > 0;) {
-			State half = may[i];
+		for (size_t i = possible.size(); i-- > 0;) {
+			State partial = possible[i];
 
-			half.snap = then.snap;
-			half.log = then.log;
-			may.push_back(half);
+			partial.snap = then.snap;
+			partial.log = then.log;
+			possible.push_back(partial);
 		}
-		may.push_back(then);
+		possible.push_back(then);
 		ok = install ? sto_install(s, snap, nullptr)
 			     : sto_snapshot(s, snap, nullptr);
 		cns_snap_free(snap);
 		st = then;
 		if (ok)
-			may = {st};
+			possible = {st};
 		return ok;
 	}
-	/* False: the folder died on the way. */
-	bool work(int steps)
+	/*
+	 * Runs random operations; returns false if the folder crashed or
+	 * failed.
+	 */
+	bool run(int steps)
 	{
 		bool ok = true;
 
 		while (ok && steps-- > 0) {
-			size_t dice = f.upto(99);
+			size_t action = f.up_to(99);
 
-			if (dice < 20)
+			if (action < 20)
 				vote();
-			else if (dice < 70)
+			else if (action < 70)
 				entry();
-			else if (dice < 94)
+			else if (action < 94)
 				ok = sync();
 			else
-				ok = sync() && snapshot(dice > 97);
+				ok = sync() && snapshot(action > 97);
 		}
 		return ok;
 	}
-	bool possible(const sto_loaded &l)
+	bool is_possible(const sto_loaded &l)
 	{
-		for (auto &m : may)
-			if (m == seen(l) || m == without_snap(l, m.snap))
+		for (auto &m : possible)
+			if (m == loaded_state(l) ||
+			    m == without_snap(l, m.snap))
 				return true;
 		return false;
 	}
-	/* A lost snapshot costs nothing while the log has every entry. */
+	/* A missing snapshot is no loss as long as the log has every entry. */
 	static State without_snap(const sto_loaded &l, uint64_t snap)
 	{
-		State got = seen(l);
+		State got = loaded_state(l);
 
 		if (got.snap == 0 && got.log.count(1) && got.last() >= snap) {
 			got.snap = snap;
@@ -450,15 +460,15 @@
 		return got;
 	}
 	/*
-	 * After a crash the folder must hold what was promised; power may go
-	 * again while it is opened.
+	 * Opens the folder after a crash and checks that it holds everything
+	 * acknowledged; power may be lost again during the opening.
 	 */
 	void reopen()
 	{
 		sto_loaded l;
 
-		while (f.upto(3) == 0) {
-			f.die_at = 1 + (int)f.upto(8);
+		while (f.up_to(3) == 0) {
+			f.crash_in = 1 + (int)f.up_to(8);
 			if (open(&l))
 				sto_loaded_clear(&l);
 			f.crash();
@@ -468,9 +478,9 @@
 			RC_LOG() << l.damage << "\n";
 		RC_ASSERT(!l.fresh);
 		RC_ASSERT(l.id == id);
-		RC_ASSERT(possible(l));
-		st = seen(l);
-		may = {st};
+		RC_ASSERT(is_possible(l));
+		st = loaded_state(l);
+		possible = {st};
 		sto_loaded_clear(&l);
 	}
 };
@@ -483,33 +493,32 @@
 	};
 
 	/*
-	 * A voter keeps its promises, and its place. Power goes at any
-	 * operation of the folder, also while it is opened; some of what was
-	 * not synced lasts, in any mixture, and the last write may be torn
-	 * anywhere. The voter comes back with all that was synced, again and
-	 * again, and never as damaged or as somebody else: beside one lost disk
-	 * its vote is the one that the others need.
+	 * Guards against lost votes or entries and against intact folders set
+	 * aside. Power is lost at any operation, also during the opening; any
+	 * mixture of the unsynced data is kept, and the last write may be torn
+	 * anywhere. Everything synced must be found again: beside one lost
+	 * disk, the others need this voter's vote.
 	 */
-	ok &= rc::check("what was synced outlasts a crash anywhere", [any] {
+	ok &= rc::check("synced data survives a crash at any operation", [any] {
 		Writer w(any());
 		auto crashes = *rc::gen::inRange(1, 12);
 
-		w.f.short_writes = w.f.upto(1);
+		w.f.short_writes = w.f.up_to(1);
 		w.begin();
 		while (crashes-- > 0) {
-			w.f.die_at = 1 + (int)w.f.upto(60);
-			w.work(200);
+			w.f.crash_in = 1 + (int)w.f.up_to(60);
+			w.run(200);
 			w.f.crash();
 			w.reopen();
 		}
 	});
 
 	/*
-	 * Many log files are dropped by one snapshot. Power goes while they are
-	 * removed; some of the names last and others don't, in any mixture. All
-	 * that they held is in the snapshot, so the voter goes on.
+	 * Guards against an intact folder set aside because a power loss during
+	 * the removal of log files kept some of their names. Everything in the
+	 * files is in the snapshot.
 	 */
-	ok &= rc::check("log files dropped by halves are no damage", [any] {
+	ok &= rc::check("partly removed log files are no damage", [any] {
 		Writer w(any());
 		auto files = *rc::gen::inRange(2, 9);
 
@@ -520,23 +529,23 @@
 			w.f.crash();
 			w.reopen();
 		}
-		w.f.die_at = 4 + (int)w.f.upto(16);
-		w.snapshot(w.f.upto(1));
+		w.f.crash_in = 4 + (int)w.f.up_to(16);
+		w.snapshot(w.f.up_to(1));
 		w.f.crash();
 		w.reopen();
 	});
 
 	/*
-	 * Power goes while a folder is made. Nobody was answered yet, so what
-	 * is there is begun anew, without a word of damage.
+	 * Guards against a half-created folder that is reported as damaged.
+	 * Nothing was acknowledged yet, so it is created again.
 	 */
-	ok &= rc::check("a folder half made is not a damaged one", [any] {
+	ok &= rc::check("a half-created folder is not damaged", [any] {
 		Writer w(any());
 		sto_loaded l;
 		bool made = false;
 
 		while (!made) {
-			w.f.die_at = 1 + (int)w.f.upto(20);
+			w.f.crash_in = 1 + (int)w.f.up_to(20);
 			made = w.open(&l);
 			if (made)
 				sto_loaded_clear(&l);
@@ -549,68 +558,68 @@
 	});
 
 	/*
-	 * Power goes in the middle of a write, and a bit has flipped in what
-	 * was synced before. The bytes that the write left behind don't excuse
-	 * the flip: the folder is set aside, unless nobody needs the byte.
+	 * Guards against a bit flip in synced data that is taken for part of a
+	 * torn write after it. The folder must be set aside, unless the byte is
+	 * not needed.
 	 */
-	ok &= rc::check("a flip before a torn write is found", [any] {
+	ok &= rc::check("a bit flip before a torn write is detected", [any] {
 		Writer w(any());
 		std::map<std::string, size_t> sizes;
 		sto_loaded l;
 
 		w.begin();
-		w.work(60);
+		w.run(60);
 		RC_ASSERT(w.sync());
 		for (auto &e : w.f.now)
 			sizes[e.first] = e.second->synced.size();
 		w.vote();
 		w.entry();
-		w.f.die_at = 1 + (int)w.f.upto(1);
+		w.f.crash_in = 1 + (int)w.f.up_to(1);
 		RC_ASSERT(!w.sync());
 		w.f.crash();
 		std::string name = w.f.any_file();
 		RC_PRE(sizes[name] > 0);
-		w.f.now[name]->data[w.f.upto(sizes[name] - 1)] ^=
-			(char)(1 << w.f.upto(7));
+		w.f.now[name]->data[w.f.up_to(sizes[name] - 1)] ^=
+			(char)(1 << w.f.up_to(7));
 		RC_ASSERT(w.open(&l));
-		RC_ASSERT((l.fresh ? l.id != w.id : w.possible(l)));
-		RC_TAG(l.fresh ? "set aside" : "no matter");
+		RC_ASSERT((l.fresh ? l.id != w.id : w.is_possible(l)));
+		RC_TAG(l.fresh ? "set aside" : "not needed");
 		sto_loaded_clear(&l);
 	});
 
 	/*
-	 * A voter never answers from a damaged folder. One bit flips anywhere
-	 * while the machine is off; unless it hits bytes that nobody reads,
-	 * the folder is set aside and the voter comes back as somebody else.
+	 * Guards against a voter that uses a damaged folder. One bit flips
+	 * anywhere while the machine is off; unless the byte is never read, the
+	 * folder must be set aside and the voter gets a new id.
 	 */
-	ok &= rc::check("a flipped bit is never taken for a promise", [any] {
+	ok &= rc::check("a bit flip is detected", [any] {
 		Writer w(any());
 		sto_loaded l;
 
 		w.begin();
-		w.work(100);
+		w.run(100);
 		w.sync();
 		w.f.crash();
 		std::string &data = w.f.now[w.f.any_file()]->data;
 		RC_PRE(!data.empty());
-		data[w.f.upto(data.size() - 1)] ^= (char)(1 << w.f.upto(7));
+		data[w.f.up_to(data.size() - 1)] ^= (char)(1 << w.f.up_to(7));
 		RC_ASSERT(w.open(&l));
-		RC_ASSERT((l.fresh ? l.id != w.id : w.possible(l)));
-		RC_TAG(l.fresh ? "set aside" : "no matter");
+		RC_ASSERT((l.fresh ? l.id != w.id : w.is_possible(l)));
+		RC_TAG(l.fresh ? "set aside" : "not needed");
 		sto_loaded_clear(&l);
 	});
 
 	/*
-	 * A disk loses bytes that were synced, and reads zeros in their place.
-	 * Zeros are also what a torn write leaves, but a later write says that
-	 * these were synced; the folder is set aside.
+	 * Guards against synced bytes that a disk lost and reads as zeros. Torn
+	 * writes leave zeros as well, but a later write shows that these bytes
+	 * were synced; the folder must be set aside.
 	 */
-	ok &= rc::check("lost bytes before a later write are found", [any] {
+	ok &= rc::check("lost bytes before a later write are detected", [any] {
 		Writer w(any());
 		sto_loaded l;
 
 		w.begin();
-		w.work(60);
+		w.run(60);
 		RC_ASSERT(w.sync());
 		std::string name = w.f.any_file();
 		size_t before = w.f.now[name]->data.size();
@@ -618,27 +627,27 @@
 		w.entry();
 		RC_ASSERT(w.sync());
 		w.f.crash();
-		size_t from = w.f.upto(before - 1);
-		size_t n = std::min(before - from, 1 + w.f.upto(600));
+		size_t from = w.f.up_to(before - 1);
+		size_t n = std::min(before - from, 1 + w.f.up_to(600));
 		w.f.now[name]->data.replace(from, n, n, '\0');
 		RC_ASSERT(w.open(&l));
-		RC_ASSERT((l.fresh ? l.id != w.id : w.possible(l)));
-		RC_TAG(l.fresh ? "set aside" : "no matter");
+		RC_ASSERT((l.fresh ? l.id != w.id : w.is_possible(l)));
+		RC_TAG(l.fresh ? "set aside" : "not needed");
 		sto_loaded_clear(&l);
 	});
 
 	/*
-	 * A voter whose folder lost a file must not vote from the rest. Any
-	 * file is gone but the newest of the log, whose loss looks like a crash
-	 * before it was made; either nothing promised was in it, or the folder
-	 * is set aside.
+	 * Guards against a voter that votes with a folder from which a file is
+	 * missing. Any file is removed except the newest log file, whose loss
+	 * looks like a crash before its creation; either it held nothing
+	 * acknowledged, or the folder must be set aside.
 	 */
-	ok &= rc::check("a missing file is found", [any] {
+	ok &= rc::check("a missing file is detected", [any] {
 		Writer w(any());
 		sto_loaded l;
 
 		w.begin();
-		w.work(100);
+		w.run(100);
 		w.sync();
 		w.f.crash();
 		w.reopen();
@@ -655,27 +664,28 @@
 		RC_LOG() << "without " << name << ": "
 			 << (l.damage ? l.damage : "nothing found") << "\n";
 		RC_ASSERT((l.fresh ? l.id != w.id && l.damage && !l.term
-				   : w.possible(l)));
-		RC_TAG(l.fresh ? "set aside" : "no matter");
+				   : w.is_possible(l)));
+		RC_TAG(l.fresh ? "set aside" : "not needed");
 		sto_loaded_clear(&l);
 	});
 
 	/*
-	 * A voter stops loudly. A sync fails once, or the disk is full for a
-	 * while; the write is reported as failed, and so is every later one,
-	 * though the disk would take it: nobody knows what it holds.
+	 * Guards against a voter that continues after a failed write. A sync
+	 * fails once, or the disk is full for some time; this write and all
+	 * later ones must report an error even if the disk works again, as its
+	 * content is unknown.
 	 */
 	ok &= rc::check("a failed write is final", [any] {
 		Writer w(any());
 		GError *err = nullptr;
 
 		w.begin();
-		if (w.f.upto(1))
-			w.f.fail_sync_at = 1 + (int)w.f.upto(5);
+		if (w.f.up_to(1))
+			w.f.fail_sync_in = 1 + (int)w.f.up_to(5);
 		else
-			w.f.room = w.f.upto(2000);
-		RC_ASSERT(!w.work(400));
-		w.f.room = SIZE_MAX;
+			w.f.space_left = w.f.up_to(2000);
+		RC_ASSERT(!w.run(400));
+		w.f.space_left = SIZE_MAX;
 		w.vote();
 		RC_ASSERT(!sto_sync(w.s, &err));
 		RC_ASSERT((err != nullptr));
--- a/tests/unit/sto_format_test.c
+++ b/tests/unit/sto_format_test.c
@@ -13,8 +13,8 @@
 #define FOLDER 77
 #define TERM 5
 #define VOTE 3
-/* The least that a disk writes whole, bytes. */
-#define SECTOR 512
+/* A disk writes whole sectors of so many bytes. */
+#define SECTOR_BYTES 512
 
 static int setup(void **state)
 {
@@ -40,7 +40,8 @@
 	return 0;
 }
 
-static void put(const char *path, const char *name, const GByteArray *bytes)
+static void put_file(const char *path, const char *name,
+		     const GByteArray *bytes)
 {
 	char *file = g_build_filename(path, name, NULL);
 
@@ -49,9 +50,12 @@
 	g_free(file);
 }
 
-/* Adds a record as earlier versions wrote it, of numbers and perhaps text. */
-static void add(GByteArray *out, uint64_t file, enum sto_kind kind, int n,
-		const uint64_t *numbers, const char *text)
+/*
+ * Adds a record in the format of earlier versions, with numbers and an optional
+ * text.
+ */
+static void add_record(GByteArray *out, uint64_t file, enum sto_kind kind,
+		       int n, const uint64_t *numbers, const char *text)
 {
 	struct pk_out o;
 	int i;
@@ -66,24 +70,28 @@
 	pk_out_done(&o);
 }
 
-/* A folder as earlier versions made it, with a vote and one entry. */
-static GByteArray *old_folder(const char *path)
+/*
+ * Creates a folder in the format of earlier versions, with a vote and one
+ * entry.
+ */
+static GByteArray *make_old_folder(const char *path)
 {
 	GByteArray *identity = g_byte_array_new();
 	GByteArray *log = g_byte_array_new();
 
-	add(identity, 0, STO_IDENTITY, 1, (uint64_t[]){FOLDER}, "n1");
-	put(path, "identity", identity);
+	add_record(identity, 0, STO_IDENTITY, 1, (uint64_t[]){FOLDER}, "n1");
+	put_file(path, "identity", identity);
 	g_byte_array_free(identity, TRUE);
-	add(log, 1, STO_HEAD, 5, (uint64_t[]){FOLDER, 1, 0, 0, 0}, NULL);
-	add(log, 1, STO_VOTE, 2, (uint64_t[]){TERM, VOTE}, NULL);
-	add(log, 1, STO_ENTRY, 3, (uint64_t[]){1, TERM, CNS_COMMAND}, "one");
-	put(path, "log-0000000000000001", log);
+	add_record(log, 1, STO_HEAD, 5, (uint64_t[]){FOLDER, 1, 0, 0, 0}, NULL);
+	add_record(log, 1, STO_VOTE, 2, (uint64_t[]){TERM, VOTE}, NULL);
+	add_record(log, 1, STO_ENTRY, 3, (uint64_t[]){1, TERM, CNS_COMMAND},
+		   "one");
+	put_file(path, "log-0000000000000001", log);
 	return log;
 }
 
-/* Opens the folder and closes it again. */
-static void look(const char *path, struct sto_loaded *l)
+/* Opens and closes the folder. */
+static void open_and_close(const char *path, struct sto_loaded *l)
 {
 	struct sto_io *io = sto_folder_new(path, NULL);
 
@@ -93,18 +101,18 @@
 }
 
 /*
- * A voter comes up in a new version with the folder of an earlier one, whose
- * records are shorter. It goes on from all that is there, and so does the
- * start after that, which reads files of both.
+ * Guards against an upgrade that loses the state in a folder of an earlier
+ * version, whose records are shorter. The second start reads files of both
+ * formats.
  */
 static void a_folder_of_an_earlier_version_is_read(void **state)
 {
 	struct sto_loaded l;
 	int i;
 
-	g_byte_array_free(old_folder(*state), TRUE);
+	g_byte_array_free(make_old_folder(*state), TRUE);
 	for (i = 0; i < 2; i++) {
-		look(*state, &l);
+		open_and_close(*state, &l);
 		assert_null(l.damage);
 		assert_int_equal(l.id, FOLDER);
 		assert_int_equal(l.term, TERM);
@@ -115,72 +123,77 @@
 }
 
 /*
- * The last record of an earlier version's log is wrong and has zeros, which
- * such records may hold. It may have been promised: the folder is set aside.
+ * Guards against taking zeros for a torn write in a log of an earlier version,
+ * whose records may contain zeros. The last record is wrong and may have been
+ * acknowledged, so the folder must be set aside.
  */
-static void zeros_excuse_nothing_in_an_earlier_versions_log(void **state)
+static void zeros_in_an_old_log_are_damage(void **state)
 {
-	GByteArray *log = old_folder(*state);
+	GByteArray *log = make_old_folder(*state);
 	struct sto_loaded l;
 
 	memset(log->data + log->len - 12, 0, 10);
-	put(*state, "log-0000000000000001", log);
+	put_file(*state, "log-0000000000000001", log);
 	g_byte_array_free(log, TRUE);
-	look(*state, &l);
+	open_and_close(*state, &l);
 	assert_non_null(l.damage);
 	assert_true(l.fresh);
 	sto_loaded_clear(&l);
 }
 
-/* The same of its first record, which was synced long before. */
-static void zeros_excuse_nothing_at_the_head_either(void **state)
+/*
+ * Guards against the same mistake in the first record, which was synced long
+ * before.
+ */
+static void zeros_in_the_head_of_an_old_log_are_damage(void **state)
 {
-	GByteArray *log = old_folder(*state);
+	GByteArray *log = make_old_folder(*state);
 	struct sto_loaded l;
 
 	memset(log->data, 0, 24);
-	put(*state, "log-0000000000000001", log);
+	put_file(*state, "log-0000000000000001", log);
 	g_byte_array_free(log, TRUE);
-	look(*state, &l);
+	open_and_close(*state, &l);
 	assert_non_null(l.damage);
 	assert_true(l.fresh);
 	sto_loaded_clear(&l);
 }
 
 /*
- * The same where an older file has an earlier vote. The newest one was removed
- * as a torn write, and the voter came up as the same member with a vote that it
- * had given in between forgotten.
+ * Guards against the same mistake in the head of a later file. The newest file
+ * was removed as a torn write, and the voter started as the same member without
+ * its last vote.
  */
-static void zeros_excuse_nothing_at_the_head_of_a_later_file(void **state)
+static void zeros_in_the_head_of_a_later_old_log_are_damage(void **state)
 {
-	GByteArray *log = old_folder(*state);
+	GByteArray *log = make_old_folder(*state);
 	struct sto_loaded l;
 
 	g_byte_array_set_size(log, 0);
-	add(log, 2, STO_HEAD, 5, (uint64_t[]){FOLDER, 2, TERM, VOTE, 1}, NULL);
-	add(log, 2, STO_VOTE, 2, (uint64_t[]){TERM + 1, VOTE + 1}, NULL);
+	add_record(log, 2, STO_HEAD, 5, (uint64_t[]){FOLDER, 2, TERM, VOTE, 1},
+		   NULL);
+	add_record(log, 2, STO_VOTE, 2, (uint64_t[]){TERM + 1, VOTE + 1}, NULL);
 	memset(log->data, 0, 24);
-	put(*state, "log-0000000000000002", log);
+	put_file(*state, "log-0000000000000002", log);
 	g_byte_array_free(log, TRUE);
-	look(*state, &l);
+	open_and_close(*state, &l);
 	assert_non_null(l.damage);
 	assert_true(l.fresh);
 	sto_loaded_clear(&l);
 }
 
 /*
- * A folder is called damaged, and set aside, that kept all it was asked to
- * keep. The kernel cut a write short within the header of a record, and that
- * much was synced. Of the rest a loss of power left the second sector and not
- * the first; the hole's part within the header is under a word.
+ * Guards against an intact folder that is set aside. After a short write that
+ * ended in the header of a record and was synced, a power loss kept the second
+ * sector of the rest and not the first; the part of the hole in the header is
+ * shorter than a word.
  */
-static void what_follows_a_short_write_is_told_from_damage(void **state)
+static void a_torn_write_after_a_short_write_is_no_damage(void **state)
 {
 	GByteArray *log = g_byte_array_new();
 	GByteArray *batch = g_byte_array_new();
 	struct sto_rec rec = {0};
-	char body[2 * SECTOR];
+	char body[2 * SECTOR_BYTES];
 	size_t start;
 	size_t cut;
 
@@ -190,12 +203,12 @@
 	sto_rec_add_log(batch, 1, start, STO_ENTRY, lstr_n(body, sizeof(body)));
 	g_byte_array_append(log, batch->data, batch->len);
 	g_byte_array_free(batch, TRUE);
-	for (cut = start; cut + sizeof(uint64_t) <= SECTOR; cut++) {
+	for (cut = start; cut + sizeof(uint64_t) <= SECTOR_BYTES; cut++) {
 		uint8_t *left = g_memdup2(log->data, log->len);
 		struct lstr bytes = lstr_n((char *)left, log->len);
 		size_t at = 0;
 
-		memset(left + cut, 0, SECTOR - cut);
+		memset(left + cut, 0, SECTOR_BYTES - cut);
 		assert_int_equal(sto_rec_read(1, bytes, &at, &rec),
 				 STO_READ_REC);
 		assert_int_equal(sto_rec_read(1, bytes, &at, &rec),
@@ -203,7 +216,7 @@
 		assert_true(sto_rec_unsynced(1, bytes, at));
 		g_free(left);
 	}
-	sto_rec_done(&rec);
+	sto_rec_clear(&rec);
 	g_byte_array_free(log, TRUE);
 }
 
@@ -213,10 +226,10 @@
 {
 	const struct CMUnitTest tests[] = {
 		T(a_folder_of_an_earlier_version_is_read),
-		T(zeros_excuse_nothing_in_an_earlier_versions_log),
-		T(zeros_excuse_nothing_at_the_head_either),
-		T(zeros_excuse_nothing_at_the_head_of_a_later_file),
-		T(what_follows_a_short_write_is_told_from_damage),
+		T(zeros_in_an_old_log_are_damage),
+		T(zeros_in_the_head_of_an_old_log_are_damage),
+		T(zeros_in_the_head_of_a_later_old_log_are_damage),
+		T(a_torn_write_after_a_short_write_is_no_damage),
 	};
 
 	return cmocka_run_group_tests_name("sto_format", tests, NULL, NULL);
--- a/tests/unit/sto_test.c
+++ b/tests/unit/sto_test.c
@@ -12,49 +12,52 @@
 #include "err.h"
 #include "sto.h"
 
-/* Of which a disk writes whole ones, bytes. */
-#define WORD 8
+/* A disk writes whole words of so many bytes. */
+#define WORD_BYTES 8
 
-/* What a loss of power leaves of bytes that were never synced. */
+/* What a power loss leaves of unsynced bytes. */
 enum loss {
-	LOSS_GONE,
-	LOSS_THERE,
-	LOSS_TORN, /* the first of those that tear a write */
-	LOSS_PREFIX = LOSS_TORN, /* half of them last */
-	LOSS_ZEROS, /* their length does */
-	LOSS_HEAD, /* zeros for the first two words */
-	LOSS_MIDDLE, /* zeros for a word in the middle */
-	LOSS_TAIL, /* zeros for the second half */
+	LOSS_ALL,
+	LOSS_NONE,
+	LOSS_TORN, /* the first kind that tears a write */
+	LOSS_PREFIX = LOSS_TORN, /* the first half is kept */
+	LOSS_ZEROS, /* zeros, of the same length */
+	LOSS_HEAD, /* the first two words are zeros */
+	LOSS_MIDDLE, /* a word in the middle is zeros */
+	LOSS_TAIL, /* the second half is zeros */
 	LOSS_KINDS
 };
 
 struct file {
 	GByteArray *data;
 	gsize synced;
-	bool clean; /* a sync failed: the rest counts as written and isn't */
+	/* a sync failed: the rest counts as written although it is not */
+	bool clean;
 	int refs;
 };
 
-/* A change of names that the folder's next sync makes last. */
+/* A change of a name that is durable after the next sync of the folder. */
 struct change {
 	char *name;
 	struct file *file; /* NULL: the name is removed */
 };
 
 /*
- * A folder whose process can be killed at any operation, which leaves all as
- * it was written, and whose machine can lose power, which leaves what was
- * synced and any choice of the rest.
+ * Simulated data folder. Its process can be killed at any operation, which
+ * keeps everything as written, and its machine can lose power, which keeps the
+ * synced state and any part of the rest.
  */
 struct disk {
 	GHashTable *now; /* name: struct file */
-	GHashTable *lasting;
+	GHashTable *durable;
 	GArray *changes; /* struct change */
 	GPtrArray *open; /* struct file, by descriptor */
-	int left; /* operations until the kill; -1: none comes */
-	int lists; /* of the folder until one fails; 0: none does */
-	int drops; /* syncs until one fails and marks all clean; 0: none */
-	const char *unreadable; /* the file that can't be read; NULL: none */
+	int ops_left; /* operations until the process is killed; -1: never */
+	int fail_list_in; /* listings until one fails; 0: none fails */
+	/* syncs until one fails and marks the file clean; 0: none fails */
+	int fail_sync_in;
+	/* name of the file that can't be read; NULL: none */
+	const char *unreadable;
 };
 
 static void file_unref(gpointer p)
@@ -97,13 +100,13 @@
 		file_unref(c->file);
 }
 
-/* Whether the process is gone by now; each operation is a moment to die. */
-static bool dead(struct disk *d)
+/* Counts an operation; returns whether the process is killed by now. */
+static bool count_operation(struct disk *d)
 {
-	if (d->left > 0)
-		d->left--;
+	if (d->ops_left > 0)
+		d->ops_left--;
 	errno = EIO;
-	return d->left == 0;
+	return d->ops_left == 0;
 }
 
 static void change(struct disk *d, const char *name, struct file *file)
@@ -122,7 +125,7 @@
 	struct disk *d = arg;
 	struct file *f;
 
-	if (dead(d))
+	if (count_operation(d))
 		return -1;
 	f = g_new0(struct file, 1);
 	f->refs = 1;
@@ -137,7 +140,7 @@
 	struct disk *d = arg;
 	struct file *f = g_ptr_array_index(d->open, fd);
 
-	if (dead(d))
+	if (count_operation(d))
 		return -1;
 	g_byte_array_append(f->data, p, (guint)len);
 	return (ssize_t)len;
@@ -148,9 +151,9 @@
 	struct disk *d = arg;
 	struct file *f = g_ptr_array_index(d->open, fd);
 
-	if (dead(d))
+	if (count_operation(d))
 		return -1;
-	if (d->drops && --d->drops == 0) {
+	if (d->fail_sync_in && --d->fail_sync_in == 0) {
 		f->clean = true;
 		return -1;
 	}
@@ -183,7 +186,7 @@
 	char **copy = NULL;
 
 	errno = EMFILE;
-	if (!d->lists || --d->lists)
+	if (!d->fail_list_in || --d->fail_list_in)
 		copy = g_strdupv(keys);
 	g_free(keys);
 	return copy;
@@ -194,7 +197,7 @@
 	struct disk *d = arg;
 	struct file *f = g_hash_table_lookup(d->now, from);
 
-	if (!f || dead(d))
+	if (!f || count_operation(d))
 		return -1;
 	file_ref(f);
 	change(d, to, f);
@@ -207,7 +210,7 @@
 {
 	struct disk *d = arg;
 
-	if (!g_hash_table_contains(d->now, name) || dead(d))
+	if (!g_hash_table_contains(d->now, name) || count_operation(d))
 		return -1;
 	change(d, name, NULL);
 	return 0;
@@ -218,10 +221,10 @@
 	struct disk *d = arg;
 	guint i;
 
-	if (dead(d))
+	if (count_operation(d))
 		return -1;
 	for (i = 0; i < d->changes->len; i++)
-		names_put(d->lasting,
+		names_put(d->durable,
 			  &g_array_index(d->changes, struct change, i));
 	g_array_set_size(d->changes, 0);
 	return 0;
@@ -248,11 +251,11 @@
 	struct disk *d = g_new0(struct disk, 1);
 
 	d->now = names_new();
-	d->lasting = names_new();
+	d->durable = names_new();
 	d->changes = g_array_new(FALSE, FALSE, sizeof(struct change));
 	g_array_set_clear_func(d->changes, change_clear);
 	d->open = g_ptr_array_new_with_free_func(file_unref);
-	d->left = -1;
+	d->ops_left = -1;
 	return d;
 }
 
@@ -260,42 +263,45 @@
 {
 	g_array_free(d->changes, TRUE);
 	g_hash_table_destroy(d->now);
-	g_hash_table_destroy(d->lasting);
+	g_hash_table_destroy(d->durable);
 	g_ptr_array_free(d->open, TRUE);
 	g_free(d);
 }
 
-/* The process is gone; a new one finds all as it was written. */
-static void disk_killed(struct disk *d)
+/* Ends the process; the next one finds everything as it was written. */
+static void disk_end_process(struct disk *d)
 {
-	d->left = -1;
+	d->ops_left = -1;
 	g_ptr_array_set_size(d->open, 0);
 }
 
-/* What a loss of power leaves of a file. */
-static void file_torn(struct file *f, enum loss loss)
+/* Applies a power loss to a file. */
+static void file_lose_power(struct file *f, enum loss loss)
 {
 	gsize left = f->data->len - f->synced;
 	guint8 *p = f->data->data + f->synced;
 
-	if (loss == LOSS_GONE)
+	if (loss == LOSS_ALL)
 		g_byte_array_set_size(f->data, (guint)f->synced);
 	else if (loss == LOSS_PREFIX)
 		g_byte_array_set_size(f->data, (guint)(f->synced + left / 2));
 	else if (left && loss == LOSS_ZEROS)
 		memset(p, 0, left);
 	else if (left && loss == LOSS_HEAD)
-		memset(p, 0, MIN(2 * WORD, left));
-	else if (left >= 4 * WORD && loss == LOSS_MIDDLE)
-		memset(p + left / 2 / WORD * WORD, 0, WORD);
+		memset(p, 0, MIN(2 * WORD_BYTES, left));
+	else if (left >= 4 * WORD_BYTES && loss == LOSS_MIDDLE)
+		memset(p + left / 2 / WORD_BYTES * WORD_BYTES, 0, WORD_BYTES);
 	else if (left && loss == LOSS_TAIL)
 		memset(p + left / 2, 0, left - left / 2);
 	f->synced = f->data->len;
 	f->clean = false;
 }
 
-/* The machine is dark; of unsynced names, those in mask have lasted. */
-static void disk_dark(struct disk *d, unsigned int mask, enum loss loss)
+/*
+ * Applies a power loss to the disk; of the unsynced names, those in mask are
+ * kept.
+ */
+static void disk_lose_power(struct disk *d, unsigned int mask, enum loss loss)
 {
 	GHashTableIter it;
 	struct file *f;
@@ -304,29 +310,33 @@
 
 	for (i = 0; i < d->changes->len; i++)
 		if (mask & 1U << i)
-			names_put(d->lasting,
+			names_put(d->durable,
 				  &g_array_index(d->changes, struct change, i));
 	g_array_set_size(d->changes, 0);
 	g_hash_table_remove_all(d->now);
-	g_hash_table_iter_init(&it, d->lasting);
+	g_hash_table_iter_init(&it, d->durable);
 	while (g_hash_table_iter_next(&it, &name, (gpointer *)&f)) {
-		file_torn(f, loss);
+		file_lose_power(f, loss);
 		g_hash_table_insert(d->now, g_strdup(name), file_ref(f));
 	}
-	disk_killed(d);
+	disk_end_process(d);
 }
 
-/* What was promised so far, by the voter that holds the folder. */
-struct promise {
-	bool made; /* there is a folder */
+/* What the voter that owns the folder has acknowledged so far. */
+struct acknowledged {
+	bool made; /* the folder was created */
 	uint64_t id;
 	uint64_t term;
 	uint64_t vote;
 	uint64_t last; /* entry */
 };
 
-/* Opens the folder, which must hold what was promised; NULL: killed. */
-static struct sto *life(struct disk *d, uint64_t new_id, struct promise *p)
+/*
+ * Opens the folder and checks that it holds everything acknowledged; NULL if
+ * the process is killed.
+ */
+static struct sto *open_checked(struct disk *d, uint64_t new_id,
+				struct acknowledged *p)
 {
 	struct sto_io io = disk_io(d);
 	struct sto_loaded l;
@@ -336,11 +346,11 @@
 	s = sto_open(&io, "n", new_id, &l, NULL);
 	if (!s)
 		return NULL;
-	/* a folder whose making was cut short never was a voter's */
+	/* a folder whose creation was interrupted never belonged to a voter */
 	if (p->made && l.damage)
-		fail_msg("said to be damaged: %s", l.damage);
+		fail_msg("reported as damaged: %s", l.damage);
 	if (p->made && l.fresh)
-		fail_msg("said to be empty");
+		fail_msg("reported as empty");
 	last = l.snap ? l.snap->index : 0;
 	if (l.entries->len)
 		last = g_array_index(l.entries, struct cns_entry,
@@ -350,8 +360,8 @@
 	assert_true(last >= p->last);
 	assert_true(l.term >= p->term);
 	assert_true(l.term > p->term || l.vote == p->vote);
-	/* what it has read it answers for from now on */
-	*p = (struct promise){
+	/* what was read counts as acknowledged from now on */
+	*p = (struct acknowledged){
 		.made = true,
 		.id = l.id,
 		.term = l.term,
@@ -362,8 +372,8 @@
 	return s;
 }
 
-/* Stores one more entry, or a vote; false: killed. */
-static bool store_entry(struct sto *s, struct promise *p)
+/* Stores one more entry; returns false if the process is killed. */
+static bool store_entry(struct sto *s, struct acknowledged *p)
 {
 	GBytes *data = g_bytes_new_static("command", 7);
 	struct cns_entry e = {
@@ -381,7 +391,7 @@
 	return ok;
 }
 
-static bool store_vote(struct sto *s, struct promise *p, uint64_t term)
+static bool store_vote(struct sto *s, struct acknowledged *p, uint64_t term)
 {
 	sto_vote(s, term, 5);
 	if (!sto_sync(s, NULL))
@@ -391,7 +401,7 @@
 	return true;
 }
 
-static bool store_snapshot(struct sto *s, const struct promise *p)
+static bool store_snapshot(struct sto *s, const struct acknowledged *p)
 {
 	struct cns_members members = {.lineage = 1};
 	GBytes *data = g_bytes_new_static("state", 5);
@@ -404,8 +414,8 @@
 	return ok;
 }
 
-/* Puts a leader's snapshot in place of the log. */
-static bool store_install(struct sto *s, struct promise *p)
+/* Replaces the log by a leader's snapshot. */
+static bool store_install(struct sto *s, struct acknowledged *p)
 {
 	struct cns_members members = {.lineage = 1};
 	GBytes *data = g_bytes_new_static("state", 5);
@@ -419,10 +429,13 @@
 	return ok;
 }
 
-/* The same of one that is far behind and gets the leader's snapshots. */
-static bool fall_behind(struct disk *d, struct promise *p)
+/*
+ * Runs a voter that is far behind and receives the leader's snapshots; returns
+ * false if the process is killed.
+ */
+static bool run_lagging_voter(struct disk *d, struct acknowledged *p)
 {
-	struct sto *s = life(d, 7, p);
+	struct sto *s = open_checked(d, 7, p);
 	bool ok = s && store_vote(s, p, 1) && store_entry(s, p) &&
 		  store_install(s, p) && store_entry(s, p) &&
 		  store_install(s, p) && store_entry(s, p) &&
@@ -432,10 +445,10 @@
 	return ok;
 }
 
-/* What a voter's process does until it is killed; false: it was. */
-static bool work(struct disk *d, struct promise *p)
+/* Runs a voter's process; returns false if it is killed. */
+static bool run_voter(struct disk *d, struct acknowledged *p)
 {
-	struct sto *s = life(d, 7, p);
+	struct sto *s = open_checked(d, 7, p);
 	bool ok = s && store_vote(s, p, 1) && store_entry(s, p) &&
 		  store_entry(s, p) && store_snapshot(s, p) &&
 		  store_entry(s, p) && store_vote(s, p, 2) &&
@@ -446,48 +459,52 @@
 	return ok;
 }
 
-/* One choice of what goes wrong when. */
-struct woe {
-	bool (*work)(struct disk *d, struct promise *p);
-	int kill_at; /* operation of the first process */
-	int again_at; /* of one after it; 0: there is none */
-	int dark_at; /* operation of the second */
-	unsigned int mask; /* names that last */
+/* One combination of faults. */
+struct faults {
+	bool (*run)(struct disk *d, struct acknowledged *p);
+	int kill_at; /* operation at which the first process is killed */
+	/*
+	 * operation at which another process after it is killed; 0: there is
+	 * none
+	 */
+	int kill_again_at;
+	int power_loss_at; /* operation of the last process at which power is lost */
+	unsigned int mask; /* unsynced names that are kept */
 	enum loss loss;
-	/* what became of it */
-	bool killed; /* the first process had more to do */
-	bool again; /* so had the one after it */
-	bool cut_short; /* so had the second */
-	guint changes; /* names that weren't synced */
+	/* results: */
+	bool killed; /* the first process was killed before its end */
+	bool killed_again; /* so was the one after it */
+	bool interrupted; /* so was the last one, by the power loss */
+	guint changes; /* number of unsynced names */
 };
 
 /*
- * One process is killed, perhaps another, the next goes on for a moment until
- * the machine is dark, and the last must find all that they promised.
+ * Kills one process and perhaps another, lets the next one run until power is
+ * lost, and checks that the last start finds everything acknowledged.
  */
-static void kill_then_dark(struct woe *woe)
+static void run_faults(struct faults *faults)
 {
 	struct disk *d = disk_new();
-	struct promise p = {0};
+	struct acknowledged p = {0};
 	struct sto *s;
 
-	d->left = woe->kill_at;
-	woe->killed = !woe->work(d, &p);
-	disk_killed(d);
-	if (woe->again_at) {
-		d->left = woe->again_at;
-		s = life(d, 18, &p);
-		woe->again = !s || !store_entry(s, &p);
+	d->ops_left = faults->kill_at;
+	faults->killed = !faults->run(d, &p);
+	disk_end_process(d);
+	if (faults->kill_again_at) {
+		d->ops_left = faults->kill_again_at;
+		s = open_checked(d, 18, &p);
+		faults->killed_again = !s || !store_entry(s, &p);
 		sto_free(s);
-		disk_killed(d);
+		disk_end_process(d);
 	}
-	d->left = woe->dark_at;
-	s = life(d, 8, &p);
-	woe->cut_short = !s || !store_entry(s, &p);
+	d->ops_left = faults->power_loss_at;
+	s = open_checked(d, 8, &p);
+	faults->interrupted = !s || !store_entry(s, &p);
 	sto_free(s);
-	woe->changes = d->changes->len;
-	disk_dark(d, woe->mask, woe->loss);
-	s = life(d, 9, &p);
+	faults->changes = d->changes->len;
+	disk_lose_power(d, faults->mask, faults->loss);
+	s = open_checked(d, 9, &p);
 	assert_non_null(s);
 	assert_true(store_entry(s, &p));
 	sto_free(s);
@@ -495,63 +512,66 @@
 }
 
 /*
- * Every choice of what a loss of power leaves of names, and of writes whole or
- * not at all; writes are torn in one way at each moment, with all names or none.
+ * Runs every combination of the names that a power loss keeps with unsynced
+ * writes kept completely or not at all. Torn writes are run in one way for each
+ * moment, with all names or none.
  */
-static void each_loss(struct woe *woe)
+static void run_each_loss(struct faults *faults)
 {
 	int loss;
 
 	for (loss = 0; loss < LOSS_TORN; loss++) {
-		woe->loss = (enum loss)loss;
-		woe->changes = 0;
-		for (woe->mask = 0; woe->mask >> woe->changes == 0; woe->mask++)
-			kill_then_dark(woe);
+		faults->loss = (enum loss)loss;
+		faults->changes = 0;
+		for (faults->mask = 0; faults->mask >> faults->changes == 0;
+		     faults->mask++)
+			run_faults(faults);
 	}
-	loss += (woe->kill_at + woe->dark_at) % (LOSS_KINDS - LOSS_TORN);
-	woe->loss = (enum loss)loss;
-	woe->mask = 0;
-	kill_then_dark(woe);
-	woe->mask = ~0U;
-	kill_then_dark(woe);
+	loss += (faults->kill_at + faults->power_loss_at) %
+		(LOSS_KINDS - LOSS_TORN);
+	faults->loss = (enum loss)loss;
+	faults->mask = 0;
+	run_faults(faults);
+	faults->mask = ~0U;
+	run_faults(faults);
 }
 
-/* One choice of what a loss of power leaves, another at each moment. */
-static void one_loss(struct woe *woe)
+/*
+ * Runs one combination of what a power loss leaves, another one for each
+ * moment.
+ */
+static void run_one_loss(struct faults *faults)
 {
-	int n = woe->kill_at + woe->again_at + woe->dark_at;
+	int n = faults->kill_at + faults->kill_again_at + faults->power_loss_at;
 
-	woe->mask = n % 2 ? ~0U : 0;
-	woe->loss = (enum loss)(n % LOSS_KINDS);
-	kill_then_dark(woe);
+	faults->mask = n % 2 ? ~0U : 0;
+	faults->loss = (enum loss)(n % LOSS_KINDS);
+	run_faults(faults);
 }
 
 /*
- * After all control VMs have lost power at once, and one of them its disk, no
- * leader is ever found again: every request is refused and work whose leases
- * ran out isn't started anew. Long before, another control daemon had been
- * killed between writing to its log and syncing it. The next process read the
- * bytes, which the kernel still had, and went on in a new file without ever
- * syncing the old one; the loss of power took them. Its log then said
- *     folder-damaged why="entries up to 649 are gone" does="set aside; ..."
- * and two of three voters were gone for good, of which one had lost nothing
- * but what it was never asked to keep.
+ * Guards against an intact folder that is set aside after a power loss. A
+ * process was killed between write and sync; the next one read the bytes from
+ * the kernel's cache and continued in a new file without syncing the old one,
+ * so that the power loss left a gap in the log ("entries up to 649 are gone").
+ * With one more lost disk, two of three voters were lost.
  */
-static void a_kill_before_a_loss_of_power_costs_no_folder(void **state)
+static void a_kill_before_a_power_loss_keeps_the_folder(void **state)
 {
-	struct woe woe = {.work = work, .killed = true};
+	struct faults faults = {.run = run_voter, .killed = true};
 
-	for (woe.kill_at = 1; woe.killed; woe.kill_at++) {
-		woe.cut_short = true;
-		for (woe.dark_at = 1; woe.cut_short; woe.dark_at++)
-			each_loss(&woe);
-		assert_true(woe.dark_at > 5);
+	for (faults.kill_at = 1; faults.killed; faults.kill_at++) {
+		faults.interrupted = true;
+		for (faults.power_loss_at = 1; faults.interrupted;
+		     faults.power_loss_at++)
+			run_each_loss(&faults);
+		assert_true(faults.power_loss_at > 5);
 	}
-	assert_true(woe.kill_at > 30);
+	assert_true(faults.kill_at > 30);
 }
 
-/* A start that must end with an error of the disk. */
-static void start_fails(struct disk *d)
+/* Starts a voter and checks that the start fails with ERR_IO. */
+static void check_start_fails(struct disk *d)
 {
 	struct sto_io io = disk_io(d);
 	struct sto_loaded l;
@@ -560,165 +580,159 @@
 	assert_null(sto_open(&io, "n", 8, &l, &err));
 	assert_true(g_error_matches(err, err_quark(), ERR_IO));
 	g_error_free(err);
-	disk_killed(d);
+	disk_end_process(d);
 }
 
 /*
- * A voter has voted and stored entries, and all of it was answered for. At its
- * next start a file of its folder is there and can't be read for a moment: the
- * disk gives EIO, or the process has no descriptor or memory left. The newest
- * log was taken for a write that power had cut short, and the voter came up as
- * the same member without its vote; the others were taken for damage, which
- * costs the folder. The start must fail, and the next find all that was there.
+ * Guards against treating a read error (EIO, no descriptor, no memory) as a
+ * torn write, which restarted the same member without its vote, or as damage,
+ * which costs the folder. The start must fail, and the next one must find
+ * everything.
  */
-static void a_log_that_cant_be_read_is_no_torn_write(void **state)
+static void an_unreadable_file_fails_the_start(void **state)
 {
 	struct disk *d = disk_new();
-	struct promise p = {0};
+	struct acknowledged p = {0};
 	char **names;
 	struct sto *s;
 	int i;
 
-	assert_true(work(d, &p));
-	disk_killed(d);
-	s = life(d, 8, &p);
+	assert_true(run_voter(d, &p));
+	disk_end_process(d);
+	s = open_checked(d, 8, &p);
 	assert_true(store_entry(s, &p));
 	sto_free(s);
 	names = disk_list(d);
 	assert_true(g_strv_length(names) > 3);
 	for (i = 0; names[i]; i++) {
 		d->unreadable = names[i];
-		start_fails(d);
+		check_start_fails(d);
 		d->unreadable = NULL;
-		s = life(d, 8, &p);
+		s = open_checked(d, 8, &p);
 		assert_non_null(s);
 		sto_free(s);
-		disk_killed(d);
+		disk_end_process(d);
 	}
 	g_strfreev(names);
 	disk_free(d);
 }
 
 /*
- * Power went while a folder was being made: it has a log and no identity. If
- * that log can't be read, nobody knows what the folder is: it may neither be
- * made anew nor set aside.
+ * Guards against a half-created folder, which has a log and no identity, that
+ * is created again or set aside although its log can't be read.
  */
-static void a_half_made_folder_that_cant_be_read_is_kept(void **state)
+static void an_unreadable_half_created_folder_is_kept(void **state)
 {
 	struct disk *d = disk_new();
-	struct promise p = {0};
-	struct sto *s = life(d, 7, &p);
+	struct acknowledged p = {0};
+	struct sto *s = open_checked(d, 7, &p);
 
 	assert_true(store_vote(s, &p, 1) && store_entry(s, &p));
 	sto_free(s);
-	disk_killed(d);
+	disk_end_process(d);
 	assert_int_equal(disk_rename(d, "identity", "elsewhere"), 0);
 	d->unreadable = "log-0000000000000001";
-	start_fails(d);
+	check_start_fails(d);
 	assert_int_equal(disk_rename(d, "elsewhere", "identity"), 0);
 	d->unreadable = NULL;
-	s = life(d, 8, &p);
+	s = open_checked(d, 8, &p);
 	assert_non_null(s);
 	sto_free(s);
 	disk_free(d);
 }
 
 /*
- * Power is lost after a failed sync and a restart, and entries are gone that
- * the restarted voter answered for. A sync fails once, and the kernel marks the
- * pages clean that it couldn't write. The voter ends, as it must. The next
- * process reads the bytes, which are still in memory; a sync of its own has
- * nothing to write and succeeds, so it answered for what no disk holds.
+ * Guards against acknowledging bytes that a failed sync left only in memory.
+ * The kernel marks pages clean that it could not write; after a restart they
+ * can be read, and another sync succeeds without writing them.
  */
-static void what_a_failed_sync_left_in_memory_is_not_answered_for(void **state)
+static void bytes_of_a_failed_sync_are_not_acknowledged(void **state)
 {
 	struct disk *d = disk_new();
-	struct promise p = {0};
-	struct sto *s = life(d, 7, &p);
+	struct acknowledged p = {0};
+	struct sto *s = open_checked(d, 7, &p);
 
 	assert_true(store_vote(s, &p, 1) && store_entry(s, &p));
-	d->drops = 1;
+	d->fail_sync_in = 1;
 	assert_false(store_entry(s, &p));
 	sto_free(s);
-	disk_killed(d);
-	s = life(d, 8, &p);
+	disk_end_process(d);
+	s = open_checked(d, 8, &p);
 	assert_non_null(s);
 	assert_true(store_entry(s, &p));
 	sto_free(s);
-	disk_dark(d, 0, LOSS_GONE);
-	s = life(d, 9, &p);
+	disk_lose_power(d, 0, LOSS_ALL);
+	s = open_checked(d, 9, &p);
 	assert_non_null(s);
 	sto_free(s);
 	disk_free(d);
 }
 
 /*
- * The same, where it is a sync of the start itself that fails: first the one
- * for the bytes that a killed process wrote, then each of those that follow.
- * The start ends, and the next one may not take the bytes for synced either.
+ * Guards against the same loss after a failed sync during a start: first the
+ * sync of the bytes that a killed process wrote, then each of the following
+ * ones. The next start must not take the bytes for synced either.
  */
-static void a_failed_sync_at_a_start_is_not_forgotten(void **state)
+static void a_failed_sync_at_startup_loses_nothing(void **state)
 {
 	struct disk *d = disk_new();
-	struct promise p = {0};
-	struct sto *s = life(d, 7, &p);
+	struct acknowledged p = {0};
+	struct sto *s = open_checked(d, 7, &p);
 	int at;
 
 	assert_true(store_vote(s, &p, 1) && store_entry(s, &p));
-	d->left = 2; /* written, and killed before the sync */
+	d->ops_left = 2; /* killed between write and sync */
 	assert_false(store_entry(s, &p));
 	sto_free(s);
-	disk_killed(d);
+	disk_end_process(d);
 	for (at = 1; at <= 2; at++) {
-		d->drops = at;
-		start_fails(d);
-		assert_int_equal(d->drops, 0);
-		s = life(d, 8, &p);
+		d->fail_sync_in = at;
+		check_start_fails(d);
+		assert_int_equal(d->fail_sync_in, 0);
+		s = open_checked(d, 8, &p);
 		assert_non_null(s);
 		sto_free(s);
-		disk_dark(d, 0, LOSS_GONE);
-		s = life(d, 9, &p);
+		disk_lose_power(d, 0, LOSS_ALL);
+		s = open_checked(d, 9, &p);
 		assert_non_null(s);
 		sto_free(s);
-		disk_killed(d);
+		disk_end_process(d);
 	}
 	disk_free(d);
 }
 
 /*
- * A voter starts while its process has no descriptor left, or its disk fails,
- * and the folder can't be listed. It counted as empty: identity and first log
- * were written over, and the voter came back as somebody who had promised
- * nothing. Whichever look at the folder fails, the start must end and the next
- * one find all that was there.
+ * Guards against treating a folder that can't be listed (no descriptor, disk
+ * error) as empty: identity and first log were overwritten, and the voter
+ * forgot what it had acknowledged. Whichever listing fails, the start must fail
+ * and the next one must find everything.
  */
-static void a_folder_that_cant_be_listed_is_not_empty(void **state)
+static void an_unlistable_folder_is_not_empty(void **state)
 {
 	struct disk *d = disk_new();
-	struct promise p = {0};
+	struct acknowledged p = {0};
 	struct sto *s;
 	int at;
 
-	assert_true(work(d, &p));
-	disk_killed(d);
+	assert_true(run_voter(d, &p));
+	disk_end_process(d);
 	for (at = 1; at <= 3; at++) {
-		d->lists = at;
-		start_fails(d);
-		assert_int_equal(d->lists, 0);
-		s = life(d, 8, &p);
+		d->fail_list_in = at;
+		check_start_fails(d);
+		assert_int_equal(d->fail_list_in, 0);
+		s = open_checked(d, 8, &p);
 		assert_non_null(s);
 		sto_free(s);
-		disk_killed(d);
+		disk_end_process(d);
 	}
 	disk_free(d);
 }
 
 /*
- * The same of a folder of the machine, whose process has no descriptor left: an
- * error comes back, not an empty list, and once there are some all names do.
+ * Guards against a listing of a real folder that returns an empty list when the
+ * process has no free descriptor; it must return an error, and all names later.
  */
-static void no_descriptor_for_a_list_is_an_error(void **state)
+static void a_list_without_descriptors_is_an_error(void **state)
 {
 	char *path = g_dir_make_tmp("endive-sto-XXXXXX", NULL);
 	struct sto_io *io = sto_folder_new(path, NULL);
@@ -743,45 +757,46 @@
 }
 
 /*
- * The same of a voter that lies far behind, and gets snapshots of a leader in
- * place of its log: files of before are on their way out at most moments.
+ * Guards against a folder lost to a kill and a power loss while a leader's
+ * snapshot replaces the log: old files are being removed at most moments.
  */
-static void a_kill_during_an_install_costs_no_folder(void **state)
+static void a_kill_during_an_install_keeps_the_folder(void **state)
 {
-	struct woe woe = {.work = fall_behind, .killed = true};
+	struct faults faults = {.run = run_lagging_voter, .killed = true};
 
-	for (woe.kill_at = 1; woe.killed; woe.kill_at++) {
-		woe.cut_short = true;
-		for (woe.dark_at = 1; woe.cut_short; woe.dark_at++)
-			each_loss(&woe);
+	for (faults.kill_at = 1; faults.killed; faults.kill_at++) {
+		faults.interrupted = true;
+		for (faults.power_loss_at = 1; faults.interrupted;
+		     faults.power_loss_at++)
+			run_each_loss(&faults);
 	}
-	assert_true(woe.kill_at > 30);
+	assert_true(faults.kill_at > 30);
 }
 
 /*
- * The same where a second process is killed during its start, as a daemon is
- * that its supervisor starts anew at once. Of unsynced names all or none last,
- * and of all moments every sixth is tried.
+ * Guards against the same loss after a second process is killed during its
+ * start, as when a supervisor restarts a daemon at once. Of the unsynced names
+ * all or none are kept, and every sixth moment is tried.
  */
-static void two_kills_before_a_loss_of_power_cost_no_folder(void **state)
-{
-	struct woe woe = {.work = work, .killed = true};
-
-	for (woe.kill_at = 1; woe.killed; woe.kill_at++) {
-		woe.again = true;
-		woe.again_at = 1 + woe.kill_at % 2;
-		for (; woe.again; woe.again_at += 2) {
-			woe.cut_short = true;
-			woe.dark_at = 1 + woe.again_at % 3;
-			for (; woe.cut_short; woe.dark_at += 3)
-				one_loss(&woe);
+static void two_kills_before_a_power_loss_keep_the_folder(void **state)
+{
+	struct faults faults = {.run = run_voter, .killed = true};
+
+	for (faults.kill_at = 1; faults.killed; faults.kill_at++) {
+		faults.killed_again = true;
+		faults.kill_again_at = 1 + faults.kill_at % 2;
+		for (; faults.killed_again; faults.kill_again_at += 2) {
+			faults.interrupted = true;
+			faults.power_loss_at = 1 + faults.kill_again_at % 3;
+			for (; faults.interrupted; faults.power_loss_at += 3)
+				run_one_loss(&faults);
 		}
 	}
-	assert_true(woe.kill_at > 30);
+	assert_true(faults.kill_at > 30);
 }
 
-/* Turns a bit of a file around. */
-static void flip(struct disk *d, const char *name)
+/* Flips a bit in the middle of a file. */
+static void flip_bit(struct disk *d, const char *name)
 {
 	struct file *f = g_hash_table_lookup(d->now, name);
 
@@ -789,13 +804,12 @@
 }
 
 /*
- * A replica of a fleet that is begun is given the same id at each start, worked
- * out from its address. Its folder is damaged, and it came back under that id:
- * a member that has forgotten what it promised, such as its vote. However often
- * it is killed while the folder is set aside and made anew, it must come back
- * as somebody else.
+ * Guards against a damaged folder that is created again under its old id, which
+ * a replica of a new fleet derives from its address: the member would have
+ * forgotten its vote. It must get another id, however often the process is
+ * killed while the folder is set aside.
  */
-static void a_damaged_folder_never_gets_its_id_back(void **state)
+static void a_damaged_folder_never_keeps_its_id(void **state)
 {
 	bool killed = true;
 	int at;
@@ -803,21 +817,21 @@
 	for (at = 1; killed; at++) {
 		struct disk *d = disk_new();
 		struct sto_io io = disk_io(d);
-		struct promise p = {0};
+		struct acknowledged p = {0};
 		struct sto_loaded l;
 		struct sto *s;
 
-		assert_true(work(d, &p));
-		disk_killed(d);
-		flip(d, "identity");
-		d->left = at;
+		assert_true(run_voter(d, &p));
+		disk_end_process(d);
+		flip_bit(d, "identity");
+		d->ops_left = at;
 		s = sto_open(&io, "n", 7, &l, NULL);
 		killed = !s;
 		if (s)
 			assert_true(l.fresh && l.id != 7);
 		sto_loaded_clear(&l);
 		sto_free(s);
-		disk_dark(d, ~0U, LOSS_GONE);
+		disk_lose_power(d, ~0U, LOSS_ALL);
 		s = sto_open(&io, "n", 7, &l, NULL);
 		assert_non_null(s);
 		assert_true(l.id != 7);
@@ -833,18 +847,16 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_kill_before_a_loss_of_power_costs_no_folder),
-		cmocka_unit_test(a_kill_during_an_install_costs_no_folder),
-		cmocka_unit_test(
-			two_kills_before_a_loss_of_power_cost_no_folder),
-		cmocka_unit_test(a_log_that_cant_be_read_is_no_torn_write),
-		cmocka_unit_test(a_half_made_folder_that_cant_be_read_is_kept),
-		cmocka_unit_test(
-			what_a_failed_sync_left_in_memory_is_not_answered_for),
-		cmocka_unit_test(a_failed_sync_at_a_start_is_not_forgotten),
-		cmocka_unit_test(a_folder_that_cant_be_listed_is_not_empty),
-		cmocka_unit_test(no_descriptor_for_a_list_is_an_error),
-		cmocka_unit_test(a_damaged_folder_never_gets_its_id_back),
+		cmocka_unit_test(a_kill_before_a_power_loss_keeps_the_folder),
+		cmocka_unit_test(a_kill_during_an_install_keeps_the_folder),
+		cmocka_unit_test(two_kills_before_a_power_loss_keep_the_folder),
+		cmocka_unit_test(an_unreadable_file_fails_the_start),
+		cmocka_unit_test(an_unreadable_half_created_folder_is_kept),
+		cmocka_unit_test(bytes_of_a_failed_sync_are_not_acknowledged),
+		cmocka_unit_test(a_failed_sync_at_startup_loses_nothing),
+		cmocka_unit_test(an_unlistable_folder_is_not_empty),
+		cmocka_unit_test(a_list_without_descriptors_is_an_error),
+		cmocka_unit_test(a_damaged_folder_never_keeps_its_id),
 	};
 
 	return cmocka_run_group_tests_name("sto", tests, NULL, NULL);
