--- a/src/cns.h
+++ b/src/cns.h
@@ -99,11 +99,12 @@
 	uint64_t offset;
 	uint64_t total; /* snapshot: total size in bytes */
 	bool ok;
-	bool pre_vote; /* pre-vote */
+	/* part of a pre-vote, in which a grant does not count as a vote */
+	bool pre_vote;
 	bool transfer; /* election started by a leadership transfer */
 	struct cns_members members; /* snapshot */
 	GArray *entries; /* struct cns_entry; NULL: none */
-	GBytes *data; /* snapshot: a part of it */
+	GBytes *data; /* snapshot: a chunk of its data */
 };
 
 enum cns_role {
@@ -119,7 +120,7 @@
 	uint64_t id;
 	uint32_t seed; /* seed of the random election timeouts */
 	int64_t now_ms;
-	int64_t beat_ms; /* between heartbeats */
+	int64_t beat_ms; /* heartbeat interval */
 	/* minimum election timeout; the maximum is twice as long */
 	int64_t election_ms;
 };
@@ -144,7 +145,8 @@
 
 /*
  * The work that the owner must do, in the order of the fields. The messages in
- * late acknowledge the writes and may be sent only after these are synced.
+ * send_after_sync acknowledge the writes and may be sent only after these are
+ * synced.
  */
 struct cns_ready {
 	GPtrArray *early; /* struct cns_msg to send immediately */
--- a/src/cns_core.c
+++ b/src/cns_core.c
@@ -83,8 +83,8 @@
 	c->changes = g_array_new(FALSE, TRUE, sizeof(struct cns_membership));
 	c->reads = g_array_new(FALSE, TRUE, sizeof(struct cns_read_wait));
 	c->reads_done = g_array_new(FALSE, TRUE, sizeof(struct cns_read));
-	c->early = cns_msgs_new();
-	c->late = cns_msgs_new();
+	c->send_now = cns_msgs_new();
+	c->send_after_sync = cns_msgs_new();
 	c->chunks = g_byte_array_new();
 	c->heartbeats = g_array_new(FALSE, TRUE, sizeof(struct cns_heartbeat));
 	cns_load(c, stored);
@@ -113,8 +113,8 @@
 	g_array_free(c->reads, TRUE);
 	g_array_free(c->heartbeats, TRUE);
 	g_array_free(c->reads_done, TRUE);
-	g_ptr_array_free(c->early, TRUE);
-	g_ptr_array_free(c->late, TRUE);
+	g_ptr_array_free(c->send_now, TRUE);
+	g_ptr_array_free(c->send_after_sync, TRUE);
 	g_byte_array_free(c->chunks, TRUE);
 	cns_snap_free(c->snap);
 	g_rand_free(c->rand);
@@ -209,12 +209,12 @@
 bool cns_ready(struct cns *c, struct cns_ready *rd)
 {
 	*rd = (struct cns_ready){
-		.early = c->early,
+		.early = c->send_now,
 		.vote_changed = c->vote_changed,
 		.term = c->term,
 		.vote = c->vote,
 		.install = c->install ? c->snap : NULL,
-		.late = c->late,
+		.late = c->send_after_sync,
 		.reads = c->reads_done,
 	};
 	cns_fill_ready(c, rd);
@@ -230,8 +230,8 @@
 /* Records that all work in rd is done and synced. */
 void cns_advance(struct cns *c, struct cns_ready *rd)
 {
-	g_ptr_array_set_size(c->early, 0);
-	g_ptr_array_set_size(c->late, 0);
+	g_ptr_array_set_size(c->send_now, 0);
+	g_ptr_array_set_size(c->send_after_sync, 0);
 	g_array_set_size(c->reads_done, 0);
 	c->vote_changed = false;
 	c->install = false;
@@ -272,16 +272,16 @@
 }
 
 /*
- * Queues a message. Early messages promise nothing about the local disk: a
- * leader's entries are sent while the leader syncs them itself, which halves
- * the latency of a command. They must not be sent before the current term is
- * synced: after a crash this member could lead again in the same term, with
- * other entries.
+ * Queues a message. A message that is sent before the sync promises nothing
+ * about the local disk: a leader's entries are sent while the leader syncs them
+ * itself, which halves the latency of a command. It must not be sent before the
+ * current term is synced: after a crash this member could lead again in the
+ * same term, with other entries.
  */
-void cns_send(struct cns *c, struct cns_msg *m, bool early)
+void cns_send(struct cns *c, struct cns_msg *m, bool before_sync)
 {
-	early = early && !c->vote_changed;
-	g_ptr_array_add(early ? c->early : c->late, m);
+	before_sync = before_sync && !c->vote_changed;
+	g_ptr_array_add(before_sync ? c->send_now : c->send_after_sync, m);
 }
 
 /*
--- a/src/cns_election.c
+++ b/src/cns_election.c
@@ -187,8 +187,8 @@
 	c->transfer_target = best->id;
 	c->transfer_end = c->now + c->config.election_ms;
 	/*
-	 * The request is repeated until transfer_end and may be in flight for
-	 * as long again.
+	 * The request is repeated until transfer_end, and one may be in flight
+	 * for up to two more election timeouts.
 	 */
 	c->transfer_pending_until = c->transfer_end + 2 * c->config.election_ms;
 	cns_send_timeout_now(c);
--- a/src/cns_int.h
+++ b/src/cns_int.h
@@ -125,8 +125,8 @@
 	int64_t confirmed_ms;
 	GArray *reads; /* struct cns_read_wait */
 	GArray *reads_done; /* struct cns_read */
-	GPtrArray *early;
-	GPtrArray *late;
+	GPtrArray *send_now;
+	GPtrArray *send_after_sync;
 };
 
 struct cns_heartbeat {
@@ -142,7 +142,7 @@
 
 /* cns_core */
 bool cns_event(struct cns *c, enum cns_event ev);
-void cns_send(struct cns *c, struct cns_msg *m, bool early);
+void cns_send(struct cns *c, struct cns_msg *m, bool before_sync);
 struct cns_msg *cns_msg_to(const struct cns *c, enum cns_kind kind,
 			   uint64_t to);
 struct cns_peer *cns_peer(struct cns *c, uint64_t id);
--- a/src/ctl.c
+++ b/src/ctl.c
@@ -3,37 +3,39 @@
 #include "err.h"
 #include "msg.h"
 
-/* How finely the consensus' time runs. */
+/* Interval of cns_tick. */
 #define CTL_TICK_MS 20
-/* How often members and entry daemons are looked after. */
-#define CTL_UPKEEP_MS 250
-/* Longest wait for another voter to take leadership over at a stop. */
+/* Interval at which members, entry daemons and VM moves are checked. */
+#define CTL_MAINTAIN_MS 250
+/* Maximum wait for a leadership transfer at shutdown. */
 #define CTL_DRAIN_MS 1000
 
 static void ctl_in_up(void *arg, struct wire_conn *conn);
 static void ctl_in_recv(void *arg, struct wire_conn *conn, struct lstr payload);
 static void ctl_in_down(void *arg, struct wire_conn *conn, const GError *why);
-static bool ctl_in_goes_first(void *arg, const char *ip);
+static bool ctl_in_has_priority(void *arg, const char *ip);
 static void ctl_out_up(void *arg, struct wire_conn *conn);
 static void ctl_out_recv(void *arg, struct wire_conn *conn,
 			 struct lstr payload);
 static void ctl_out_down(void *arg, struct wire_conn *conn, const GError *why);
-static void ctl_take(struct ctl *c, struct ctl_conn *cc, struct lstr payload,
-		     struct pk_in *in);
-static void ctl_take_cns(struct ctl *c, const struct ctl_conn *cc,
-			 struct lstr payload);
+static void ctl_handle_message(struct ctl *c, struct ctl_conn *cc,
+			       struct lstr payload, struct pk_in *in);
+static void ctl_handle_cns(struct ctl *c, const struct ctl_conn *cc,
+			   struct lstr payload);
 static void ctl_tick(void *arg, int64_t now);
-static void ctl_upkeep(void *arg, int64_t now);
+static void ctl_maintain(void *arg, int64_t now);
 
-/* Connections that come in: voters that send to us, daemons, clients. */
+/*
+ * Accepted connections: voters that send to this one, entry daemons, clients.
+ */
 static const struct wire_ops ctl_in_ops = {
 	.up = ctl_in_up,
 	.recv = ctl_in_recv,
 	.down = ctl_in_down,
-	.goes_first = ctl_in_goes_first,
+	.goes_first = ctl_in_has_priority,
 };
 
-/* Connections to the other voters, for what we send to them. */
+/* Connections opened to the other voters, for messages to them. */
 static const struct wire_ops ctl_out_ops = {
 	.up = ctl_out_up,
 	.recv = ctl_out_recv,
@@ -41,8 +43,8 @@
 };
 
 /*
- * Starts a voter on config's loop; config's parts must outlive it. NULL with
- * the step that failed.
+ * Starts a voter on the event loop of config; the objects that config refers to
+ * must outlive the voter. Returns NULL with the step that failed.
  */
 struct ctl *ctl_new(const struct ctl_config *config, GError **err)
 {
@@ -55,9 +57,9 @@
 	c->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					 ctl_node_free);
 	c->commands = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					    ctl_open_free);
+					    ctl_request_free);
 	c->queries = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					   ctl_open_free);
+					   ctl_request_free);
 	c->tmr = tmr_new(config->base);
 	c->fst = fst_new();
 	c->wire = wire_new(&(struct wire_config){
@@ -83,13 +85,13 @@
 		p->conn = wire_dial(c->wire, p->addr, &ctl_out_ops, p);
 	}
 	tmr_every(c->tmr, CTL_TICK_MS, ctl_tick, c);
-	tmr_every(c->tmr, CTL_UPKEEP_MS, ctl_upkeep, c);
+	tmr_every(c->tmr, CTL_MAINTAIN_MS, ctl_maintain, c);
 	msg(MSG_START, "node=%s zone=%s listen=%s", config->node, config->zone,
 	    config->listen);
 	return c;
 }
 
-/* Ends a voter at once; what it promised is on its disk. */
+/* Closes a voter immediately; everything it acknowledged is on disk. */
 void ctl_free(struct ctl *c)
 {
 	if (!c)
@@ -109,8 +111,11 @@
 	g_free(c);
 }
 
-/* Whether a voter dials: entry daemons must not take the places of all. */
-static bool ctl_in_goes_first(void *arg, const char *ip)
+/*
+ * Whether a connection comes from the address of a voter, and so has priority:
+ * entry daemons must not use up all connections.
+ */
+static bool ctl_in_has_priority(void *arg, const char *ip)
 {
 	const struct ctl *c = arg;
 	guint i;
@@ -124,17 +129,17 @@
 	return false;
 }
 
-/* Planned stop: hands leadership over, then ends the loop. */
+/* Starts a planned stop: transfers leadership, then ends the event loop. */
 void ctl_drain(struct ctl *c)
 {
-	if (c->drain_until)
+	if (c->drain_end)
 		return;
-	c->drain_until = tmr_now(c->tmr) + CTL_DRAIN_MS;
+	c->drain_end = tmr_now(c->tmr) + CTL_DRAIN_MS;
 	cns_transfer_leadership(c->cns);
 	ctl_pump(c);
 }
 
-/* Whether the loop ended because the folder failed. */
+/* Whether the event loop ended because the data folder failed. */
 bool ctl_failed(const struct ctl *c)
 {
 	return vot_failed(c->vot);
@@ -146,18 +151,17 @@
 
 	cns_tick(c->cns, now);
 	ctl_pump(c);
-	if (c->drain_until &&
-	    (c->role != CNS_LEADER || now >= c->drain_until)) {
+	if (c->drain_end && (c->role != CNS_LEADER || now >= c->drain_end)) {
 		msg(MSG_STOP, "node=%s", c->config.node);
 		event_base_loopbreak(c->config.base);
 	}
 }
 
-static void ctl_upkeep(void *arg, int64_t now)
+static void ctl_maintain(void *arg, int64_t now)
 {
 	struct ctl *c = arg;
 
-	ctl_members_tick(c);
+	ctl_update_members(c);
 	ctl_nodes_tick(c, now);
 	ctl_moves_tick(c, now);
 	ctl_pump(c);
@@ -180,7 +184,7 @@
 
 	if (!pk_in_init(&in, payload))
 		return;
-	ctl_take(arg, cc, payload, &in);
+	ctl_handle_message(arg, cc, payload, &in);
 	pk_in_done(&in);
 }
 
@@ -193,7 +197,7 @@
 		return;
 	if (cc->node && cc->node->conn == conn)
 		cc->node->conn = NULL;
-	ctl_client_gone(c, conn);
+	ctl_client_closed(c, conn);
 	wire_set_user(conn, NULL);
 	g_ptr_array_remove_fast(c->conns, cc);
 }
@@ -207,23 +211,23 @@
 
 static void ctl_out_recv(void *arg, struct wire_conn *conn, struct lstr payload)
 {
-	/* Voters answer on the connections that they dial themselves. */
+	/* Voters respond on the connections that they open themselves. */
 }
 
 static void ctl_out_down(void *arg, struct wire_conn *conn, const GError *why)
 {
-	/* Dialled again by itself; what was lost is sent again by cns. */
+	/* The wire module reconnects; cns retransmits lost messages. */
 }
 
-static void ctl_take(struct ctl *c, struct ctl_conn *cc, struct lstr payload,
-		     struct pk_in *in)
+static void ctl_handle_message(struct ctl *c, struct ctl_conn *cc,
+			       struct lstr payload, struct pk_in *in)
 {
 	bool peer = wire_role(cc->conn) == KEY_PEER;
 
 	switch (pk_get_u(in)) {
 	case PROTO_CNS:
 		if (peer && cc->peer)
-			ctl_take_cns(c, cc, payload);
+			ctl_handle_cns(c, cc, payload);
 		break;
 	case PROTO_VOTER:
 		if (peer)
@@ -245,11 +249,12 @@
 }
 
 /*
- * A voter whose fleet was recovered without it, or that belongs to another
- * fleet, holds other entries at our places; nothing it says may count.
+ * Processes a consensus message. A voter whose fleet was recovered without it,
+ * or that belongs to another fleet, holds other entries at the same indexes;
+ * its messages are ignored.
  */
-static void ctl_take_cns(struct ctl *c, const struct ctl_conn *cc,
-			 struct lstr payload)
+static void ctl_handle_cns(struct ctl *c, const struct ctl_conn *cc,
+			   struct lstr payload)
 {
 	struct cns_msg *m;
 
@@ -261,5 +266,5 @@
 	if (m->from == cc->peer->id)
 		cns_step(c->cns, m);
 	cns_msg_free(m);
-	ctl_kick(c);
+	ctl_schedule_pump(c);
 }
--- a/src/ctl.h
+++ b/src/ctl.h
@@ -1,6 +1,8 @@
 #ifndef CTL_H
 #define CTL_H
 
+/* Control daemon: Raft voter for the fleet configuration and state. */
+
 #include <event2/event.h>
 #include <glib.h>
 #include <stdbool.h>
@@ -9,9 +11,9 @@
 #include "key.h"
 
 /*
- * The control daemon: one of the voters that agree on the fleet state, over
- * wire and a data folder. Takes commands and queries of operators, and tells
- * entry daemons the view they work by.
+ * The control daemon: one of the voters that replicate the fleet state by Raft.
+ * It accepts commands and queries of operators and pushes the current view to
+ * the entry daemons.
  */
 struct ctl;
 
@@ -21,12 +23,13 @@
 	char *node;
 	char *zone;
 	char *listen; /* IP:PORT */
-	char *http; /* health and metrics, IP:PORT */
+	char *http; /* health page and metrics, IP:PORT */
 	struct fdb descriptors;
-	char **peers; /* NODE=IP:PORT of every voter, this one too */
+	char **peers; /* NODE=IP:PORT of every voter, including this one */
 	char *data; /* folder */
-	gboolean initial; /* a new fleet may be begun */
-	long long silence_ms; /* of a peer, until it is taken as gone */
+	gboolean initial; /* whether a new fleet may be created */
+	/* time after which a silent peer counts as dead */
+	long long silence_ms;
 };
 
 struct ctl *ctl_new(const struct ctl_config *config, GError **err);
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -45,7 +45,7 @@
 	 "Connections refused for their key or bytes."},
 };
 
-/* Opens the health page and /metrics. */
+/* Starts the HTTP server for the health page and /metrics. */
 bool ctl_http_open(struct ctl *c, GError **err)
 {
 	struct srv_config config = {
@@ -78,7 +78,7 @@
 
 static void ctl_http_gone(void *arg, struct srv_req *r)
 {
-	/* Every page is answered at once. */
+	/* Every request is answered immediately. */
 }
 
 static void ctl_http_metrics(struct ctl *c, struct srv_req *r)
--- a/src/ctl_int.h
+++ b/src/ctl_int.h
@@ -12,31 +12,32 @@
 #include "vot.h"
 #include "wire.h"
 
-/* What /metrics counts. */
+/* Counters in /metrics. */
 enum ctl_count {
-	CTL_COMMANDS, /* applied that came through us */
-	CTL_REFUSED, /* commands not taken */
-	CTL_UNKNOWN, /* commands whose outcome we couldn't tell */
+	CTL_COMMANDS, /* applied commands received by this voter */
+	CTL_REFUSED, /* refused commands */
+	CTL_UNKNOWN, /* commands whose outcome was unknown */
 	CTL_QUERIES,
 	CTL_PUSHES, /* views sent to entry daemons */
-	CTL_ELECTIONS, /* times we became leader */
+	CTL_ELECTIONS, /* elections won by this voter */
 	CTL_SNAPSHOTS,
 	CTL_SYNCS,
 	CTL_COUNTS
 };
 
-/* Another voter, as the settings name it. */
+/* Another voter of the settings. */
 struct ctl_peer {
 	struct ctl *ctl;
 	char name[KEY_NAME_MAX + 1];
 	char *addr;
-	struct wire_conn *conn; /* ours to it; it sends on its own to us */
-	uint64_t id; /* of its folder, as it told; 0: not heard */
-	uint64_t lineage; /* of its state; 0: it has none */
-	bool foreign_told;
+	/* opened from here; the peer sends on its own connection */
+	struct wire_conn *conn;
+	uint64_t id; /* folder id from its last message; 0: none received */
+	uint64_t lineage; /* lineage of its state; 0: it has no state */
+	bool foreign_logged;
 };
 
-/* Who is at the other end of a connection that came in. */
+/* An accepted connection and its other end. */
 struct ctl_conn {
 	struct wire_conn *conn;
 	struct ctl_peer *peer; /* NULL: no voter */
@@ -47,16 +48,19 @@
 struct ctl_node {
 	char *name;
 	char *zone;
-	uint64_t version; /* it works by */
-	uint64_t sent; /* newest sent to it on this connection */
+	uint64_t version; /* version of the view that it uses */
+	uint64_t sent; /* newest version sent on this connection */
 	int64_t heard_ms;
-	int64_t join_ms; /* its join was proposed last; 0: never */
+	int64_t join_ms; /* time of the last proposal of its join; 0: never */
 	struct wire_conn *conn; /* NULL: not connected */
 };
 
-/* A command that is in the log, or a query that waits for a quorum. */
-struct ctl_open {
-	struct wire_conn *conn; /* NULL: the client has left */
+/*
+ * A request in progress: a command in the log that is not applied yet, or a
+ * query that waits for a quorum.
+ */
+struct ctl_request {
+	struct wire_conn *conn; /* NULL: the client has disconnected */
 	uint64_t request;
 	uint64_t term; /* command */
 	char *name; /* query */
@@ -71,54 +75,55 @@
 	struct vot *vot;
 	struct cns *cns; /* vot's */
 	struct fst *fst;
-	uint64_t id; /* of our folder */
-	GPtrArray *peers; /* struct ctl_peer, all but us */
-	const char *addr; /* by which clients reach us */
+	uint64_t id; /* id of the data folder */
+	GPtrArray *peers; /* struct ctl_peer, all voters except this one */
+	const char *addr; /* address for clients */
 	GPtrArray *conns; /* struct ctl_conn */
 	GHashTable *nodes; /* name: struct ctl_node */
-	struct mvr *mover; /* while we lead; else NULL */
-	GHashTable *commands; /* log index: struct ctl_open */
-	GHashTable *queries; /* tag: struct ctl_open */
+	struct mvr *mover; /* NULL unless this voter leads */
+	GHashTable *commands; /* log index: struct ctl_request */
+	GHashTable *queries; /* tag: struct ctl_request */
 	uint64_t next_tag;
 	uint64_t pump_timer;
 	enum cns_role role;
 	uint64_t term;
-	int64_t drain_until; /* 0: not draining */
+	int64_t drain_end; /* 0: not draining */
 	uint64_t counts[CTL_COUNTS];
 };
 
 /* ctl_voter */
 bool ctl_voter_open(struct ctl *c, GError **err);
-void ctl_kick(struct ctl *c);
+void ctl_schedule_pump(struct ctl *c);
 void ctl_pump(struct ctl *c);
 /* ctl_client */
 void ctl_on_submit(struct ctl *c, struct wire_conn *conn, struct pk_in *in);
 void ctl_on_query(struct ctl *c, struct wire_conn *conn, struct pk_in *in);
-void ctl_applied(struct ctl *c, const struct cns_entry *e, struct lstr result);
+void ctl_answer_command(struct ctl *c, const struct cns_entry *e,
+			struct lstr result);
 void ctl_read_done(struct ctl *c, const struct cns_read *r);
-void ctl_open_lost(struct ctl *c);
-void ctl_client_gone(struct ctl *c, const struct wire_conn *conn);
-void ctl_open_free(gpointer p);
+void ctl_fail_commands(struct ctl *c);
+void ctl_client_closed(struct ctl *c, const struct wire_conn *conn);
+void ctl_request_free(gpointer p);
 enum cns_refusal ctl_propose(struct ctl *c, struct lstr who, enum key_role role,
 			     struct lstr cmd, uint64_t *index);
 void ctl_note(struct ctl *c, const char *id, const char *text);
 void ctl_note_pack(struct pk_out *o, const char *id, const char *text);
 /* ctl_node */
 void ctl_on_follow(struct ctl *c, struct ctl_conn *conn, struct pk_in *in);
-void ctl_push(struct ctl *c);
+void ctl_push_views(struct ctl *c);
 void ctl_nodes_tick(struct ctl *c, int64_t now);
 void ctl_query_nodes(struct ctl *c, struct pk_out *out);
 void ctl_node_free(gpointer p);
 /* ctl_move */
-bool ctl_joined(struct ctl *c, struct ctl_node *n);
+bool ctl_ensure_joined(struct ctl *c, struct ctl_node *n);
 void ctl_moves_tick(struct ctl *c, int64_t now);
 /* ctl_member */
 bool ctl_peers_read(struct ctl *c, GError **err);
-void ctl_members_tick(struct ctl *c);
+void ctl_update_members(struct ctl *c);
 void ctl_on_voter(struct ctl *c, struct ctl_conn *conn, struct pk_in *in);
 void ctl_send_voter(struct ctl *c, struct wire_conn *conn);
 void ctl_query_voters(struct ctl *c, struct pk_out *out);
-struct ctl_peer *ctl_peer_of(struct ctl *c, uint64_t id);
+struct ctl_peer *ctl_find_peer(struct ctl *c, uint64_t id);
 bool ctl_same_lineage(const struct ctl *c, const struct ctl_peer *p);
 void ctl_peer_free(gpointer p);
 /* ctl_http */
--- a/src/ctl_member.c
+++ b/src/ctl_member.c
@@ -8,17 +8,20 @@
 #include "qtb.h"
 
 static bool ctl_peer_add(struct ctl *c, const char *text, GError **err);
-static struct ctl_peer *ctl_peer_named(struct ctl *c, struct lstr name);
+static struct ctl_peer *ctl_find_peer_by_name(struct ctl *c, struct lstr name);
 static void ctl_bootstrap(struct ctl *c);
-static bool ctl_all_empty(const struct ctl *c);
-static void ctl_let_in(struct ctl *c);
-static void ctl_let_out(struct ctl *c);
-static void ctl_member_done(struct ctl *c, const char *what, const char *name,
-			    uint64_t id);
-static struct cns_member ctl_member_of(const char *name, const char *addr,
-				       uint64_t id);
-
-/* Reads the setting of all voters; this node must be among them. */
+static bool ctl_all_peers_empty(const struct ctl *c);
+static void ctl_add_members(struct ctl *c);
+static void ctl_remove_members(struct ctl *c);
+static void ctl_record_change(struct ctl *c, const char *what, const char *name,
+			      uint64_t id);
+static struct cns_member ctl_make_member(const char *name, const char *addr,
+					 uint64_t id);
+
+/*
+ * Reads the list of all voters from the settings; returns false with ERR_INPUT
+ * if this node is not in it or a node is in it twice.
+ */
 bool ctl_peers_read(struct ctl *c, GError **err)
 {
 	char **p;
@@ -42,8 +45,8 @@
 	g_free(peer);
 }
 
-/* The peer whose folder has that id now, or NULL. */
-struct ctl_peer *ctl_peer_of(struct ctl *c, uint64_t id)
+/* Returns the peer whose folder has that id now; NULL if there is none. */
+struct ctl_peer *ctl_find_peer(struct ctl *c, uint64_t id)
 {
 	guint i;
 
@@ -56,7 +59,7 @@
 	return NULL;
 }
 
-/* Whether a peer's state and ours can be of one fleet. */
+/* Whether a peer's state and this voter's can belong to the same fleet. */
 bool ctl_same_lineage(const struct ctl *c, const struct ctl_peer *p)
 {
 	uint64_t ours = cns_members(c->cns)->lineage;
@@ -64,7 +67,7 @@
 	return !ours || !p->lineage || ours == p->lineage;
 }
 
-/* Tells a voter who we are, on coming up and when our state has begun. */
+/* Sends a voter the name, folder id, lineage and address of this one. */
 void ctl_send_voter(struct ctl *c, struct wire_conn *conn)
 {
 	struct pk_out o;
@@ -80,10 +83,10 @@
 	pk_out_done(&o);
 }
 
-/* Another voter tells who it is. */
+/* Handles another voter's name, folder id and lineage. */
 void ctl_on_voter(struct ctl *c, struct ctl_conn *conn, struct pk_in *in)
 {
-	struct ctl_peer *p = ctl_peer_named(c, pk_get_str(in));
+	struct ctl_peer *p = ctl_find_peer_by_name(c, pk_get_str(in));
 	uint64_t id = pk_get_u(in);
 	uint64_t lineage = pk_get_u(in);
 
@@ -92,18 +95,19 @@
 	conn->peer = p;
 	p->id = id;
 	p->lineage = lineage;
-	if (ctl_same_lineage(c, p) || p->foreign_told)
+	if (ctl_same_lineage(c, p) || p->foreign_logged)
 		return;
-	p->foreign_told = true;
+	p->foreign_logged = true;
 	msg(MSG_CTL_FOREIGN,
 	    "node=%s why=\"its folder holds the state of another fleet, or of "
-	    "one recovered without it\" does=\"not listened to; remove its "
+	    "one recovered without it\" does=\"its messages are ignored; "
+	    "remove its "
 	    "folder\"",
 	    p->name);
 }
 
-/* Looks after the members: begins a fleet, lets voters in and out. */
-void ctl_members_tick(struct ctl *c)
+/* Updates the membership: creates a new fleet, adds and removes voters. */
+void ctl_update_members(struct ctl *c)
 {
 	guint i;
 
@@ -119,11 +123,11 @@
 	}
 	if (cns_role(c->cns) != CNS_LEADER)
 		return;
-	ctl_let_in(c);
-	ctl_let_out(c);
+	ctl_add_members(c);
+	ctl_remove_members(c);
 }
 
-/* Answers the query "voters". */
+/* Packs the result of the query "voters". */
 void ctl_query_voters(struct ctl *c, struct pk_out *out)
 {
 	static const char *const cols[] = {"voter",  "folder", "addr",
@@ -169,7 +173,7 @@
 		c->addr = addr.p;
 		return true;
 	}
-	if (ctl_peer_named(c, name)) {
+	if (ctl_find_peer_by_name(c, name)) {
 		err_set(err, ERR_INPUT, "read peers", NULL,
 			LSTR_FMT " stands twice", LSTR_ARG(name));
 		return false;
@@ -182,7 +186,7 @@
 	return true;
 }
 
-static struct ctl_peer *ctl_peer_named(struct ctl *c, struct lstr name)
+static struct ctl_peer *ctl_find_peer_by_name(struct ctl *c, struct lstr name)
 {
 	guint i;
 
@@ -196,29 +200,30 @@
 }
 
 /*
- * Begins a fleet, where the settings allow it. Only the voter first by name
- * does, and only while it hears every other voter say that it has nothing: a
- * voter that lost its folder must not begin a second fleet beside the first.
+ * Creates a new fleet if the settings allow it. Only the voter that is first by
+ * name does so, and only while every other voter is connected and reports that
+ * it has no state: a voter that lost its folder must not create a second fleet
+ * beside the first.
  */
 static void ctl_bootstrap(struct ctl *c)
 {
 	struct cns_members s = {.n = 1};
 	guint i;
 
-	if (!c->config.initial || cns_term(c->cns) || !ctl_all_empty(c))
+	if (!c->config.initial || cns_term(c->cns) || !ctl_all_peers_empty(c))
 		return;
-	s.m[0] = ctl_member_of(c->config.node, c->addr, c->id);
+	s.m[0] = ctl_make_member(c->config.node, c->addr, c->id);
 	for (i = 0; i < c->peers->len && s.n < CNS_MEMBERS_MAX; i++) {
 		const struct ctl_peer *p = g_ptr_array_index(c->peers, i);
 
-		s.m[s.n++] = ctl_member_of(p->name, p->addr, p->id);
+		s.m[s.n++] = ctl_make_member(p->name, p->addr, p->id);
 	}
 	randombytes_buf(&s.lineage, sizeof(s.lineage));
 	cns_bootstrap(c->cns, &s);
 	msg(MSG_CTL_MEMBER, "act=begin voters=%d", s.n);
 }
 
-static bool ctl_all_empty(const struct ctl *c)
+static bool ctl_all_peers_empty(const struct ctl *c)
 {
 	guint i;
 
@@ -232,8 +237,8 @@
 	return true;
 }
 
-/* Takes newcomers in, first as learners; one change at a time. */
-static void ctl_let_in(struct ctl *c)
+/* Adds new members, first as learners; one change at a time. */
+static void ctl_add_members(struct ctl *c)
 {
 	guint i;
 
@@ -248,22 +253,22 @@
 			continue;
 		if (m) {
 			if (cns_promote(c->cns, p->id) == CNS_OK)
-				ctl_member_done(c, "promote", p->name, p->id);
+				ctl_record_change(c, "promote", p->name, p->id);
 			continue;
 		}
-		learner = ctl_member_of(p->name, p->addr, p->id);
+		learner = ctl_make_member(p->name, p->addr, p->id);
 		if (cns_add_learner(c->cns, &learner) == CNS_OK)
-			ctl_member_done(c, "learn", p->name, p->id);
+			ctl_record_change(c, "learn", p->name, p->id);
 	}
 }
 
 /*
- * Takes a member out once it is replaced: another folder of its node is a
- * voter, or the settings don't name it. Out only after in: while somebody
- * that was heard is not yet a voter, nobody goes, so that there are never
- * fewer copies than before.
+ * Removes a member once it is replaced: another folder of its node is a voter,
+ * or the settings don't contain it. Members are added before any is removed:
+ * while a reachable peer is not a voter yet, nothing is removed, so that there
+ * are never fewer copies than before.
  */
-static void ctl_let_out(struct ctl *c)
+static void ctl_remove_members(struct ctl *c)
 {
 	const struct cns_members s = *cns_members(c->cns);
 	int i;
@@ -279,18 +284,18 @@
 	for (i = 0; i < s.n; i++) {
 		const struct cns_member *m = &s.m[i];
 		const struct ctl_peer *p =
-			ctl_peer_named(c, lstr_from(m->name));
+			ctl_find_peer_by_name(c, lstr_from(m->name));
 		bool named = p && (!p->id || p->id == m->id);
 
 		if (m->id == c->id || named)
 			continue;
 		if (cns_remove(c->cns, m->id) == CNS_OK)
-			ctl_member_done(c, "remove", m->name, m->id);
+			ctl_record_change(c, "remove", m->name, m->id);
 	}
 }
 
-static void ctl_member_done(struct ctl *c, const char *what, const char *name,
-			    uint64_t id)
+static void ctl_record_change(struct ctl *c, const char *what, const char *name,
+			      uint64_t id)
 {
 	char *text =
 		g_strdup_printf("voter %s: %s folder %016" G_GINT64_MODIFIER
@@ -307,8 +312,8 @@
 	g_free(note);
 }
 
-static struct cns_member ctl_member_of(const char *name, const char *addr,
-				       uint64_t id)
+static struct cns_member ctl_make_member(const char *name, const char *addr,
+					 uint64_t id)
 {
 	struct cns_member m = {.id = id, .voter = true};
 
--- a/src/ctl_move.c
+++ b/src/ctl_move.c
@@ -4,25 +4,25 @@
 
 #include "msg.h"
 
-/* A join that was not accepted is proposed again after this long. */
+/* Interval at which a join that was not accepted is proposed again. */
 #define CTL_JOIN_RETRY_MS 1000
 #define CTL_ID_BYTES 8
 
-static uint64_t ctl_works_by(void *arg, const char *node);
+static uint64_t ctl_node_version(void *arg, const char *node);
 static void ctl_submit(void *arg, const struct fcm_cmd *cmd);
 
 static const struct mvr_ops ctl_mvr_ops = {
-	.works_by = ctl_works_by,
+	.works_by = ctl_node_version,
 	.submit = ctl_submit,
 };
 
 /*
- * Whether an entry daemon may get views: it stands in the replicated state.
- * Else its join is proposed where we lead. One that worked by a view without
- * standing there would be missed by the next leader's moves: it could place
- * on a VM that has moved.
+ * Whether an entry daemon may receive views: it must be recorded in the
+ * replicated state. If it is not, the leader proposes its join. The next
+ * leader's moves would miss a daemon that uses a view without being recorded,
+ * and that daemon could place requests on a VM that has moved.
  */
-bool ctl_joined(struct ctl *c, struct ctl_node *n)
+bool ctl_ensure_joined(struct ctl *c, struct ctl_node *n)
 {
 	struct fcm_cmd join = {.kind = FCM_JOIN,
 			       .node = {.node = lstr_from(n->name),
@@ -45,7 +45,7 @@
 	return false;
 }
 
-/* Takes the moves of VMs further, while we lead. */
+/* Advances the moves of VMs while this voter leads. */
 void ctl_moves_tick(struct ctl *c, int64_t now)
 {
 	if (c->role != CNS_LEADER) {
@@ -58,7 +58,7 @@
 	mvr_run(c->mover, c->fst, now);
 }
 
-static uint64_t ctl_works_by(void *arg, const char *node)
+static uint64_t ctl_node_version(void *arg, const char *node)
 {
 	struct ctl *c = arg;
 	const struct ctl_node *n = g_hash_table_lookup(c->nodes, node);
@@ -66,7 +66,7 @@
 	return n ? n->version : 0;
 }
 
-/* An automatic command gets an identity of its own each time. */
+/* Submits an automatic command under a new random id. */
 static void ctl_submit(void *arg, const struct fcm_cmd *cmd)
 {
 	struct ctl *c = arg;
--- a/src/ctl_node.c
+++ b/src/ctl_node.c
@@ -3,14 +3,15 @@
 #include "qtb.h"
 
 /*
- * An entry daemon not heard for so long is taken off the list: it is gone, not
- * late. Zones are cut off for an hour now and then and must stay listed.
+ * An entry daemon not heard for this long is removed from the list. Zones are
+ * partitioned for up to an hour now and then, and their daemons must stay in
+ * the list.
  */
-#define CTL_NODE_FORGET_MS (2 * 3600 * 1000)
+#define CTL_NODE_EXPIRY_MS (2 * 3600 * 1000)
 
 static void ctl_node_push(struct ctl *c, struct ctl_node *n);
 
-/* An entry daemon tells which version it works by. */
+/* Handles an entry daemon's report of the version of the view that it uses. */
 void ctl_on_follow(struct ctl *c, struct ctl_conn *conn, struct pk_in *in)
 {
 	struct lstr name = pk_get_str(in);
@@ -33,7 +34,9 @@
 		n->conn = conn->conn;
 		n->sent = 0;
 	}
-	/* What was sent did not fit what it has: it wants all of it. */
+	/*
+	 * The last changes did not apply to its view: it requests a full view.
+	 */
 	if (version == 0)
 		n->sent = 0;
 	conn->node = n;
@@ -44,8 +47,8 @@
 	ctl_node_push(c, n);
 }
 
-/* Sends the view to every entry daemon that works by an older one. */
-void ctl_push(struct ctl *c)
+/* Sends the view to every entry daemon that uses an older one. */
+void ctl_push_views(struct ctl *c)
 {
 	GHashTableIter it;
 	struct ctl_node *n;
@@ -56,26 +59,27 @@
 }
 
 /*
- * The leader pushes at once. The others do it a moment later, and find
- * nothing to send where the leader got through: a daemon that can't reach the
- * leader still hears of a change, and one that can isn't sent it three times.
+ * Pushes the view to entry daemons at intervals. The leader pushes a new view
+ * immediately, the other voters only here, and they find nothing to send if the
+ * leader reached the daemon: a daemon that cannot reach the leader still
+ * receives changes, and one that can is not sent each change by three voters.
  */
 void ctl_nodes_tick(struct ctl *c, int64_t now)
 {
 	GHashTableIter it;
 	struct ctl_node *n;
 
-	ctl_push(c);
+	ctl_push_views(c);
 	g_hash_table_iter_init(&it, c->nodes);
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&n)) {
 		if (n->conn)
 			n->heard_ms = now;
-		else if (now - n->heard_ms > CTL_NODE_FORGET_MS)
+		else if (now - n->heard_ms > CTL_NODE_EXPIRY_MS)
 			g_hash_table_iter_remove(&it);
 	}
 }
 
-/* Answers the query "nodes". */
+/* Packs the result of the query "nodes". */
 void ctl_query_nodes(struct ctl *c, struct pk_out *out)
 {
 	static const char *const cols[] = {"node", "zone", "version",
@@ -101,7 +105,7 @@
 	qtb_finish(&t, out);
 }
 
-/* Frees an entry daemon of the list. */
+/* Frees an entry daemon's record. */
 void ctl_node_free(gpointer p)
 {
 	struct ctl_node *n = p;
@@ -118,7 +122,7 @@
 	struct pk_out o;
 
 	if (!n->conn || version <= n->version || version <= n->sent ||
-	    !ctl_joined(c, n))
+	    !ctl_ensure_joined(c, n))
 		return;
 	pk_out_init(&view);
 	fst_view_since(c->fst, lstr_from(n->zone), n->version, &view);
--- a/src/ctl_voter.c
+++ b/src/ctl_voter.c
@@ -7,13 +7,16 @@
 #include "err.h"
 #include "msg.h"
 
-/* Between heartbeats; five a second keep a node far below 3 KB a second. */
-#define CTL_BEAT_MS 200
-/* Shortest patience with a silent leader; a killed one is replaced in 2 s. */
+/*
+ * Heartbeat interval; five heartbeats a second keep the traffic of a node far
+ * below 3 KB a second.
+ */
+#define CTL_HEARTBEAT_MS 200
+/* Minimum election timeout; a killed leader is replaced within 2 s. */
 #define CTL_ELECTION_MS 500
 /*
- * Applied entries, or bytes of them, between snapshots: a restart reads at
- * most so much, and at 34,000 changes a day there are a few snapshots.
+ * Applied entries, or bytes of them, between snapshots: a restart reads at most
+ * this much, and at 34,000 changes a day there are a few snapshots a day.
  */
 #define CTL_SNAP_ENTRIES 10000
 #define CTL_SNAP_BYTES (4u << 20)
@@ -24,10 +27,10 @@
 static void ctl_apply(void *arg, const struct cns_entry *e);
 static void ctl_snapshot(void *arg, struct pk_out *o);
 static void ctl_read(void *arg, const struct cns_read *r);
-static void ctl_watch_role(struct ctl *c);
+static void ctl_update_role(struct ctl *c);
 static void ctl_folder_failed(void *arg, const GError *why);
 static uint64_t ctl_random_id(void);
-static const char *ctl_own_addr(const struct ctl_config *config);
+static const char *ctl_find_own_addr(const struct ctl_config *config);
 static bool ctl_recover_write(const struct ctl_config *config, struct sto *s,
 			      const struct sto_loaded *l, GError **err);
 static void ctl_recover_entry(struct sto *s, struct cns_entry *e,
@@ -42,7 +45,7 @@
 	.failed = ctl_folder_failed,
 };
 
-/* Opens the folder and goes on from what it holds. */
+/* Opens the data folder and continues from the state in it. */
 bool ctl_voter_open(struct ctl *c, GError **err)
 {
 	struct vot_config config = {
@@ -50,7 +53,7 @@
 		.data = c->config.data,
 		.new_id = ctl_random_id(),
 		.now_ms = tmr_now(c->tmr),
-		.heartbeat_ms = CTL_BEAT_MS,
+		.heartbeat_ms = CTL_HEARTBEAT_MS,
 		.election_ms = CTL_ELECTION_MS,
 		.snap_entries = CTL_SNAP_ENTRIES,
 		.snap_bytes = CTL_SNAP_BYTES,
@@ -65,16 +68,17 @@
 }
 
 /*
- * Does the rest soon: what comes in within one turn of the loop shares a sync,
- * so that a burst of commands costs few of them.
+ * Schedules ctl_pump at the end of this iteration of the event loop: everything
+ * that arrives within one iteration shares a sync, so that a burst of commands
+ * needs few syncs.
  */
-void ctl_kick(struct ctl *c)
+void ctl_schedule_pump(struct ctl *c)
 {
 	if (!c->pump_timer)
 		c->pump_timer = tmr_once(c->tmr, 0, ctl_pump_timer, c);
 }
 
-/* Does all that consensus asks for, in its order. */
+/* Does all pending consensus work and reports its results. */
 void ctl_pump(struct ctl *c)
 {
 	vot_pump(c->vot);
@@ -82,9 +86,9 @@
 	c->counts[CTL_SNAPSHOTS] = vot_snapshots(c->vot);
 	if (vot_failed(c->vot))
 		return;
-	ctl_watch_role(c);
+	ctl_update_role(c);
 	if (c->role == CNS_LEADER)
-		ctl_push(c);
+		ctl_push_views(c);
 }
 
 static void ctl_pump_timer(void *arg, int64_t now)
@@ -98,14 +102,14 @@
 static void ctl_send(void *arg, const struct cns_msg *m)
 {
 	struct ctl *c = arg;
-	const struct ctl_peer *p = ctl_peer_of(c, m->to);
+	const struct ctl_peer *p = ctl_find_peer(c, m->to);
 	struct pk_out o;
 
 	if (!p || !wire_is_up(p->conn) || !ctl_same_lineage(c, p))
 		return;
 	pk_out_init(&o);
 	cns_msg_pack(m, &o);
-	/* One command can be nearly as large as a frame may be. */
+	/* A single command can be nearly as large as a frame. */
 	if (pk_out_view(&o).len <= WIRE_PAYLOAD_MAX)
 		wire_send(p->conn, pk_out_view(&o));
 	pk_out_done(&o);
@@ -129,7 +133,7 @@
 		return;
 	pk_out_init(&result);
 	fst_apply(c->fst, e->index, lstr_n(p, len), &result);
-	ctl_applied(c, e, pk_out_view(&result));
+	ctl_answer_command(c, e, pk_out_view(&result));
 	pk_out_done(&result);
 }
 
@@ -145,7 +149,7 @@
 	ctl_read_done(arg, r);
 }
 
-static void ctl_watch_role(struct ctl *c)
+static void ctl_update_role(struct ctl *c)
 {
 	enum cns_role role = cns_role(c->cns);
 	uint64_t term = cns_term(c->cns);
@@ -155,7 +159,7 @@
 	if (role == c->role && term == c->term)
 		return;
 	if (role != CNS_LEADER || term != c->term)
-		ctl_open_lost(c);
+		ctl_fail_commands(c);
 	if (role == CNS_LEADER)
 		c->counts[CTL_ELECTIONS]++;
 	msg(MSG_CTL_ROLE, "role=%s term=%" G_GUINT64_FORMAT " leader=%s",
@@ -164,7 +168,10 @@
 	c->term = term;
 }
 
-/* The folder failed: this process must answer nobody any more. */
+/*
+ * The data folder failed: ends the event loop, as this process must not answer
+ * any request.
+ */
 static void ctl_folder_failed(void *arg, const GError *why)
 {
 	struct ctl *c = arg;
@@ -172,8 +179,8 @@
 	event_base_loopbreak(c->config.base);
 }
 
-/* The address by which clients reach this voter, as its peers know it. */
-static const char *ctl_own_addr(const struct ctl_config *config)
+/* Returns the address of this voter for clients, as its peers know it. */
+static const char *ctl_find_own_addr(const struct ctl_config *config)
 {
 	size_t len = strlen(config->node);
 	char **p;
@@ -206,7 +213,7 @@
 
 	members.m[0] = (struct cns_member){.id = l->id, .voter = true};
 	g_strlcpy(members.m[0].name, config->node, sizeof(members.m[0].name));
-	g_strlcpy(members.m[0].addr, ctl_own_addr(config),
+	g_strlcpy(members.m[0].addr, ctl_find_own_addr(config),
 		  sizeof(members.m[0].addr));
 	e.index = 1 + (l->snap ? l->snap->index : 0) + l->entries->len;
 	text = g_strdup_printf(
@@ -236,7 +243,10 @@
 	return ok;
 }
 
-/* Notes an entry with the bytes of o, which it takes over. */
+/*
+ * Adds a record of an entry whose data are the bytes of o; takes ownership of
+ * o.
+ */
 static void ctl_recover_entry(struct sto *s, struct cns_entry *e,
 			      struct pk_out *o)
 {
@@ -249,10 +259,10 @@
 }
 
 /*
- * Makes the voter of this folder the only one, after the others are lost for
- * good: what only they had accepted is lost with them, and the audit trail
- * says so. Other folders of the old fleet are never listened to again. The
- * daemon must not be running.
+ * Makes the voter of this data folder the only one after the others are lost
+ * permanently. What only they had accepted is lost, which is recorded in the
+ * audit trail, and other folders of the old fleet are ignored from then on. The
+ * daemon must not be running. Returns false with an error.
  */
 bool ctl_recover(const struct ctl_config *config, GError **err)
 {
@@ -264,7 +274,7 @@
 	if (!io)
 		return false;
 	s = sto_open(io, config->node, ctl_random_id(), &l, err);
-	/* a folder that a refused call made holds nothing either */
+	/* a folder created by a refused call is empty as well */
 	if (s && !l.snap && l.entries->len == 0)
 		err_set(err, ERR_REFUSED, "recover", NULL,
 			"%s: there is nothing to recover from%s%s",
--- a/src/vot.h
+++ b/src/vot.h
@@ -36,7 +36,11 @@
 struct vot_config {
 	const char *node;
 	const char *data; /* folder */
-	uint64_t new_id; /* id for a new folder */
+	/*
+	 * id for a folder that never held data; a damaged folder gets a random
+	 * id
+	 */
+	uint64_t new_id;
 	int64_t now_ms;
 	int64_t heartbeat_ms;
 	int64_t election_ms;
--- a/tests/prop/cns_prop.cc
+++ b/tests/prop/cns_prop.cc
@@ -51,9 +51,7 @@
 			s.pump(n);
 		}
 	} else if (action < 988) {
-		/*
-		 * One disk at a time: losing two of three disks may lose data.
-		 */
+		/* One disk at a time: the loss of two may lose data. */
 		if (s.repaired())
 			s.replace(n.machine);
 	} else if (action < 991) {
@@ -85,8 +83,9 @@
 
 	/*
 	 * Guards against lost, duplicated or reordered commands and diverging
-	 * logs. Messages are dropped, duplicated, reordered or blocked by partitions; nodes
-	 * are paused, crashed in the middle of a write, restarted or replaced.
+	 * logs. Messages are dropped, duplicated, reordered or blocked by
+	 * partitions; nodes are paused, crashed in the middle of a write,
+	 * restarted or replaced.
 	 */
 	ok &= rc::check("accepted commands survive every schedule", [] {
 		auto seed = *rc::gen::noShrink(rc::gen::arbitrary<uint32_t>());
@@ -167,20 +166,18 @@
 	 * ticks is late, as on overloaded machines. A late tick may postpone an
 	 * election, but not forever.
 	 */
-	ok &= rc::check("voters whose ticks are always late elect a leader",
-			[] {
-				auto seed = *rc::gen::noShrink(
-					rc::gen::arbitrary<uint32_t>());
-				auto late_ms = *rc::gen::inRange(260, 480);
-				Sim s(seed);
-				int64_t end = s.now + 60000;
-
-				while (!s.leader() && s.now < end) {
-					s.tick(late_ms);
-					s.deliver_all();
-				}
-				RC_ASSERT((s.leader() != nullptr));
-			});
+	ok &= rc::check("late ticks do not prevent an election", [] {
+		auto seed = *rc::gen::noShrink(rc::gen::arbitrary<uint32_t>());
+		auto late_ms = *rc::gen::inRange(260, 480);
+		Sim s(seed);
+		int64_t end = s.now + 60000;
+
+		while (!s.leader() && s.now < end) {
+			s.tick(late_ms);
+			s.deliver_all();
+		}
+		RC_ASSERT((s.leader() != nullptr));
+	});
 
 	/*
 	 * Guards against two leaders that give orders to a VM. A leader that
@@ -238,7 +235,7 @@
 	 * vote. The promise was lost if a restart forgot the leader, or if a
 	 * message read after a pause counted as received before it.
 	 */
-	ok &= rc::check("a voter owes its election_ms whatever befell it", [] {
+	ok &= rc::check("a restart or pause does not release a voter", [] {
 		auto seed = *rc::gen::noShrink(rc::gen::arbitrary<uint32_t>());
 		auto restarts = *rc::gen::arbitrary<bool>();
 		auto paused_ms = *rc::gen::inRange(300, 450);
@@ -310,32 +307,30 @@
 	 * network partition. Without pre-votes the election timeouts that
 	 * passed in the partition would have raised its term.
 	 */
-	ok &= rc::check(
-		"a voter back from a partition does not raise the term", [] {
-			auto seed = *rc::gen::noShrink(
-				rc::gen::arbitrary<uint32_t>());
-			auto partition_ms = *rc::gen::inRange(2000, 60000);
-			Sim s(seed);
-
-			s.run(3000);
-			Node *l = s.leader();
-			RC_ASSERT((l != nullptr));
-			uint64_t term = cns_term(l->c);
-			int lost = (l->machine + 1) % 3;
+	ok &= rc::check("a returning voter does not depose the leader", [] {
+		auto seed = *rc::gen::noShrink(rc::gen::arbitrary<uint32_t>());
+		auto partition_ms = *rc::gen::inRange(2000, 60000);
+		Sim s(seed);
 
-			for (int i = 0; i < 3; i++) {
-				s.partitions.insert({i, lost});
-				s.partitions.insert({lost, i});
-			}
-			for (int i = 0; i < 20; i++)
-				s.propose(*l);
-			s.run(partition_ms);
-			s.partitions.clear();
-			s.run(3000);
-			RC_ASSERT((s.leader() == l));
-			RC_ASSERT(cns_term(l->c) == term);
-			RC_ASSERT(s.nodes[lost]->applied == l->applied);
-		});
+		s.run(3000);
+		Node *l = s.leader();
+		RC_ASSERT((l != nullptr));
+		uint64_t term = cns_term(l->c);
+		int lost = (l->machine + 1) % 3;
+
+		for (int i = 0; i < 3; i++) {
+			s.partitions.insert({i, lost});
+			s.partitions.insert({lost, i});
+		}
+		for (int i = 0; i < 20; i++)
+			s.propose(*l);
+		s.run(partition_ms);
+		s.partitions.clear();
+		s.run(3000);
+		RC_ASSERT((s.leader() == l));
+		RC_ASSERT(cns_term(l->c) == term);
+		RC_ASSERT(s.nodes[lost]->applied == l->applied);
+	});
 
 	/*
 	 * Guards against clients that wait forever for a partitioned leader.
@@ -371,57 +366,54 @@
 	 * quorum, then crashes before its new one arrives. The second could
 	 * overwrite the old entry.
 	 */
-	ok &= rc::check(
-		"only entries of the current term are committed by counting",
-		[] {
-			auto seed = *rc::gen::noShrink(
-				rc::gen::arbitrary<uint32_t>());
-			const size_t large = 200 << 10;
-			Sim s(seed);
-
-			s.run(3000);
-			Node *a = s.leader();
-			RC_ASSERT((a != nullptr));
-			Node *b = s.nodes[(a->machine + 1) % 3].get();
-			Node *c = s.nodes[(a->machine + 2) % 3].get();
-			auto isolate = [&s](Node *x) {
-				for (int i = 0; i < 3; i++) {
-					s.partitions.insert({i, x->machine});
-					s.partitions.insert({x->machine, i});
-				}
-			};
-
-			isolate(a);
-			s.propose(*a, large); /* only on a */
-			s.propose(*a, large);
-			s.crash(*a);
-			while (!s.leader())
-				s.run(10);
-			/* The new leader also writes only to its own disk. */
-			Node *w = s.leader();
-			Node *o = w == b ? c : b;
-			isolate(o);
-			s.propose(*w, large);
-			s.crash(*w);
-			s.partitions.clear();
-			s.drop_messages();
-			s.start(*a);
-			for (int i = 0;
-			     i < 3000 && cns_role(a->c) != CNS_LEADER; i++)
-				s.run(10);
-			RC_ASSERT(cns_role(a->c) == CNS_LEADER);
-			/*
-		 * The old entries of a arrive; its entry of this term does not.
-		 */
-			while (cns_commit(a->c) < 3 && deliver_old_entry(s, *o))
-				;
-			RC_ASSERT(cns_last(o->c) >= 3u);
-			s.crash(*a);
-			s.drop_messages();
-			s.start(*w);
-			s.run(5000);
-			s.heal_and_check();
-		});
+	ok &= rc::check("entries of earlier terms are not counted", [] {
+		auto seed = *rc::gen::noShrink(rc::gen::arbitrary<uint32_t>());
+		const size_t large = 200 << 10;
+		Sim s(seed);
+
+		s.run(3000);
+		Node *a = s.leader();
+		RC_ASSERT((a != nullptr));
+		Node *b = s.nodes[(a->machine + 1) % 3].get();
+		Node *c = s.nodes[(a->machine + 2) % 3].get();
+		auto isolate = [&s](Node *x) {
+			for (int i = 0; i < 3; i++) {
+				s.partitions.insert({i, x->machine});
+				s.partitions.insert({x->machine, i});
+			}
+		};
+
+		isolate(a);
+		s.propose(*a, large); /* only on the disk of a */
+		s.propose(*a, large);
+		s.crash(*a);
+		while (!s.leader())
+			s.run(10);
+		/* The new leader also writes only to its own disk. */
+		Node *w = s.leader();
+		Node *o = w == b ? c : b;
+		isolate(o);
+		s.propose(*w, large);
+		s.crash(*w);
+		s.partitions.clear();
+		s.drop_messages();
+		s.start(*a);
+		for (int i = 0; i < 3000 && cns_role(a->c) != CNS_LEADER; i++)
+			s.run(10);
+		RC_ASSERT(cns_role(a->c) == CNS_LEADER);
+		/*
+			 * The old entries of a arrive; its entry of this term
+			 * does not.
+			 */
+		while (cns_commit(a->c) < 3 && deliver_old_entry(s, *o))
+			;
+		RC_ASSERT(cns_last(o->c) >= 3u);
+		s.crash(*a);
+		s.drop_messages();
+		s.start(*w);
+		s.run(5000);
+		s.heal_and_check();
+	});
 
 	/*
 	 * Guards against a new member that gets a vote before it has caught up.
@@ -429,33 +421,31 @@
 	 * partitioned before it has received anything. With a vote it would
 	 * raise the quorum to three of four, of which only two are reachable.
 	 */
-	ok &= rc::check(
-		"a new member gets a vote only once it has caught up", [] {
-			auto seed = *rc::gen::noShrink(
-				rc::gen::arbitrary<uint32_t>());
-			Sim s(seed);
+	ok &= rc::check("a new member has no vote until it caught up", [] {
+		auto seed = *rc::gen::noShrink(rc::gen::arbitrary<uint32_t>());
+		Sim s(seed);
 
-			s.run(3000);
-			Node *l = s.leader();
-			RC_ASSERT((l != nullptr));
-			s.propose(*l);
-			s.run(500);
-			int lost = (l->machine + 1 + (int)s.below(2)) % 3;
-			for (int i = 0; i < 3; i++) {
-				s.partitions.insert({i, lost});
-				s.partitions.insert({lost, i});
-			}
-			s.replace(lost);
-			for (int i = 0; i < 10; i++) {
-				s.repair();
-				s.run(300);
-			}
-			size_t before = s.accepted.size();
-			RC_ASSERT((s.leader() && s.propose(*s.leader())));
-			s.run(1000);
-			RC_ASSERT(s.accepted.size() == before + 1);
-			s.heal_and_check();
-		});
+		s.run(3000);
+		Node *l = s.leader();
+		RC_ASSERT((l != nullptr));
+		s.propose(*l);
+		s.run(500);
+		int lost = (l->machine + 1 + (int)s.below(2)) % 3;
+		for (int i = 0; i < 3; i++) {
+			s.partitions.insert({i, lost});
+			s.partitions.insert({lost, i});
+		}
+		s.replace(lost);
+		for (int i = 0; i < 10; i++) {
+			s.repair();
+			s.run(300);
+		}
+		size_t before = s.accepted.size();
+		RC_ASSERT((s.leader() && s.propose(*s.leader())));
+		s.run(1000);
+		RC_ASSERT(s.accepted.size() == before + 1);
+		s.heal_and_check();
+	});
 
 	/* Guards against a repair that does not finish before the load ends. */
 	ok &= rc::check("a new member catches up under steady load", [] {
--- a/tests/system/control_test.sh
+++ b/tests/system/control_test.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Three voters as real processes on loopback: a leader killed, a leader frozen,
-# a folder removed, a restart after 500 changes, a full disk, a lost majority.
-# Ports from CONTROL_PORT (21100) on.
+# Runs three voters as real processes on loopback: a killed leader, a paused
+# leader, a removed folder, a restart 500 changes behind, a full disk, a lost
+# majority. Uses the ports from CONTROL_PORT (21100) on.
 set -u
 cd "$(dirname "$0")/../.." || exit 2
 bin=$PWD/build/san/bin
@@ -24,7 +24,7 @@
 	exit 1
 }
 
-# start NODE [FLAG...]; FILES limits the size of files it may write
+# start NODE [FLAG...]: starts a voter; FILES limits the size of its files.
 start() {
 	node=$1
 	shift
@@ -45,8 +45,8 @@
 	cat "$dir/$1.pid"
 }
 
-# die NODE: it is gone at once, and so is its hold on the folder
-die() {
+# kill_node NODE: kills a voter and waits until its lock on the folder is free.
+kill_node() {
 	kill -9 "$(pid "$1")"
 	wait "$(pid "$1")" 2>/dev/null
 }
@@ -67,29 +67,29 @@
 	done
 }
 
-# wait_for WHAT COMMAND...: until the command succeeds, at most 30 s
+# wait_for MESSAGE COMMAND...: waits until COMMAND succeeds, at most 30 s.
 wait_for() {
-	what=$1
+	message=$1
 	shift
 	for _ in $(seq 300); do
 		"$@" && return
 		sleep 0.1
 	done
-	fail "$what"
+	fail "$message"
 }
 
 has_leader() {
 	[ -n "$(leader)" ]
 }
 
-# same NODE: it has committed as much as the leader
-same() {
+# caught_up NODE: whether NODE has the commit index of the leader.
+caught_up() {
 	l=$(leader)
 	[ -n "$l" ] && [ "$(metric "$1" endive_voter_commit)" = \
 		"$(metric "$l" endive_voter_commit)" ]
 }
 
-# members COUNT: that many, all of them voters
+# members COUNT: whether there are COUNT members, all of them voters.
 members() {
 	rows=$(submit --query voters) || return 1
 	[ "$(echo "$rows" | wc -l)" = "$1" ] &&
@@ -108,112 +108,116 @@
 wait_for "no leader at the start" has_leader
 submit --count 100 --prefix first || fail "first commands"
 
-# An operator's commands go on. The leader is killed while they are on their
-# way; another voter leads, and each is sent again by its identity.
+# Guards against commands lost with a killed leader: another voter is elected,
+# and each command in flight is sent again under its id.
 old=$(leader)
 submit --count 2000 --prefix kill >"$dir/kill.out" &
 job=$!
 sleep 0.2
-die "$old"
+kill_node "$old"
 wait "$job" || fail "commands across a killed leader"
 new=$(leader)
 [ -n "$new" ] && [ "$new" != "$old" ] || fail "no other leader"
 start "$old"
-wait_for "the killed voter has not caught up" same "$old"
+wait_for "the killed voter has not caught up" caught_up "$old"
 
-# Nobody hears of two leaders. The leader stands still for longer than every
-# timeout, another is elected, then it wakes and must follow.
+# Guards against two leaders: the leader is paused for longer than every
+# timeout, another is elected, and the old one must follow when it resumes.
 old=$(leader)
 kill -STOP "$(pid "$old")"
-submit --count 100 --prefix freeze || fail "commands beside a frozen leader"
+submit --count 100 --prefix freeze || fail "commands beside a paused leader"
 kill -CONT "$(pid "$old")"
-wait_for "the frozen leader does not follow" same "$old"
-[ "$(leader)" != "$old" ] || fail "the frozen leader took over again"
+wait_for "the paused leader does not follow" caught_up "$old"
+[ "$(leader)" != "$old" ] || fail "the paused leader leads again"
 
-# A voter that was away for 500 changes catches up and disturbs nobody.
+# Guards against a restarted voter that does not catch up with 500 changes, or
+# that forces an election by a higher term.
 lead=$(leader)
 for n in a b c; do
 	[ $n != "$lead" ] && away=$n
 done
-die "$away"
+kill_node "$away"
 submit --count 500 --prefix away --window 16 || fail "commands with one away"
 term=$(metric "$lead" endive_voter_term)
 start "$away"
-wait_for "a voter 500 changes behind has not caught up" same "$away"
+wait_for "a voter 500 changes behind has not caught up" caught_up "$away"
 [ "$(metric "$lead" endive_voter_term)" = "$term" ] ||
-	fail "the voter that came back disturbed the leader"
+	fail "the restarted voter forced an election"
 
-# A voter whose folder was removed comes back as another member, even where
-# it may begin a fleet; the old one is let out, and all is still there.
-die a
+# Guards against a voter that creates a second fleet, as --initial allows, when
+# its folder was removed. It must join as another member, the old member must
+# be removed, and no data may be lost.
+kill_node a
 rm -rf "$dir/a"
 start a --initial
 wait_for "a removed folder was not replaced" members 3
-wait_for "the replaced voter has not caught up" same a
+wait_for "the replaced voter has not caught up" caught_up a
 grep -q act=begin "$dir/a.log" && [ "$(grep -c act=begin "$dir/a.log")" -gt 1 ] &&
-	fail "a second fleet was begun"
+	fail "a second fleet was created"
 submit --count 10 --prefix replaced || fail "commands after the replacement"
 
-# A voter whose disk is full stops and says so; the others go on.
+# Guards against a voter that continues with a full disk: it must log the
+# failure and stop, and the others must continue.
 l=$(leader)
 for n in a b c; do
 	[ $n != "$l" ] && full=$n
 done
-again() {
+restart_once() {
 	start "$full"
-	wait_for "a voter whose disk was full has not caught up" same "$full"
+	wait_for "a voter whose disk was full has not caught up" caught_up "$full"
 	kill -TERM "$(pid "$full")"
 	wait "$(pid "$full")" 2>/dev/null
 }
 kill -TERM "$(pid "$full")"
 wait "$(pid "$full")" 2>/dev/null
-# what a start writes anew of its newest log is then little
-again
+# After this restart the newest log, which a start rewrites, is small.
+restart_once
 FILES=32 start "$full"
 submit --count 500 --prefix full --window 16 || fail "commands beside a full disk"
 wait "$(pid "$full")"
-[ $? = 1 ] || fail "a voter with a full disk goes on"
-grep -q msg=folder-failed "$dir/$full.log" || fail "a full disk is not told"
+[ $? = 1 ] || fail "a voter with a full disk did not stop"
+grep -q msg=folder-failed "$dir/$full.log" || fail "a full disk is not logged"
 
-# So does one that has no room for its start.
-again
+# Guards against the same when the disk has no space for the start.
+restart_once
 starts=$(grep -c msg=start "$dir/$full.log")
 FILES=32 start "$full"
 wait "$(pid "$full")"
-[ $? = 1 ] || fail "a start without room goes on"
+[ $? = 1 ] || fail "a start without disk space did not fail"
 [ "$(grep -c msg=start "$dir/$full.log")" = "$starts" ] ||
-	fail "a start without room was told as one"
+	fail "a start without disk space was logged as a start"
 [ "$(grep -c msg=folder-failed "$dir/$full.log")" = 2 ] ||
-	fail "a start without room is not told"
+	fail "a start without disk space is not logged"
 start "$full"
-wait_for "a voter whose disk was full has not caught up" same "$full"
+wait_for "a voter whose disk was full has not caught up" caught_up "$full"
 
-# A planned stop of the leader hands leadership over.
+# Guards against a planned stop of the leader that leaves no leader.
 l=$(leader)
 kill -TERM "$(pid "$l")"
 wait "$(pid "$l")" || fail "the leader did not end cleanly"
 wait_for "no leader after a planned stop" has_leader
 start "$l"
-wait_for "the stopped voter has not caught up" same "$l"
+wait_for "the stopped voter has not caught up" caught_up "$l"
 
-# Two of three are gone for good. The last one refuses until an operator says
-# that the loss is accepted; the trail tells it, and the others join anew.
+# Guards against a voter that accepts commands after two of three were lost
+# permanently. It must refuse until an operator accepts the loss, which the
+# audit trail records; then the others join again.
 applied || fail "no audit trail"
 before=$(wc -l <"$dir/audit")
 for n in a b c; do
-	die $n
+	kill_node $n
 done
 rm -rf "$dir/b" "$dir/c"
 start a
 submit --count 1 --prefix lonely --timeout-ms 3000 2>/dev/null &&
 	fail "a voter alone accepted a command"
-die a
+kill_node a
 start a --recover-alone accept-loss
 wait "$(pid a)" || fail "recovery"
 start a
 start b
 start c
-wait_for "the recovered fleet is not whole" members 3
+wait_for "the recovered fleet does not have three voters" members 3
 applied || fail "no audit trail after recovery"
 [ "$(wc -l <"$dir/audit")" -ge "$before" ] || fail "the audit trail is shorter"
 submit --count 10 --prefix after || fail "commands after recovery"
@@ -221,5 +225,5 @@
 	kill -TERM "$(pid $n)"
 	wait "$(pid $n)" || fail "$n did not end cleanly"
 done
-grep -h "ERROR: \|runtime error" "$dir"/*.log && fail "a sanitizer complains"
+grep -h "ERROR: \|runtime error" "$dir"/*.log && fail "a sanitizer reported an error"
 echo ok
--- a/tests/system/cut_test.sh
+++ b/tests/system/cut_test.sh
@@ -1,17 +1,18 @@
 #!/bin/sh
-# A zone is cut off by relays that stop passing bytes without closing anything,
-# and a target's connections are forgotten by something in between. What
-# callers, operators and the zone itself see.
+# Network partition of a zone: relays stop passing bytes without closing any
+# connection, and later drop the connections to a target. Checks what callers,
+# operators and the zone itself observe.
 set -u
 cd "$(dirname "$0")/../.." || exit 2
 BIN=build/san/bin
 PORT=${CUT_PORT:-21700}
 . tests/system/fleet.sh
 trap fleet_end EXIT
-bad=0
+failed=0
 
-# Relay K of 1..6: to voters 1 and 2 as zone nw-c sees them, to voter 3 and
-# entry daemons 5 and 6 as the others see them, to a target.
+# Relay K of 1..6: 1 and 2 lead from zone nw-c to voters 1 and 2; 3, 5 and 6
+# lead from the other zones to voter 3 and to entry daemons 5 and 6; 4 leads to
+# a target.
 relay_addr() {
 	echo "127.0.0.1:$((PORT + 300 + 2 * $1))"
 }
@@ -30,11 +31,11 @@
 	shift
 	for k in "$@"; do
 		curl -s -o "$tmp/mode" -d "mode=$m" \
-			"http://$(relay_control "$k")/mode" || bad=1
+			"http://$(relay_control "$k")/mode" || failed=1
 	done
 }
 
-start_cut_voter() {
+start_partition_voter() {
 	case $1 in
 	3) peers="v1=$(relay_addr 1),v2=$(relay_addr 2),v3=$(voter_addr 3)" ;;
 	*) peers="v1=$(voter_addr 1),v2=$(voter_addr 2),v3=$(relay_addr 3)" ;;
@@ -47,7 +48,7 @@
 		--initial
 }
 
-start_cut_entry() {
+start_partition_entry() {
 	case $1 in
 	5 | 6)
 		voters="$(relay_addr 1),$(relay_addr 2),$(voter_addr 3)"
@@ -65,14 +66,15 @@
 		--keys "$tmp/keys" --drain-ms 500 --log-level "$LOG"
 }
 
-# works_by ENTRY VERSION: its view is this one or newer.
-works_by() {
+# has_version ENTRY VERSION: whether the view of ENTRY is VERSION or newer.
+has_version() {
 	v=$(curl -s "http://$(admin_addr "$1")/status" |
 		sed -n 's/^version=//p')
 	[ "${v:-0}" -ge "$2" ]
 }
 
-# post ENTRY KEY: "STATUS OUTCOME" of a keyed valuation.
+# post ENTRY KEY: sends a request with an idempotency key; prints its status
+# and outcome.
 post() {
 	curl -s -o "$tmp/body" -D "$tmp/head" -X POST -d body \
 		-H "Idempotency-Key: $2" -H 'Endive-Deadline-Ms: 3000' \
@@ -84,20 +86,21 @@
 expect() {
 	[ "$2" = "$3" ] && return
 	echo "$1: expected $2, got $3"
-	bad=1
+	failed=1
 }
 
-# whole NAME ARGS...: every request of a load must be answered whole.
-whole() {
+# check_load NAME ARGS...: checks that every request of a load gets a complete
+# answer.
+check_load() {
 	name=$1
 	shift
 	"$BIN/endive-load" --check --tsv "$tmp/tsv" "$@" >"$tmp/table" 2>&1
 	left=$(awk -F '\t' 'NR == 1 { for (i = 1; i <= NF; i++) c[$i] = i }
 		{ v = $c["due"] - $c["whole"] } END { print v }' "$tmp/tsv")
 	[ "$left" = 0 ] && return
-	echo "$name: $left not whole"
+	echo "$name: $left answers not complete"
 	cat "$tmp/table"
-	bad=1
+	failed=1
 }
 
 make_keys
@@ -106,8 +109,8 @@
 start_relay 3 "$(voter_addr 3)"
 start_relay 5 "$(wire_addr 5)"
 start_relay 6 "$(wire_addr 6)"
-for j in 1 2 3; do start_cut_voter $j; done
-for i in 1 2 3 4 5 6; do start_cut_entry $i; done
+for j in 1 2 3; do start_partition_voter $j; done
+for i in 1 2 3 4 5 6; do start_partition_entry $i; done
 start_targets
 wait_for 15 ctl --timeout 2 voters
 fleet_apply >"$tmp/apply" 2>&1 || { cat "$tmp/apply"; exit 1; }
@@ -118,49 +121,53 @@
 key_c2=$(curl -s "http://$(entry_addr 5)/endive/key")
 expect "key of zone c, sent in zone a" "200 ran" "$(post 1 "$key_c")"
 
-# Zone nw-c is cut off: bytes vanish, nothing is closed. Its callers are served
-# by its own targets, the others by theirs; nobody waits for the other side.
+# Guards against callers that wait for the other side of a partition. Zone nw-c
+# is partitioned: bytes are dropped, no connection is closed. The targets on
+# each side must serve the callers of that side.
 mode silent 1 2 3 5 6
 sleep 2
-whole "zone c, cut off" --entry "$(list entry_addr 5 6)" \
+check_load "zone c, partitioned" --entry "$(list entry_addr 5 6)" \
 	--targets "$(list target_control 11 12)" --path /valuation/work \
 	--method POST --schedule 2s@20 --ms 10
-whole "the others" --entry "$(list entry_addr 1 2 3 4)" \
+check_load "the others" --entry "$(list entry_addr 1 2 3 4)" \
 	--targets "$(list target_control 7 8 9 10)" --path /valuation/work \
 	--method POST --schedule 2s@20 --ms 10
 
-# Keys: zone c's own work goes on there. Its key that ran before the cut is
-# unknown elsewhere: not run again, not denied.
-expect "own key in the zone cut off" "200 ran" "$(post 5 "$key_c2")"
+# Guards against a request that is run twice or reported as not run. Keys of
+# zone c still work there; elsewhere the outcome of its key that ran before the
+# partition must be unknown.
+expect "own key in the partitioned zone" "200 ran" "$(post 5 "$key_c2")"
 expect "own key on the other side" "200 ran" "$(post 2 "$key_a")"
-expect "key of the zone cut off, elsewhere" "503 unknown" "$(post 1 "$key_c")"
+expect "key of the partitioned zone, elsewhere" "503 unknown" "$(post 1 "$key_c")"
 
-# An operator's change is accepted by the majority and in force on its side;
-# zone c gets nothing it can't hear and goes on with its version.
+# Guards against a change accepted by the partitioned voter. The majority
+# accepts an operator's change and its side uses it; zone c keeps its version.
 ctl --timeout 3 drain hw02 --yes >"$tmp/drain" 2>&1
-wait_for 10 works_by 1 2 || bad=1
+wait_for 10 has_version 1 2 || failed=1
 before=$(curl -s "http://$(admin_addr 5)/status" | sed -n 's/^version=//p')
 ctl --timeout 2 --servers "$(voter_addr 3)" drain hw43 --yes \
 	>"$tmp/drain3" 2>&1 && {
-	echo "a voter cut off accepted a change"
+	echo "a partitioned voter accepted a change"
 	cat "$tmp/drain3"
-	bad=1
+	failed=1
 }
-expect "version in the zone cut off" "$before" \
+expect "version in the partitioned zone" "$before" \
 	"$(curl -s "http://$(admin_addr 5)/status" | sed -n 's/^version=//p')"
 
-# Healed: the zone catches up, and its key is known again everywhere.
+# After the partition heals the zone must catch up, and the outcome of its key
+# must be known everywhere.
 mode pass 1 2 3 5 6
 now=$(curl -s "http://$(admin_addr 1)/status" | sed -n 's/^version=//p')
-wait_for 15 works_by 5 "$now" || bad=1
-wait_for 15 works_by 6 "$now" || bad=1
+wait_for 15 has_version 5 "$now" || failed=1
+wait_for 15 has_version 6 "$now" || failed=1
 key_ran() {
 	[ "$(post 1 "$key_c")" = "200 ran" ]
 }
-wait_for 10 key_ran || bad=1
+wait_for 10 key_ran || failed=1
 
-# Between an entry VM and a target something forgets all open connections:
-# bytes over them vanish, new ones work. No caller waits for the forgotten.
+# Guards against callers that wait on dead connections. The relay between an
+# entry VM and a target forgets all open connections: bytes on them are dropped,
+# new connections work.
 start_relay 4 "127.0.0.1:$((PORT + 200 + 2 * 20))"
 start relayed "$BIN/endive-target" --name relayed --service delivery \
 	--zone nw-a --vm hw12 --listen "127.0.0.1:$((PORT + 200 + 2 * 20))" \
@@ -170,13 +177,13 @@
 	curl -s "http://$(admin_addr 1)/status" |
 		grep -q 'target=relayed state=serving'
 }
-wait_for 10 relayed_serves || bad=1
-whole "before forgetting" --entry "$(entry_addr 1)" \
+wait_for 10 relayed_serves || failed=1
+check_load "before connections are forgotten" --entry "$(entry_addr 1)" \
 	--targets "$(target_control 20)" --path /delivery/work \
 	--method POST --schedule 500ms@40 --ms 2
 mode forget 4
 sleep 1
-whole "after forgetting" --entry "$(entry_addr 1)" \
+check_load "after connections are forgotten" --entry "$(entry_addr 1)" \
 	--targets "$(target_control 20)" --path /delivery/work \
 	--method POST --schedule 500ms@40 --ms 2 --timeout-ms 2000
-exit $bad
+exit $failed
--- a/tests/unit/ctl_recover_test.c
+++ b/tests/unit/ctl_recover_test.c
@@ -47,7 +47,7 @@
 	return ctl_recover(&config, err);
 }
 
-static void refused(const char *path)
+static void check_refused(const char *path)
 {
 	GError *err = NULL;
 
@@ -57,22 +57,21 @@
 }
 
 /*
- * An operator tries to recover from a folder that holds nothing, is refused,
- * and tries again. The first try made a folder in its place, and the second one
- * took that for a voter's: a fleet without a state began, and said that it was
- * recovered. There is still nothing to recover from.
+ * Guards against recovery from an empty folder. The first refused call created
+ * a folder, and the second one took that for a voter's: it started a fleet
+ * without state and reported that the fleet was recovered.
  */
-static void a_folder_without_anything_is_refused_twice(void **state)
+static void an_empty_folder_is_refused_twice(void **state)
 {
-	refused(*state);
-	refused(*state);
+	check_refused(*state);
+	check_refused(*state);
 }
 
 /*
- * The same of a voter that has voted and holds no entry. With one, there is
- * something to recover from, and again after that.
+ * Guards against recovery from a folder that holds a vote and no entry. With an
+ * entry, recovery must succeed, also when repeated.
  */
-static void a_vote_alone_is_nothing_to_recover_from(void **state)
+static void a_folder_without_entries_is_refused(void **state)
 {
 	struct sto_io *io = sto_folder_new(*state, NULL);
 	struct cns_entry e = {.index = 1, .term = 1, .kind = CNS_NOOP};
@@ -84,7 +83,7 @@
 	assert_true(sto_sync(s, NULL));
 	sto_free(s);
 	sto_folder_free(io);
-	refused(*state);
+	check_refused(*state);
 	io = sto_folder_new(*state, NULL);
 	s = sto_open(io, "n1", 7, &l, NULL);
 	assert_int_equal(l.vote, 7);
@@ -104,8 +103,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		T(a_folder_without_anything_is_refused_twice),
-		T(a_vote_alone_is_nothing_to_recover_from),
+		T(an_empty_folder_is_refused_twice),
+		T(a_folder_without_entries_is_refused),
 	};
 
 	return cmocka_run_group_tests_name("ctl_recover", tests, NULL, NULL);
