--- a/src/ctl_client.c
+++ b/src/ctl_client.c
@@ -15,14 +15,15 @@
 			    struct ctl_request *req);
 
 /* Proposes a command; the leader adds time and sender to its log entry. */
-enum cns_refusal ctl_propose(struct ctl *c, struct lstr who, enum key_role role,
-			     struct lstr cmd, uint64_t *index)
+enum cns_refusal ctl_propose(struct ctl *c, struct lstr sender,
+			     enum key_role role, struct lstr cmd,
+			     uint64_t *index)
 {
 	enum cns_refusal r;
 	struct pk_out o;
 
 	pk_out_init(&o);
-	fst_entry_pack(&o, ctl_clock_ms(), who, role, cmd);
+	fst_entry_pack(&o, ctl_clock_ms(), sender, role, cmd);
 	r = cns_propose(c->cns, pk_out_view(&o), index);
 	pk_out_done(&o);
 	ctl_schedule_pump(c);
--- a/src/ctl_int.h
+++ b/src/ctl_int.h
@@ -104,8 +104,9 @@
 void ctl_fail_commands(struct ctl *c);
 void ctl_client_closed(struct ctl *c, const struct wire_conn *conn);
 void ctl_request_free(gpointer p);
-enum cns_refusal ctl_propose(struct ctl *c, struct lstr who, enum key_role role,
-			     struct lstr cmd, uint64_t *index);
+enum cns_refusal ctl_propose(struct ctl *c, struct lstr sender,
+			     enum key_role role, struct lstr cmd,
+			     uint64_t *index);
 void ctl_note(struct ctl *c, const char *id, const char *text);
 void ctl_note_pack(struct pk_out *o, const char *id, const char *text);
 /* ctl_node */
--- a/src/rep_peer.c
+++ b/src/rep_peer.c
@@ -62,7 +62,8 @@
 		 * no peer is this replica.
 		 */
 		if (strcmp(s.m[i].addr, r->config.addr) == 0 &&
-		    rep_remove_member(r, s.m[i].id, "our folder was lost"))
+		    rep_remove_member(r, s.m[i].id,
+				      "the folder of this replica was lost"))
 			return;
 		p = g_hash_table_lookup(r->peers, s.m[i].addr);
 		if (!p)
--- a/tests/unit/rep_test.c
+++ b/tests/unit/rep_test.c
@@ -49,7 +49,7 @@
 	struct keyring *keys;
 	char *seeds[REPLICAS + 1];
 	struct node nodes[REPLICAS];
-	int fake_port; /* port of a fake replica that is not a member; 0: none */
+	int fake_port; /* port of a fake replica without membership; 0: none */
 };
 
 static void node_apply(void *arg, uint64_t index, struct lstr cmd)
--- a/tests/unit/sto_test.c
+++ b/tests/unit/sto_test.c
@@ -468,7 +468,8 @@
 	 * none
 	 */
 	int kill_again_at;
-	int power_loss_at; /* operation of the last process at which power is lost */
+	/* operation of the last process at which power is lost */
+	int power_loss_at;
 	unsigned int mask; /* unsynced names that are kept */
 	enum loss loss;
 	/* results: */
