--- a/src/fst.c
+++ b/src/fst.c
@@ -2,36 +2,36 @@
 
 #include <sodium.h>
 
-static bool fst_run_entry(struct fst_run *r, struct lstr entry,
-			  struct pk_in *in, struct lstr *cmd);
-static void fst_run_cmd(struct fst_run *r, struct lstr bytes,
-			struct pk_out *result);
-static void fst_run_decoded(struct fst_run *r, struct lstr bytes,
-			    struct pk_out *result);
-static void fst_run_first(struct fst_run *r, struct pk_out *result);
-static bool fst_run_refused(struct fst_run *r);
-static void fst_run_audit(struct fst_run *r, struct lstr who, const char *role,
-			  const char *kind);
-static void fst_run_result(const struct fst_run *r, struct pk_out *o);
-
-/* What each kind of command does; one entry a kind. */
-static void (*const fst_doers[FCM_KINDS])(struct fst_run *r) = {
-	[FCM_APPLY] = fst_do_apply,	  [FCM_DRAIN] = fst_do_drain,
-	[FCM_UNDRAIN] = fst_do_undrain,	  [FCM_MOVE] = fst_do_move,
-	[FCM_RELEASED] = fst_do_released, [FCM_MOVED] = fst_do_moved,
-	[FCM_PRIORITY] = fst_do_priority, [FCM_JOIN] = fst_do_join,
-	[FCM_FORGET] = fst_do_forget,	  [FCM_NOTE] = fst_do_note,
-	[FCM_KEEPERS] = fst_do_keepers,
+static bool fst_exec_parse_entry(struct fst_exec *ex, struct lstr entry,
+				 struct pk_in *in, struct lstr *cmd);
+static void fst_exec_command(struct fst_exec *ex, struct lstr bytes,
+			     struct pk_out *result);
+static void fst_exec_decoded(struct fst_exec *ex, struct lstr bytes,
+			     struct pk_out *result);
+static void fst_exec_new(struct fst_exec *ex, struct pk_out *result);
+static bool fst_exec_reject(struct fst_exec *ex);
+static void fst_audit_command(struct fst_exec *ex, struct lstr who,
+			      const char *role, const char *kind);
+static void fst_exec_pack_result(const struct fst_exec *ex, struct pk_out *o);
+
+/* Handler of each kind of command. */
+static void (*const fst_handlers[FCM_KINDS])(struct fst_exec *ex) = {
+	[FCM_APPLY] = fst_handle_apply,		 [FCM_DRAIN] = fst_handle_drain,
+	[FCM_UNDRAIN] = fst_handle_undrain,	 [FCM_MOVE] = fst_handle_move,
+	[FCM_RELEASED] = fst_handle_released,	 [FCM_MOVED] = fst_handle_moved,
+	[FCM_PRIORITY] = fst_handle_priority,	 [FCM_JOIN] = fst_handle_join,
+	[FCM_FORGET] = fst_handle_forget,	 [FCM_NOTE] = fst_handle_note,
+	[FCM_KEEPERS] = fst_handle_key_replicas,
 };
 
-/* The state before the first entry. */
+/* Returns a new, empty state. */
 struct fst *fst_new(void)
 {
 	struct fst *f = g_new0(struct fst, 1);
 
 	f->configs = g_ptr_array_new_with_free_func(fst_config_free);
 	f->vms = g_ptr_array_new_with_free_func(fst_vm_free);
-	f->gone = g_ptr_array_new_with_free_func(fst_vm_free);
+	f->removed = g_ptr_array_new_with_free_func(fst_vm_free);
 	f->drains = g_ptr_array_new_with_free_func(fst_drain_free);
 	f->prios = g_ptr_array_new_with_free_func(fst_prio_free);
 	f->nodes = g_ptr_array_new_with_free_func(fst_node_free);
@@ -50,7 +50,7 @@
 		return;
 	g_ptr_array_free(f->configs, TRUE);
 	g_ptr_array_free(f->vms, TRUE);
-	g_ptr_array_free(f->gone, TRUE);
+	g_ptr_array_free(f->removed, TRUE);
 	g_ptr_array_free(f->drains, TRUE);
 	g_ptr_array_free(f->prios, TRUE);
 	g_ptr_array_free(f->nodes, TRUE);
@@ -63,33 +63,33 @@
 	g_free(f);
 }
 
-/* Index of the last entry applied. */
+/* Returns the index of the last entry applied. */
 uint64_t fst_index(const struct fst *f)
 {
 	return f->index;
 }
 
-/* Version of the view entry daemons work by; 0 before the first change. */
+/* Returns the version of the view; 0 before its first change. */
 uint64_t fst_version(const struct fst *f)
 {
 	return f->version;
 }
 
-/* The configuration in force; NULL before the first. */
+/* Returns the configuration in force; NULL before the first. */
 const struct cfg *fst_config(const struct fst *f)
 {
 	return f->cfg;
 }
 
-/* The view has changed: entry daemons must hear of it. */
-void fst_touch(struct fst *f)
+/* Increments the view version, so that entry daemons fetch the change. */
+void fst_bump_version(struct fst *f)
 {
 	f->version++;
 }
 
 /*
- * Packs a log entry. Time and sender are the leader's word, taken once, so
- * that each voter that applies the entry sees the same.
+ * Packs a log entry. The leader records the time and the sender in the entry,
+ * so that every voter applies the command with the same values.
  */
 void fst_entry_pack(struct pk_out *o, int64_t time_ms, struct lstr who,
 		    enum key_role role, struct lstr cmd)
@@ -102,14 +102,15 @@
 }
 
 /*
- * Applies the entry of an index, which must be above the last one's, and
- * packs its result (see fcm_result_unpack). Every entry has a result; none
- * stops a voter, since the next start would meet it again.
+ * Applies a log entry and packs its result (see fcm_result_unpack). The index
+ * must be above that of the last entry. A malformed entry gets an error
+ * result and does not stop the voter, because the voter would read the same
+ * entry again at its next start.
  */
 void fst_apply(struct fst *f, uint64_t index, struct lstr entry,
 	       struct pk_out *result)
 {
-	struct fst_run r = {
+	struct fst_exec ex = {
 		.f = f,
 		.index = index,
 		.time_ms = f->time_ms,
@@ -121,22 +122,22 @@
 
 	g_assert(index > f->index);
 	f->index = index;
-	if (fst_run_entry(&r, entry, &in, &cmd)) {
-		f->time_ms = r.time_ms;
+	if (fst_exec_parse_entry(&ex, entry, &in, &cmd)) {
+		f->time_ms = ex.time_ms;
 		fst_id_expire(f);
-		fst_run_cmd(&r, cmd, result);
+		fst_exec_command(&ex, cmd, result);
 		pk_in_done(&in);
 	} else {
-		fst_run_end(&r, PROTO_REFUSED, "not a log entry");
-		fst_run_audit(&r, LSTR(""), "", "");
-		fst_run_result(&r, result);
+		fst_exec_finish(&ex, PROTO_REFUSED, "not a log entry");
+		fst_audit_command(&ex, LSTR(""), "", "");
+		fst_exec_pack_result(&ex, result);
 	}
-	g_string_free(r.what, TRUE);
-	g_string_free(r.text, TRUE);
+	g_string_free(ex.what, TRUE);
+	g_string_free(ex.text, TRUE);
 }
 
-static bool fst_run_entry(struct fst_run *r, struct lstr entry,
-			  struct pk_in *in, struct lstr *cmd)
+static bool fst_exec_parse_entry(struct fst_exec *ex, struct lstr entry,
+				 struct pk_in *in, struct lstr *cmd)
 {
 	int64_t time_ms;
 	uint64_t role;
@@ -144,166 +145,172 @@
 	if (!pk_in_init(in, entry))
 		return false;
 	time_ms = pk_get_i(in);
-	r->who = pk_get_str(in);
+	ex->who = pk_get_str(in);
 	role = pk_get_u(in);
 	*cmd = pk_get_str(in);
 	if (!pk_in_ok(in) || pk_in_left(in) || role >= KEY_ROLES ||
-	    r->who.len > KEY_NAME_MAX || time_ms < 0 ||
+	    ex->who.len > KEY_NAME_MAX || time_ms < 0 ||
 	    time_ms > FST_TIME_MAX) {
 		pk_in_done(in);
 		return false;
 	}
-	r->role = (enum key_role)role;
-	/* A new leader's clock may be behind the last one's. */
-	r->time_ms = MAX(time_ms, r->f->time_ms);
+	ex->role = (enum key_role)role;
+	/* A new leader's clock may be behind the previous leader's. */
+	ex->time_ms = MAX(time_ms, ex->f->time_ms);
 	return true;
 }
 
-static void fst_run_cmd(struct fst_run *r, struct lstr bytes,
-			struct pk_out *result)
+static void fst_exec_command(struct fst_exec *ex, struct lstr bytes,
+			     struct pk_out *result)
 {
 	struct fcm_cmd cmd;
 	struct pk_in in;
 
 	if (fcm_decode(&cmd, &in, bytes)) {
-		r->cmd = &cmd;
-		fst_run_decoded(r, bytes, result);
-		r->cmd = NULL;
+		ex->cmd = &cmd;
+		fst_exec_decoded(ex, bytes, result);
+		ex->cmd = NULL;
 	} else {
-		fst_run_end(r, PROTO_REFUSED, "not a command");
-		fst_run_audit(r, r->who, key_role_name(r->role), "");
-		fst_run_result(r, result);
+		fst_exec_finish(ex, PROTO_REFUSED, "not a command");
+		fst_audit_command(ex, ex->who, key_role_name(ex->role), "");
+		fst_exec_pack_result(ex, result);
 	}
 	pk_in_done(&in);
 }
 
-static void fst_run_decoded(struct fst_run *r, struct lstr bytes,
-			    struct pk_out *result)
+static void fst_exec_decoded(struct fst_exec *ex, struct lstr bytes,
+			     struct pk_out *result)
 {
-	char *key = fst_id_key(r->who, r->cmd->id);
-	const struct fst_id *id = fst_id_find(r->f, key);
-	uint8_t digest[FST_DIGEST];
+	char *key = fst_id_key(ex->who, ex->cmd->id);
+	const struct fst_id *id = fst_id_find(ex->f, key);
+	uint8_t digest[FST_DIGEST_BYTES];
 
-	fcm_describe(r->cmd, r->what);
+	fcm_describe(ex->cmd, ex->what);
 	crypto_generichash(digest, sizeof(digest),
 			   (const unsigned char *)bytes.p, bytes.len, NULL, 0);
 	if (!id) {
-		fst_run_first(r, result);
-		if (r->code != PROTO_FORBIDDEN &&
-		    r->code != PROTO_OUTCOME_UNKNOWN)
-			fst_id_add(r->f, key, r->cmd->made_ms, digest,
+		fst_exec_new(ex, result);
+		if (ex->code != PROTO_FORBIDDEN &&
+		    ex->code != PROTO_OUTCOME_UNKNOWN)
+			fst_id_add(ex->f, key, ex->cmd->made_ms, digest,
 				   pk_out_view(result));
 	} else if (memcmp(id->digest, digest, sizeof(digest)) == 0) {
 		/*
-		 * A resend: the operator lost the answer, not the command. It
-		 * gets the first one's result and changes nothing.
+		 * A resend of a command whose answer was lost. It gets the
+		 * result of the first sending and is not applied again.
 		 */
 		gsize len;
 		const char *p = g_bytes_get_data(id->result, &len);
 
 		msgpack_sbuffer_write(&result->buf, p, len);
 	} else {
-		fst_run_end(r, PROTO_REFUSED,
-			    "identity stands for another command");
-		fst_run_audit(r, r->who, key_role_name(r->role),
-			      fcm_defs[r->cmd->kind].name);
-		fst_run_result(r, result);
+		fst_exec_finish(ex, PROTO_REFUSED,
+				"identity stands for another command");
+		fst_audit_command(ex, ex->who, key_role_name(ex->role),
+				  fcm_defs[ex->cmd->kind].name);
+		fst_exec_pack_result(ex, result);
 	}
 	g_free(key);
 }
 
-/* A command that is met for the first time. */
-static void fst_run_first(struct fst_run *r, struct pk_out *result)
+/* Executes a command that is not a resend. */
+static void fst_exec_new(struct fst_exec *ex, struct pk_out *result)
 {
-	if (!fst_run_refused(r))
-		fst_doers[r->cmd->kind](r);
-	fst_run_audit(r, r->who, key_role_name(r->role),
-		      fcm_defs[r->cmd->kind].name);
-	fst_run_result(r, result);
+	if (!fst_exec_reject(ex))
+		fst_handlers[ex->cmd->kind](ex);
+	fst_audit_command(ex, ex->who, key_role_name(ex->role),
+			  fcm_defs[ex->cmd->kind].name);
+	fst_exec_pack_result(ex, result);
 }
 
-/* What is decided before the kind of command matters. */
-static bool fst_run_refused(struct fst_run *r)
+/*
+ * Checks the role and the time of a command, whatever its kind. Returns true
+ * if the command is rejected; its result is then set.
+ */
+static bool fst_exec_reject(struct fst_exec *ex)
 {
-	const struct fcm_cmd *c = r->cmd;
+	const struct fcm_cmd *c = ex->cmd;
 	const struct fcm_def *def = &fcm_defs[c->kind];
 
-	if (r->role < def->role)
-		fst_run_end(r, PROTO_FORBIDDEN,
-			    "%s needs role %s; the key has %s", def->name,
-			    key_role_name(def->role), key_role_name(r->role));
-	else if (c->made_ms <= r->f->id_floor_ms)
+	if (ex->role < def->role)
+		fst_exec_finish(ex, PROTO_FORBIDDEN,
+				"%s needs role %s; the key has %s", def->name,
+				key_role_name(def->role),
+				key_role_name(ex->role));
+	else if (c->made_ms <= ex->f->id_floor_ms)
 		/*
-		 * It may be the resend of a command that took effect and whose
-		 * identity is forgotten; applied, it would take effect twice.
+		 * This may be the resend of a command that took effect and
+		 * whose ID was evicted; applying it would repeat the effect.
 		 */
-		fst_run_end(r, PROTO_OUTCOME_UNKNOWN,
-			    "made before the window of identities; look in the "
-			    "audit trail whether it was done, then make it "
-			    "anew");
-	else if (c->made_ms > r->time_ms + FST_CLOCK_AHEAD_MS)
-		fst_run_end(r, PROTO_REFUSED,
-			    "the client's clock is more than %d s ahead",
-			    (int)(FST_CLOCK_AHEAD_MS / 1000));
+		fst_exec_finish(
+			ex, PROTO_OUTCOME_UNKNOWN,
+			"made before the window of identities; look in the "
+			"audit trail whether it was done, then make it "
+			"anew");
+	else if (c->made_ms > ex->time_ms + FST_CLOCK_AHEAD_MS)
+		fst_exec_finish(ex, PROTO_REFUSED,
+				"the client's clock is more than %d s ahead",
+				(int)(FST_CLOCK_AHEAD_MS / 1000));
 	else
 		return false;
 	return true;
 }
 
-/* Ends a command with a code and what the operator reads. */
-void fst_run_end(struct fst_run *r, enum proto_result code, const char *fmt,
-		 ...)
+/* Sets a command's result code and the text that the operator reads. */
+void fst_exec_finish(struct fst_exec *ex, enum proto_result code,
+		     const char *fmt, ...)
 {
 	va_list ap;
 
-	r->code = code;
+	ex->code = code;
 	va_start(ap, fmt);
-	g_string_vprintf(r->text, fmt, ap);
+	g_string_vprintf(ex->text, fmt, ap);
 	va_end(ap);
-	if (r->text->len > FST_TEXT_MAX) {
-		const char *cut = r->text->str + FST_TEXT_MAX;
+	if (ex->text->len > FST_RESULT_TEXT_MAX) {
+		const char *cut = ex->text->str + FST_RESULT_TEXT_MAX;
 
-		cut = g_utf8_find_prev_char(r->text->str, cut + 1);
-		g_string_truncate(r->text, (gsize)(cut - r->text->str));
+		cut = g_utf8_find_prev_char(ex->text->str, cut + 1);
+		g_string_truncate(ex->text, (gsize)(cut - ex->text->str));
 	}
 }
 
 /*
- * Whether something was changed since the operator looked at it: two who
- * changed the same from the same state would otherwise undo each other
- * unseen. The result names who, when and what.
+ * Returns whether an object has changed since the version (base) that the
+ * operator's command was made from; the conflict result then names who made
+ * which change and when. Without this check, two operators who change the
+ * same object would undo each other's change without noticing.
  */
-bool fst_run_conflicts(struct fst_run *r, const struct fst_stamp *s,
-		       uint64_t base)
+bool fst_exec_has_conflict(struct fst_exec *ex, const struct fst_stamp *s,
+			   uint64_t base)
 {
 	char *when;
 
-	r->from = base == FCM_ANY_BASE ? 0 : base;
+	ex->from = base == FCM_ANY_BASE ? 0 : base;
 	if (base == FCM_ANY_BASE || base == s->index)
 		return false;
-	when = fst_time_text(s->time_ms);
+	when = fst_format_time(s->time_ms);
 	if (s->index)
-		fst_run_end(r, PROTO_CONFLICT,
-			    "changed meanwhile by %s at %s: %s", s->who, when,
-			    s->what);
+		fst_exec_finish(ex, PROTO_CONFLICT,
+				"changed meanwhile by %s at %s: %s", s->who,
+				when, s->what);
 	else
-		fst_run_end(r, PROTO_CONFLICT, "was never changed before");
+		fst_exec_finish(ex, PROTO_CONFLICT, "was never changed before");
 	g_free(when);
 	return true;
 }
 
-/* Notes in the audit trail what follows from a command by itself. */
-void fst_run_auto(struct fst_run *r, const char *fmt, ...)
+/* Records in the audit trail an automatic consequence of a command. */
+void fst_audit_automatic(struct fst_exec *ex, const char *fmt, ...)
 {
 	char *what;
 	va_list ap;
 	struct fau_rec rec = {
-		.index = r->index,
-		.time_ms = r->time_ms,
+		.index = ex->index,
+		.time_ms = ex->time_ms,
 		.who = LSTR("endiveslip"),
 		.role = LSTR("automatic"),
 		.kind = LSTR("follows"),
-		.from = r->index,
+		.from = ex->index,
 		.outcome = LSTR("accepted"),
 	};
 
@@ -311,60 +318,60 @@
 	what = g_strdup_vprintf(fmt, ap);
 	va_end(ap);
 	rec.what = lstr_from(what);
-	fau_add(r->f->audit, &rec);
+	fau_add(ex->f->audit, &rec);
 	g_free(what);
 }
 
-static void fst_run_audit(struct fst_run *r, struct lstr who, const char *role,
-			  const char *kind)
+static void fst_audit_command(struct fst_exec *ex, struct lstr who,
+			      const char *role, const char *kind)
 {
 	struct fau_rec rec = {
-		.index = r->index,
-		.time_ms = r->time_ms,
+		.index = ex->index,
+		.time_ms = ex->time_ms,
 		.who = who,
 		.role = lstr_from(role),
 		.kind = lstr_from(kind),
-		.what = lstr_n(r->what->str, r->what->len),
-		/* A base that means "any", or garbage, still reads back. */
-		.from = r->from <= INT64_MAX ? r->from : 0,
-		.outcome = lstr_from(fcm_outcome_name(r->code)),
-		.text = lstr_n(r->text->str, r->text->len),
+		.what = lstr_n(ex->what->str, ex->what->len),
+		/* Records hold values up to INT64_MAX; larger ones become 0. */
+		.from = ex->from <= INT64_MAX ? ex->from : 0,
+		.outcome = lstr_from(fcm_outcome_name(ex->code)),
+		.text = lstr_n(ex->text->str, ex->text->len),
 	};
 
-	fau_add(r->f->audit, &rec);
+	fau_add(ex->f->audit, &rec);
 }
 
-static void fst_run_result(const struct fst_run *r, struct pk_out *o)
+static void fst_exec_pack_result(const struct fst_exec *ex, struct pk_out *o)
 {
-	const struct fst_config *c = fst_config_last(r->f);
+	const struct fst_config *c = fst_config_last(ex->f);
 	struct fcm_result result = {
-		.code = r->code,
-		.index = r->index,
-		.version = r->f->version,
+		.code = ex->code,
+		.index = ex->index,
+		.version = ex->f->version,
 		.number = c ? c->number : 0,
-		.text = r->text->str,
+		.text = ex->text->str,
 	};
 
 	fcm_result_pack(&result, o);
 }
 
-/* An automatic act that changes nothing else here. */
-void fst_do_note(struct fst_run *r)
+/* Handles a note, which only adds a record to the audit trail. */
+void fst_handle_note(struct fst_exec *ex)
 {
-	fst_run_end(r, PROTO_OK, "noted");
+	fst_exec_finish(ex, PROTO_OK, "noted");
 }
 
-/* The present command is the last change of something. */
-void fst_stamp_set(struct fst_stamp *s, const struct fst_run *r)
+/* Records the current command as the last change of an object. */
+void fst_stamp_update(struct fst_stamp *s, const struct fst_exec *ex)
 {
 	fst_stamp_clear(s);
-	s->index = r->index;
-	s->time_ms = r->time_ms;
-	s->who = lstr_dup(r->who);
-	s->what = g_strndup(r->what->str, r->what->len);
+	s->index = ex->index;
+	s->time_ms = ex->time_ms;
+	s->who = lstr_dup(ex->who);
+	s->what = g_strndup(ex->what->str, ex->what->len);
 }
 
-/* Frees what a stamp holds. */
+/* Frees the strings of a stamp and zeroes it. */
 void fst_stamp_clear(struct fst_stamp *s)
 {
 	g_free(s->who);
@@ -372,8 +379,11 @@
 	*s = (struct fst_stamp){0};
 }
 
-/* A time of the log as 2026-12-02T21:30:00Z; freed with g_free. */
-char *fst_time_text(int64_t time_ms)
+/*
+ * Formats a log time in ms since the epoch as 2026-12-02T21:30:00Z. The
+ * caller frees the text with g_free.
+ */
+char *fst_format_time(int64_t time_ms)
 {
 	GDateTime *t = g_date_time_new_from_unix_utc(time_ms / 1000);
 	char *text;
--- a/src/fst.h
+++ b/src/fst.h
@@ -1,6 +1,8 @@
 #ifndef FST_H
 #define FST_H
 
+/* fst: the replicated state machine that holds the fleet state. */
+
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -12,16 +14,16 @@
 #include "proto.h"
 
 /*
- * The replicated fleet state: what the voters agree on. It changes only by
- * entries applied in order of their index, gives the same bytes on every
- * voter, and reads no clock, file or socket.
+ * The fleet state that the voters replicate. It is deterministic: it changes
+ * only through log entries applied in index order, serialises to the same
+ * bytes on every voter, and reads no clock, file or socket.
  */
 struct fst;
 
 struct fst *fst_new(void);
 void fst_free(struct fst *f);
 
-/* A log entry: what the leader adds to a client's command. */
+/* Log entries: a client's command with the time and sender of the leader. */
 void fst_entry_pack(struct pk_out *o, int64_t time_ms, struct lstr who,
 		    enum key_role role, struct lstr cmd);
 void fst_apply(struct fst *f, uint64_t index, struct lstr entry,
@@ -31,28 +33,28 @@
 void fst_query(const struct fst *f, struct lstr name, struct lstr arg,
 	       struct pk_out *result);
 
-/* What entry daemons work by; the version grows with every change of it. */
+/* The view for entry daemons; every change of it increments the version. */
 uint64_t fst_version(const struct fst *f);
 void fst_view(const struct fst *f, struct pk_out *o);
 void fst_view_zone(const struct fst *f, struct lstr zone, struct pk_out *o);
 void fst_view_since(const struct fst *f, struct lstr zone, uint64_t from,
 		    struct pk_out *o);
 
-/* Where a VM stands on its way between pools. */
+/* Phase of a VM's move between pools. */
 enum fst_phase {
-	FST_SETTLED,
-	FST_RELEASING, /* entry daemons let go of it; no new work */
-	FST_RELEASED, /* none can place there any more */
+	FST_SETTLED, /* not moving */
+	FST_RELEASING, /* entry daemons stop placing work on it */
+	FST_RELEASED, /* no entry daemon can place work on it any more */
 };
 
-/* The membership of a VM; strings live until the next fst_apply. */
+/* A VM's pool membership; its strings are valid until the next fst_apply. */
 struct fst_member {
 	const char *vm;
 	const char *pool;
-	const char *to; /* pool it moves to, or NULL */
+	const char *to; /* pool that the VM moves to, or NULL */
 	enum fst_phase phase;
-	uint64_t epoch;
-	uint64_t since; /* view version that first showed this */
+	uint64_t epoch; /* incremented when a move begins or ends */
+	uint64_t since; /* view version of the last change of this VM */
 	bool drained;
 };
 
--- a/src/fst_id.c
+++ b/src/fst_id.c
@@ -1,46 +1,47 @@
 #include "fst_in.h"
 
 /*
- * Identities of commands and the first result of each, within a window that
- * is bounded in time and in number.
+ * Deduplication of commands: stores the ID of each command with the result of
+ * its first sending, within a window bounded in time and in number.
  */
 
-static void fst_id_drop_first(struct fst *f);
+static void fst_id_evict_oldest(struct fst *f);
 
-/* Whose command it is and which: freed with g_free. */
+/* Returns the key of a command, SENDER\nID; the caller frees it with g_free. */
 char *fst_id_key(struct lstr who, struct lstr id)
 {
 	return g_strdup_printf(LSTR_FMT "\n" LSTR_FMT, LSTR_ARG(who),
 			       LSTR_ARG(id));
 }
 
-/* The identity's record, or NULL where it is not (or no longer) known. */
+/* Returns the record of a command, or NULL if there is none (any more). */
 const struct fst_id *fst_id_find(const struct fst *f, const char *key)
 {
 	return g_hash_table_lookup(f->ids, key);
 }
 
-/* Remembers the first result of a command. */
+/* Stores the result of a command's first sending. */
 void fst_id_add(struct fst *f, const char *key, int64_t made_ms,
 		const uint8_t *digest, struct lstr result)
 {
 	struct fst_id *id = g_new0(struct fst_id, 1);
 
 	id->key = g_strdup(key);
-	/* A clock far ahead must not keep an identity for ever. */
+	/* A client clock far ahead must not keep the ID stored for ever. */
 	id->made_ms = MIN(made_ms, f->time_ms + FST_CLOCK_AHEAD_MS);
-	memcpy(id->digest, digest, FST_DIGEST);
+	memcpy(id->digest, digest, FST_DIGEST_BYTES);
 	id->result = g_bytes_new(result.p, result.len);
-	id->at = g_sequence_insert_sorted(f->ids_by_made, id, fst_id_order,
-					  NULL);
+	id->iter = g_sequence_insert_sorted(f->ids_by_made, id, fst_compare_ids,
+					    NULL);
 	g_hash_table_insert(f->ids, id->key, id);
 	if (g_hash_table_size(f->ids) > FST_IDS_MAX)
-		fst_id_drop_first(f);
+		fst_id_evict_oldest(f);
 }
 
 /*
- * Forgets identities that left the window. The floor rises with it, so that
- * what is forgotten can't be applied again: a resend gets "unknown" instead.
+ * Evicts the IDs that have left the window and raises id_floor_ms with them,
+ * so that an evicted command is not applied again: its resend gets
+ * PROTO_OUTCOME_UNKNOWN.
  */
 void fst_id_expire(struct fst *f)
 {
@@ -51,11 +52,11 @@
 
 		if (id->made_ms > f->id_floor_ms)
 			return;
-		fst_id_drop_first(f);
+		fst_id_evict_oldest(f);
 	}
 }
 
-static void fst_id_drop_first(struct fst *f)
+static void fst_id_evict_oldest(struct fst *f)
 {
 	GSequenceIter *first = g_sequence_get_begin_iter(f->ids_by_made);
 	const struct fst_id *id = g_sequence_get(first);
@@ -65,7 +66,7 @@
 	g_sequence_remove(first);
 }
 
-/* Frees an identity's record. */
+/* Frees the record of a command (struct fst_id). */
 void fst_id_free(gpointer p)
 {
 	struct fst_id *id = p;
@@ -75,8 +76,8 @@
 	g_free(id);
 }
 
-/* Order of the window: by the time the command was made, then by key. */
-int fst_id_order(gconstpointer a, gconstpointer b, gpointer arg)
+/* Compares records by the time the command was made, then by key. */
+int fst_compare_ids(gconstpointer a, gconstpointer b, gpointer arg)
 {
 	const struct fst_id *x = a;
 	const struct fst_id *y = b;
--- a/src/fst_keep.c
+++ b/src/fst_keep.c
@@ -1,58 +1,60 @@
 #include "fst_in.h"
 
 /*
- * Who holds each zone's memory of idempotency keys. The entry daemons propose;
- * the log decides, so that no two of them go on with different keepers.
+ * The key replicas of each zone: the entry daemons that store its idempotency
+ * records. Entry daemons propose a set; the replicated log decides, so that
+ * no two entry daemons use different sets.
  */
 
-static struct fvw_keepers *fst_keepers_find(const struct fst *f,
-					    struct lstr zone);
-static int fst_keepers_order(gconstpointer a, gconstpointer b);
+static struct fvw_keepers *fst_key_replicas_find(const struct fst *f,
+						 struct lstr zone);
+static int fst_compare_zones(gconstpointer a, gconstpointer b);
 
 /*
- * Sets a zone's keepers if they follow the present ones: of two proposals from
- * the same view one is accepted, the other is a conflict and is thought over.
+ * Handles FCM_KEEPERS: replaces a zone's key replicas if the proposal has
+ * the next number. Of two proposals made from the same view one is accepted;
+ * the other gets a conflict, and its sender proposes anew.
  */
-void fst_do_keepers(struct fst_run *r)
+void fst_handle_key_replicas(struct fst_exec *ex)
 {
-	const struct fcm_keepers *c = &r->cmd->keepers;
-	struct fvw_keepers *k = fst_keepers_find(r->f, c->zone);
+	const struct fcm_keepers *c = &ex->cmd->keepers;
+	struct fvw_keepers *k = fst_key_replicas_find(ex->f, c->zone);
 	struct fvw_keepers *next;
 	bool lost = k && k->epoch != c->epoch;
 	guint i;
 
 	if (c->number != (k ? k->number : 0) + 1 || c->epoch == 0) {
-		fst_run_end(r, PROTO_CONFLICT, "number %llu is in force",
-			    (unsigned long long)(k ? k->number : 0));
+		fst_exec_finish(ex, PROTO_CONFLICT, "number %llu is in force",
+				(unsigned long long)(k ? k->number : 0));
 		return;
 	}
-	if (!k && r->f->keepers->len >= FST_KEEPERS_MAX) {
-		fst_run_end(r, PROTO_REFUSED, "allowed: up to %d zones",
-			    FST_KEEPERS_MAX);
+	if (!k && ex->f->keepers->len >= FST_KEY_ZONES_MAX) {
+		fst_exec_finish(ex, PROTO_REFUSED, "allowed: up to %d zones",
+				FST_KEY_ZONES_MAX);
 		return;
 	}
 	for (i = 0; i < c->n; i++) {
 		if (fvw_keeper_ok(c->names[i]))
 			continue;
-		fst_run_end(r, PROTO_REFUSED,
-			    "keeper " LSTR_FMT "; allowed: NODE/BOOT",
-			    LSTR_ARG(c->names[i]));
+		fst_exec_finish(ex, PROTO_REFUSED,
+				"keeper " LSTR_FMT "; allowed: NODE/BOOT",
+				LSTR_ARG(c->names[i]));
 		return;
 	}
 	next = fvw_keepers_new(c->zone, c->epoch, c->number);
 	for (i = 0; i < c->n; i++)
 		g_ptr_array_add(next->names, lstr_dup(c->names[i]));
 	if (k)
-		g_ptr_array_remove(r->f->keepers, k);
-	g_ptr_array_add(r->f->keepers, next);
-	g_ptr_array_sort(r->f->keepers, fst_keepers_order);
-	fst_touch(r->f);
-	fst_run_end(r, PROTO_OK, "in force%s",
-		    lost ? "; the memory before is lost" : "");
+		g_ptr_array_remove(ex->f->keepers, k);
+	g_ptr_array_add(ex->f->keepers, next);
+	g_ptr_array_sort(ex->f->keepers, fst_compare_zones);
+	fst_bump_version(ex->f);
+	fst_exec_finish(ex, PROTO_OK, "in force%s",
+			lost ? "; the memory before is lost" : "");
 }
 
-/* Packs all zones' keepers. */
-void fst_keepers_pack(const struct fst *f, struct pk_out *o)
+/* Packs the key replicas of all zones. */
+void fst_key_replicas_pack(const struct fst *f, struct pk_out *o)
 {
 	guint i;
 
@@ -61,8 +63,8 @@
 		fvw_keepers_pack(g_ptr_array_index(f->keepers, i), o);
 }
 
-/* Reads what fst_keepers_pack wrote. */
-bool fst_keepers_unpack(struct fst *f, struct pk_in *in)
+/* Reads the output of fst_key_replicas_pack; returns false if malformed. */
+bool fst_key_replicas_unpack(struct fst *f, struct pk_in *in)
 {
 	struct pk_in list = pk_get_arr(in);
 	struct fvw_keepers *k;
@@ -76,8 +78,8 @@
 	return pk_in_ok(&list);
 }
 
-static struct fvw_keepers *fst_keepers_find(const struct fst *f,
-					    struct lstr zone)
+static struct fvw_keepers *fst_key_replicas_find(const struct fst *f,
+						 struct lstr zone)
 {
 	guint i;
 
@@ -90,7 +92,7 @@
 	return NULL;
 }
 
-static int fst_keepers_order(gconstpointer a, gconstpointer b)
+static int fst_compare_zones(gconstpointer a, gconstpointer b)
 {
 	const struct fvw_keepers *const *x = a;
 	const struct fvw_keepers *const *y = b;
--- a/src/fst_node.c
+++ b/src/fst_node.c
@@ -1,68 +1,71 @@
 #include "fst_in.h"
 
 /*
- * The entry daemons that may place work. A move waits for each of the VM's
- * zone, so they stand in the replicated state: a leader that has just come up
- * has heard of few of them, and would else take silence for consent.
+ * The entry daemons that may place work. A move of a VM waits for every entry
+ * daemon of its zone, so the list is part of the replicated state: a new
+ * leader has heard from only a few of them and would otherwise treat the
+ * others as having released the VM.
  */
 
-static int fst_node_order(gconstpointer a, gconstpointer b);
+static int fst_compare_nodes(gconstpointer a, gconstpointer b);
 
 /*
- * An entry daemon joins. It is given no view before this is accepted, so that
- * none works by a view without being waited for.
+ * Handles FCM_JOIN: registers an entry daemon. It gets no view before it is
+ * registered, so that moves wait for every entry daemon that uses a view.
  */
-void fst_do_join(struct fst_run *r)
+void fst_handle_join(struct fst_exec *ex)
 {
-	const struct fcm_node *c = &r->cmd->node;
-	struct fst_node *n = fst_node_find(r->f, c->node);
+	const struct fcm_node *c = &ex->cmd->node;
+	struct fst_node *n = fst_node_find(ex->f, c->node);
 
 	if (n && lstr_eq(c->zone, lstr_from(n->zone))) {
-		fst_run_end(r, PROTO_OK, "was known already");
+		fst_exec_finish(ex, PROTO_OK, "was known already");
 		return;
 	}
 	if (n) {
-		fst_run_end(r, PROTO_REFUSED,
-			    "%s is of zone %s; allowed: one name in the fleet",
-			    n->name, n->zone);
+		fst_exec_finish(
+			ex, PROTO_REFUSED,
+			"%s is of zone %s; allowed: one name in the fleet",
+			n->name, n->zone);
 		return;
 	}
-	if (r->f->nodes->len >= FST_NODES_MAX) {
-		fst_run_end(r, PROTO_REFUSED, "allowed: up to %d entry daemons",
-			    FST_NODES_MAX);
+	if (ex->f->nodes->len >= FST_NODES_MAX) {
+		fst_exec_finish(ex, PROTO_REFUSED,
+				"allowed: up to %d entry daemons",
+				FST_NODES_MAX);
 		return;
 	}
 	n = g_new0(struct fst_node, 1);
 	n->name = lstr_dup(c->node);
 	n->zone = lstr_dup(c->zone);
-	fst_stamp_set(&n->stamp, r);
-	g_ptr_array_add(r->f->nodes, n);
-	g_ptr_array_sort(r->f->nodes, fst_node_order);
-	fst_run_end(r, PROTO_OK, "joined");
+	fst_stamp_update(&n->stamp, ex);
+	g_ptr_array_add(ex->f->nodes, n);
+	g_ptr_array_sort(ex->f->nodes, fst_compare_nodes);
+	fst_exec_finish(ex, PROTO_OK, "joined");
 }
 
-/* An entry daemon is gone for good: no move waits for it any more. */
-void fst_do_forget(struct fst_run *r)
+/* Handles FCM_FORGET: removes an entry daemon; moves no longer wait for it. */
+void fst_handle_forget(struct fst_exec *ex)
 {
-	const struct fcm_node *c = &r->cmd->node;
-	struct fst_node *n = fst_node_find(r->f, c->node);
+	const struct fcm_node *c = &ex->cmd->node;
+	struct fst_node *n = fst_node_find(ex->f, c->node);
 
 	if (!n) {
-		fst_run_end(r, PROTO_REFUSED, "no entry daemon " LSTR_FMT,
-			    LSTR_ARG(c->node));
+		fst_exec_finish(ex, PROTO_REFUSED, "no entry daemon " LSTR_FMT,
+				LSTR_ARG(c->node));
 		return;
 	}
-	g_ptr_array_remove(r->f->nodes, n);
-	fst_run_end(r, PROTO_OK, "forgotten");
+	g_ptr_array_remove(ex->f->nodes, n);
+	fst_exec_finish(ex, PROTO_OK, "forgotten");
 }
 
-/* How many entry daemons may place work. */
+/* Returns the number of registered entry daemons. */
 guint fst_nodes(const struct fst *f)
 {
 	return f->nodes->len;
 }
 
-/* Name and zone of the entry daemon at place i in order of name. */
+/* Returns name and zone of the i-th registered entry daemon, by name. */
 void fst_node(const struct fst *f, guint i, const char **name,
 	      const char **zone)
 {
@@ -72,7 +75,10 @@
 	*zone = n->zone;
 }
 
-/* Whether an entry daemon has joined from that zone, and may get views. */
+/*
+ * Returns whether an entry daemon is registered in that zone, and so may get
+ * views.
+ */
 bool fst_node_known(const struct fst *f, struct lstr node, struct lstr zone)
 {
 	const char *known = fst_node_zone(f, node);
@@ -80,7 +86,7 @@
 	return known && lstr_eq(zone, lstr_from(known));
 }
 
-/* The zone an entry daemon has joined from, or NULL. */
+/* Returns the zone of a registered entry daemon, or NULL. */
 const char *fst_node_zone(const struct fst *f, struct lstr node)
 {
 	const struct fst_node *n = fst_node_find(f, node);
@@ -88,7 +94,7 @@
 	return n ? n->zone : NULL;
 }
 
-/* The entry daemon of that name, or NULL. */
+/* Returns the entry daemon of that name, or NULL. */
 struct fst_node *fst_node_find(const struct fst *f, struct lstr name)
 {
 	guint i;
@@ -102,7 +108,7 @@
 	return NULL;
 }
 
-/* Frees an entry daemon's record. */
+/* Frees the record of an entry daemon (struct fst_node). */
 void fst_node_free(gpointer p)
 {
 	struct fst_node *n = p;
@@ -113,7 +119,7 @@
 	g_free(n);
 }
 
-static int fst_node_order(gconstpointer a, gconstpointer b)
+static int fst_compare_nodes(gconstpointer a, gconstpointer b)
 {
 	const struct fst_node *const *x = a;
 	const struct fst_node *const *y = b;
--- a/src/fst_query.c
+++ b/src/fst_query.c
@@ -4,30 +4,30 @@
 
 #include "qtb.h"
 
-/* Queries: each gives a table (see qtb) or says what is wrong. */
-
-#define FST_AUDIT_PAGE 1000
-
-static void fst_q_config(const struct fst *f, struct lstr arg,
-			 struct pk_out *result);
-static void fst_q_history(const struct fst *f, struct lstr arg,
-			  struct pk_out *result);
-static void fst_q_show(const struct fst *f, struct lstr arg,
-		       struct pk_out *result);
-static void fst_q_audit(const struct fst *f, struct lstr arg,
-			struct pk_out *result);
-static void fst_q_status(const struct fst *f, struct lstr arg,
-			 struct pk_out *result);
-static void fst_q_vms(const struct fst *f, struct lstr arg,
-		      struct pk_out *result);
-static void fst_q_moves(const struct fst *f, struct lstr arg,
-			struct pk_out *result);
-static void fst_q_pools(const struct fst *f, struct lstr arg,
-			struct pk_out *result);
-static void fst_q_drains(const struct fst *f, struct lstr arg,
-			 struct pk_out *result);
-static void fst_q_entries(const struct fst *f, struct lstr arg,
+/* Queries of the fleet state. Each returns a table (see qtb) or an error. */
+
+#define FST_AUDIT_PAGE_ROWS 1000
+
+static void fst_query_config(const struct fst *f, struct lstr arg,
+			     struct pk_out *result);
+static void fst_query_history(const struct fst *f, struct lstr arg,
+			      struct pk_out *result);
+static void fst_query_show(const struct fst *f, struct lstr arg,
+			   struct pk_out *result);
+static void fst_query_audit(const struct fst *f, struct lstr arg,
+			    struct pk_out *result);
+static void fst_query_status(const struct fst *f, struct lstr arg,
+			     struct pk_out *result);
+static void fst_query_vms(const struct fst *f, struct lstr arg,
 			  struct pk_out *result);
+static void fst_query_moves(const struct fst *f, struct lstr arg,
+			    struct pk_out *result);
+static void fst_query_pools(const struct fst *f, struct lstr arg,
+			    struct pk_out *result);
+static void fst_query_drains(const struct fst *f, struct lstr arg,
+			     struct pk_out *result);
+static void fst_query_entries(const struct fst *f, struct lstr arg,
+			      struct pk_out *result);
 static void fst_put_time(struct pk_out *o, int64_t time_ms);
 
 static const struct {
@@ -35,16 +35,16 @@
 	void (*run)(const struct fst *f, struct lstr arg,
 		    struct pk_out *result);
 } fst_queries[] = {
-	{"config", fst_q_config}, {"history", fst_q_history},
-	{"show", fst_q_show},	  {"audit", fst_q_audit},
-	{"status", fst_q_status}, {"vms", fst_q_vms},
-	{"moves", fst_q_moves},	  {"pools", fst_q_pools},
-	{"drains", fst_q_drains}, {"entries", fst_q_entries},
+	{"config", fst_query_config}, {"history", fst_query_history},
+	{"show", fst_query_show},     {"audit", fst_query_audit},
+	{"status", fst_query_status}, {"vms", fst_query_vms},
+	{"moves", fst_query_moves},   {"pools", fst_query_pools},
+	{"drains", fst_query_drains}, {"entries", fst_query_entries},
 };
 
 /*
- * Answers a query of that name, or PROTO_REFUSED where there is none. Reads
- * an operator decides on are the caller's to make linearizable.
+ * Answers the query of that name; PROTO_REFUSED if there is none. The caller
+ * ensures linearizability where an operator decides by the answer.
  */
 void fst_query(const struct fst *f, struct lstr name, struct lstr arg,
 	       struct pk_out *result)
@@ -62,15 +62,15 @@
 
 static void fst_put_time(struct pk_out *o, int64_t time_ms)
 {
-	char *text = fst_time_text(time_ms);
+	char *text = fst_format_time(time_ms);
 
 	pk_cstr(o, text);
 	g_free(text);
 }
 
-/* Files of the configuration of a number, or of the one in force. */
-static void fst_q_config(const struct fst *f, struct lstr arg,
-			 struct pk_out *result)
+/* Lists the files of the configuration with number arg; "": the newest. */
+static void fst_query_config(const struct fst *f, struct lstr arg,
+			     struct pk_out *result)
 {
 	static const char *const cols[] = {"number", "file", "text"};
 	const struct fst_config *c = fst_config_last(f);
@@ -111,8 +111,8 @@
 	qtb_finish(&t, result);
 }
 
-static void fst_q_history(const struct fst *f, struct lstr arg,
-			  struct pk_out *result)
+static void fst_query_history(const struct fst *f, struct lstr arg,
+			      struct pk_out *result)
 {
 	static const char *const cols[] = {"number", "version", "time",
 					   "who",    "text",	"what"};
@@ -134,7 +134,7 @@
 	qtb_finish(&t, result);
 }
 
-/* Effective values of each object of a site with where each came from. */
+/* Adds the effective values of each object of a site, with their origin. */
 static void fst_show_site(const struct fst *f, const struct cfg_obj *site,
 			  struct qtb *t)
 {
@@ -166,8 +166,8 @@
 	}
 }
 
-static void fst_q_show(const struct fst *f, struct lstr arg,
-		       struct pk_out *result)
+static void fst_query_show(const struct fst *f, struct lstr arg,
+			   struct pk_out *result)
 {
 	static const char *const cols[] = {"site", "section", "key", "value",
 					   "from"};
@@ -221,9 +221,9 @@
 	pk_in_done(&in);
 }
 
-/* "AFTER": a page of records that follow that number; "": the last page. */
-static void fst_q_audit(const struct fst *f, struct lstr arg,
-			struct pk_out *result)
+/* Lists one page of records after sequence number arg; "": the last page. */
+static void fst_query_audit(const struct fst *f, struct lstr arg,
+			    struct pk_out *result)
 {
 	static const char *const cols[] = {"seq",  "index", "time_ms",
 					   "who",  "role",  "kind",
@@ -231,7 +231,7 @@
 					   "text", "prev",  "hash"};
 	uint64_t last = fau_last(f->audit);
 	unsigned long long after =
-		last > FST_AUDIT_PAGE ? last - FST_AUDIT_PAGE : 0;
+		last > FST_AUDIT_PAGE_ROWS ? last - FST_AUDIT_PAGE_ROWS : 0;
 	struct qtb t;
 	uint64_t seq;
 
@@ -241,14 +241,14 @@
 	}
 	qtb_init(&t, cols, G_N_ELEMENTS(cols));
 	seq = MAX(after, fau_first(f->audit) - 1);
-	while (seq < last && t.n_rows < FST_AUDIT_PAGE)
+	while (seq < last && t.n_rows < FST_AUDIT_PAGE_ROWS)
 		fst_put_audit(f, ++seq, &t);
 	qtb_finish(&t, result);
 }
 
-/* What became of a command, by its identity and whoever sent it. */
-static void fst_q_status(const struct fst *f, struct lstr arg,
-			 struct pk_out *result)
+/* Lists the results of the commands with ID arg, one row per sender. */
+static void fst_query_status(const struct fst *f, struct lstr arg,
+			     struct pk_out *result)
 {
 	static const char *const cols[] = {"id",      "who",   "code",
 					   "outcome", "index", "version",
@@ -320,9 +320,9 @@
 					  "drained", "epoch", "since", "stamp",
 					  "time",    "who",   "what"};
 
-/* All VMs, or the one of that name, or those of a pool, zone or site. */
-static void fst_q_vms(const struct fst *f, struct lstr arg,
-		      struct pk_out *result)
+/* Lists all VMs, or those whose name, pool, zone or site is arg. */
+static void fst_query_vms(const struct fst *f, struct lstr arg,
+			  struct pk_out *result)
 {
 	struct qtb t;
 	guint i;
@@ -341,8 +341,8 @@
 	qtb_finish(&t, result);
 }
 
-static void fst_q_moves(const struct fst *f, struct lstr arg,
-			struct pk_out *result)
+static void fst_query_moves(const struct fst *f, struct lstr arg,
+			    struct pk_out *result)
 {
 	struct qtb t;
 	guint i;
@@ -357,18 +357,18 @@
 	qtb_finish(&t, result);
 }
 
-/* What VMs of a pool at a site there are. */
-struct fst_count {
+/* Counts of a pool's VMs at one site. */
+struct fst_vm_counts {
 	guint vms;
 	guint moving;
 	guint drained;
 };
 
-static struct fst_count fst_count_vms(const struct fst *f,
-				      const struct cfg_obj *site,
-				      const struct cfg_obj *pool)
+static struct fst_vm_counts fst_count_vms(const struct fst *f,
+					  const struct cfg_obj *site,
+					  const struct cfg_obj *pool)
 {
-	struct fst_count n = {0};
+	struct fst_vm_counts n = {0};
 	guint i;
 
 	for (i = 0; i < f->vms->len; i++) {
@@ -390,7 +390,7 @@
 	const struct cfg *c = f->cfg;
 	const struct fst_prio *p = fst_prio_find(f, lstr_from(pool->name));
 	bool set = p && p->priority != FCM_NO_PRIORITY;
-	struct fst_count n = fst_count_vms(f, site, pool);
+	struct fst_vm_counts n = fst_count_vms(f, site, pool);
 	char *origin =
 		cfg_origin(c, cfg_value(c, site, pool, CFG_POOL_PRIORITY));
 	struct pk_out *o = qtb_row(t);
@@ -410,9 +410,9 @@
 	g_free(origin);
 }
 
-/* Pools of every site, or of one, or one pool at every site. */
-static void fst_q_pools(const struct fst *f, struct lstr arg,
-			struct pk_out *result)
+/* Lists the pools of every site, or those whose pool or site is arg. */
+static void fst_query_pools(const struct fst *f, struct lstr arg,
+			    struct pk_out *result)
 {
 	static const char *const cols[] = {"site",     "pool",	 "service",
 					   "capacity", "vms",	 "moving",
@@ -440,8 +440,8 @@
 	qtb_finish(&t, result);
 }
 
-static void fst_q_drains(const struct fst *f, struct lstr arg,
-			 struct pk_out *result)
+static void fst_query_drains(const struct fst *f, struct lstr arg,
+			     struct pk_out *result)
 {
 	static const char *const cols[] = {"target", "time", "who", "what"};
 	struct qtb t;
@@ -460,9 +460,9 @@
 	qtb_finish(&t, result);
 }
 
-/* Entry daemons a move waits for, by their zone. */
-static void fst_q_entries(const struct fst *f, struct lstr arg,
-			  struct pk_out *result)
+/* Lists the registered entry daemons; moves wait for those of the zone. */
+static void fst_query_entries(const struct fst *f, struct lstr arg,
+			      struct pk_out *result)
 {
 	static const char *const cols[] = {"node", "zone", "time", "what"};
 	struct qtb t;
--- a/src/fst_snap.c
+++ b/src/fst_snap.c
@@ -2,26 +2,26 @@
 #include "fst_in.h"
 
 /*
- * Snapshot and restore: the whole state as one packed array. The same state
- * gives the same bytes on every voter.
+ * Snapshot and restore of the whole state as one packed array. Equal states
+ * give equal bytes on every voter.
  */
 
-#define FST_FORMAT 2
+#define FST_SNAPSHOT_FORMAT 2
 
-/* A part of the state; a later module adds its own at the end. */
-struct fst_part {
+/* A section of the snapshot; new sections go at the end. */
+struct fst_section {
 	void (*pack)(const struct fst *f, struct pk_out *o);
 	bool (*unpack)(struct fst *f, struct pk_in *in);
 };
 
-static void fst_pack_head(const struct fst *f, struct pk_out *o);
-static bool fst_unpack_head(struct fst *f, struct pk_in *in);
+static void fst_pack_header(const struct fst *f, struct pk_out *o);
+static bool fst_unpack_header(struct fst *f, struct pk_in *in);
 static void fst_pack_configs(const struct fst *f, struct pk_out *o);
 static bool fst_unpack_configs(struct fst *f, struct pk_in *in);
 static void fst_pack_vms(const struct fst *f, struct pk_out *o);
 static bool fst_unpack_vms(struct fst *f, struct pk_in *in);
-static void fst_pack_gone(const struct fst *f, struct pk_out *o);
-static bool fst_unpack_gone(struct fst *f, struct pk_in *in);
+static void fst_pack_removed(const struct fst *f, struct pk_out *o);
+static bool fst_unpack_removed(struct fst *f, struct pk_in *in);
 static void fst_pack_drains(const struct fst *f, struct pk_out *o);
 static bool fst_unpack_drains(struct fst *f, struct pk_in *in);
 static void fst_pack_prios(const struct fst *f, struct pk_out *o);
@@ -36,85 +36,86 @@
 static bool fst_unpack_audit(struct fst *f, struct pk_in *in);
 static void fst_pack_stamp(const struct fst_stamp *s, struct pk_out *o);
 static void fst_unpack_stamp(struct fst_stamp *s, struct pk_in *in);
-static bool fst_load_newest(struct fst *f);
-static bool fst_whole(const struct fst *f);
+static bool fst_reload_config(struct fst *f);
+static bool fst_is_consistent(const struct fst *f);
 
-static const struct fst_part fst_parts[] = {
-	{fst_pack_head, fst_unpack_head},
+static const struct fst_section fst_sections[] = {
+	{fst_pack_header, fst_unpack_header},
 	{fst_pack_configs, fst_unpack_configs},
 	{fst_pack_vms, fst_unpack_vms},
-	{fst_pack_gone, fst_unpack_gone},
+	{fst_pack_removed, fst_unpack_removed},
 	{fst_pack_drains, fst_unpack_drains},
 	{fst_pack_prios, fst_unpack_prios},
 	{fst_pack_nodes, fst_unpack_nodes},
-	{fst_keepers_pack, fst_keepers_unpack},
+	{fst_key_replicas_pack, fst_key_replicas_unpack},
 	{fst_pack_sites, fst_unpack_sites},
 	{fst_pack_ids, fst_unpack_ids},
 	{fst_pack_audit, fst_unpack_audit},
 };
 
-/* Packs the whole state. */
+/* Packs a snapshot of the whole state. */
 void fst_snapshot(const struct fst *f, struct pk_out *o)
 {
 	size_t i;
 
-	pk_arr(o, 1 + G_N_ELEMENTS(fst_parts));
-	pk_u(o, FST_FORMAT);
-	for (i = 0; i < G_N_ELEMENTS(fst_parts); i++)
-		fst_parts[i].pack(f, o);
+	pk_arr(o, 1 + G_N_ELEMENTS(fst_sections));
+	pk_u(o, FST_SNAPSHOT_FORMAT);
+	for (i = 0; i < G_N_ELEMENTS(fst_sections); i++)
+		fst_sections[i].pack(f, o);
 }
 
 /*
- * Makes f the state of a snapshot. False with ERR_CORRUPT where the bytes are
- * not one or contradict themselves; f then stays as it was.
+ * Replaces the state of f by that of a snapshot. Returns false with
+ * ERR_CORRUPT if the snapshot is malformed or inconsistent; f is then
+ * unchanged.
  */
 bool fst_restore(struct fst *f, struct lstr bytes, GError **err)
 {
 	struct fst *next = fst_new();
-	struct fst swap;
+	struct fst old;
 	struct pk_in in;
 	bool ok = pk_in_init(&in, bytes);
 	size_t i;
 
 	if (ok) {
-		ok = pk_get_u(&in) == FST_FORMAT;
-		for (i = 0; ok && i < G_N_ELEMENTS(fst_parts); i++)
-			ok = fst_parts[i].unpack(next, &in) && pk_in_ok(&in);
-		ok = ok && pk_in_left(&in) == 0 && fst_load_newest(next) &&
-		     fst_whole(next);
+		ok = pk_get_u(&in) == FST_SNAPSHOT_FORMAT;
+		for (i = 0; ok && i < G_N_ELEMENTS(fst_sections); i++)
+			ok = fst_sections[i].unpack(next, &in) && pk_in_ok(&in);
+		ok = ok && pk_in_left(&in) == 0 && fst_reload_config(next) &&
+		     fst_is_consistent(next);
 		pk_in_done(&in);
 	}
 	if (ok) {
-		swap = *f;
+		old = *f;
 		*f = *next;
-		*next = swap;
+		*next = old;
 	} else {
 		err_set(err, ERR_CORRUPT, "restore state", NULL,
-			"not a snapshot of format %d", FST_FORMAT);
+			"not a snapshot of format %d", FST_SNAPSHOT_FORMAT);
 	}
 	fst_free(next);
 	return ok;
 }
 
-static void fst_pack_head(const struct fst *f, struct pk_out *o)
+static void fst_pack_header(const struct fst *f, struct pk_out *o)
 {
 	pk_arr(o, 6);
 	pk_u(o, f->index);
 	pk_i(o, f->time_ms);
 	pk_u(o, f->version);
-	pk_u(o, f->whole_since);
+	pk_u(o, f->full_view_since);
 	pk_u(o, f->epoch_floor);
 	pk_i(o, f->id_floor_ms);
 }
 
-static bool fst_unpack_head(struct fst *f, struct pk_in *in)
+static bool fst_unpack_header(struct fst *f, struct pk_in *in)
 {
 	struct pk_in head = pk_get_arr(in);
 
 	f->index = pk_get_u(&head);
 	f->time_ms = pk_get_i(&head);
 	f->version = pk_get_u(&head);
-	f->whole_since = pk_get_u(&head);
+	f->full_view_since = pk_get_u(&head);
 	f->epoch_floor = pk_get_u(&head);
 	f->id_floor_ms = pk_get_i(&head);
 	return pk_in_ok(&head) && pk_in_left(&head) == 0 && f->time_ms >= 0 &&
@@ -138,8 +139,11 @@
 	s->what = lstr_dup(pk_get_str(in));
 }
 
-/* The distinct texts in order of first use, and each one's place. */
-static GPtrArray *fst_texts(const struct fst *f, GHashTable *places)
+/*
+ * Returns the distinct configuration texts in order of first use, and adds
+ * the index of each to indexes.
+ */
+static GPtrArray *fst_collect_texts(const struct fst *f, GHashTable *indexes)
 {
 	GPtrArray *texts = g_ptr_array_new();
 	guint i;
@@ -151,9 +155,9 @@
 		for (j = 0; j < c->texts->len; j++) {
 			GBytes *b = g_ptr_array_index(c->texts, j);
 
-			if (g_hash_table_contains(places, b))
+			if (g_hash_table_contains(indexes, b))
 				continue;
-			g_hash_table_insert(places, b,
+			g_hash_table_insert(indexes, b,
 					    GUINT_TO_POINTER(texts->len));
 			g_ptr_array_add(texts, b);
 		}
@@ -163,8 +167,8 @@
 
 static void fst_pack_configs(const struct fst *f, struct pk_out *o)
 {
-	GHashTable *places = g_hash_table_new(NULL, NULL);
-	GPtrArray *texts = fst_texts(f, places);
+	GHashTable *indexes = g_hash_table_new(NULL, NULL);
+	GPtrArray *texts = fst_collect_texts(f, indexes);
 	guint i;
 	guint j;
 
@@ -192,10 +196,10 @@
 		for (j = 0; j < c->texts->len; j++)
 			pk_u(o,
 			     GPOINTER_TO_UINT(g_hash_table_lookup(
-				     places, g_ptr_array_index(c->texts, j))));
+				     indexes, g_ptr_array_index(c->texts, j))));
 	}
 	g_ptr_array_free(texts, TRUE);
-	g_hash_table_destroy(places);
+	g_hash_table_destroy(indexes);
 }
 
 static bool fst_unpack_config(struct fst *f, struct pk_in *one,
@@ -203,7 +207,7 @@
 {
 	struct fst_config *c = g_new0(struct fst_config, 1);
 	struct pk_in names;
-	struct pk_in places;
+	struct pk_in indexes;
 
 	g_ptr_array_add(f->configs, c);
 	c->names = g_ptr_array_new_with_free_func(g_free);
@@ -213,17 +217,17 @@
 	c->version = pk_get_u(one);
 	fst_unpack_stamp(&c->stamp, one);
 	names = pk_get_arr(one);
-	places = pk_get_arr(one);
+	indexes = pk_get_arr(one);
 	if (!pk_in_ok(one) || pk_in_left(one) ||
 	    pk_in_left(&names) > FCM_FILES_MAX ||
-	    pk_in_left(&places) > pk_in_left(&names))
+	    pk_in_left(&indexes) > pk_in_left(&names))
 		return false;
 	while (pk_in_left(&names) && pk_in_ok(&names))
 		g_ptr_array_add(c->names, lstr_dup(pk_get_str(&names)));
-	while (pk_in_left(&places)) {
-		uint64_t at = pk_get_u(&places);
+	while (pk_in_left(&indexes)) {
+		uint64_t at = pk_get_u(&indexes);
 
-		if (!pk_in_ok(&places) || at >= texts->len)
+		if (!pk_in_ok(&indexes) || at >= texts->len)
 			return false;
 		g_ptr_array_add(c->texts, g_bytes_ref(g_ptr_array_index(
 						  texts, (guint)at)));
@@ -315,14 +319,14 @@
 	return fst_unpack_vm_list(f->vms, in);
 }
 
-static void fst_pack_gone(const struct fst *f, struct pk_out *o)
+static void fst_pack_removed(const struct fst *f, struct pk_out *o)
 {
-	fst_pack_vm_list(f->gone, o);
+	fst_pack_vm_list(f->removed, o);
 }
 
-static bool fst_unpack_gone(struct fst *f, struct pk_in *in)
+static bool fst_unpack_removed(struct fst *f, struct pk_in *in)
 {
-	return fst_unpack_vm_list(f->gone, in);
+	return fst_unpack_vm_list(f->removed, in);
 }
 
 static void fst_pack_drains(const struct fst *f, struct pk_out *o)
@@ -466,7 +470,7 @@
 		pk_arr(o, 4);
 		pk_cstr(o, id->key);
 		pk_i(o, id->made_ms);
-		pk_str(o, lstr_n(id->digest, FST_DIGEST));
+		pk_str(o, lstr_n(id->digest, FST_DIGEST_BYTES));
 		pk_str(o, lstr_n(p, len));
 	}
 }
@@ -484,7 +488,8 @@
 		struct lstr digest = pk_get_str(&one);
 		struct lstr result = pk_get_str(&one);
 		bool ok = pk_in_ok(&one) && pk_in_left(&one) == 0 &&
-			  digest.len == FST_DIGEST && !fst_id_find(f, key);
+			  digest.len == FST_DIGEST_BYTES &&
+			  !fst_id_find(f, key);
 
 		if (ok)
 			fst_id_add(f, key, made_ms, (const uint8_t *)digest.p,
@@ -512,8 +517,8 @@
 	return true;
 }
 
-/* The newest configuration is kept as text and read again. */
-static bool fst_load_newest(struct fst *f)
+/* Parses the newest configuration, which a snapshot holds as text. */
+static bool fst_reload_config(struct fst *f)
 {
 	const struct fst_config *c = fst_config_last(f);
 	struct cfg_text files[FCM_FILES_MAX];
@@ -538,8 +543,8 @@
 	return f->cfg != NULL;
 }
 
-/* Whether VMs and configuration are of one another, as the view needs. */
-static bool fst_whole(const struct fst *f)
+/* Returns whether VMs and configuration match each other; views rely on it. */
+static bool fst_is_consistent(const struct fst *f)
 {
 	const char *last = "";
 	guint i;
--- a/src/fst_view.c
+++ b/src/fst_view.c
@@ -1,61 +1,64 @@
 #include "fst_in.h"
 
-static const struct cfg_obj *fst_view_site(const struct fst *f,
-					   struct lstr zone);
-static struct fvw *fst_view_make(const struct fst *f,
-				 const struct cfg_obj *site, uint64_t from);
-static void fst_view_pools(const struct fst *f, const struct cfg_obj *site,
-			   struct fvw *v);
-static GPtrArray *fst_view_gone(const struct fst *f, uint64_t from);
+static const struct cfg_obj *fst_find_view_site(const struct fst *f,
+						struct lstr zone);
+static struct fvw *fst_build_view(const struct fst *f,
+				  const struct cfg_obj *site, uint64_t from);
+static void fst_build_view_pools(const struct fst *f,
+				 const struct cfg_obj *site, struct fvw *v);
+static GPtrArray *fst_removed_since(const struct fst *f, uint64_t from);
 static struct fst_site *fst_site_find(const struct fst *f, const char *name);
 
-/* Packs the view of the only site, or of all with the base file's values. */
+/*
+ * Packs the view without a zone: that of the only site, or of all sites with
+ * the values of the base file.
+ */
 void fst_view(const struct fst *f, struct pk_out *o)
 {
 	fst_view_zone(f, LSTR(""), o);
 }
 
 /*
- * Packs the view for entry daemons of a zone: the pools as its site has them
- * and that site's VMs. A zone the configuration lacks gets what fst_view
- * gives.
+ * Packs the view for the entry daemons of a zone: pools with the values of
+ * the zone's site, and the VMs of that site. A zone that the configuration
+ * lacks gets the same view as fst_view.
  */
 void fst_view_zone(const struct fst *f, struct lstr zone, struct pk_out *o)
 {
-	struct fvw *v = fst_view_make(f, fst_view_site(f, zone), 0);
+	struct fvw *v = fst_build_view(f, fst_find_view_site(f, zone), 0);
 
 	fvw_pack(v, o);
 	fvw_free(v);
 }
 
 /*
- * Packs what changed in that view since a version an entry daemon works by
- * (see fvw_update); the whole view where that is not known any more.
+ * Packs the changes of a zone's view since version from, which an entry
+ * daemon has (see fvw_update); the full view if the changes are not known.
  */
 void fst_view_since(const struct fst *f, struct lstr zone, uint64_t from,
 		    struct pk_out *o)
 {
-	const struct cfg_obj *site = fst_view_site(f, zone);
+	const struct cfg_obj *site = fst_find_view_site(f, zone);
 	const struct fst_site *s = site ? fst_site_find(f, site->name) : NULL;
 	bool pools = s && s->since > from;
-	GPtrArray *gone;
+	GPtrArray *removed;
 	struct fvw *v;
 
-	if (!s || from < f->whole_since || from == 0 || from > f->version) {
+	if (!s || from < f->full_view_since || from == 0 || from > f->version) {
 		fst_view_zone(f, zone, o);
 		return;
 	}
-	v = fst_view_make(f, site, from);
+	v = fst_build_view(f, site, from);
 	if (!pools)
 		g_array_set_size(v->pools, 0);
-	gone = fst_view_gone(f, from);
-	fvw_delta_pack(v, from, pools, gone, o);
-	g_ptr_array_free(gone, TRUE);
+	removed = fst_removed_since(f, from);
+	fvw_delta_pack(v, from, pools, removed, o);
+	g_ptr_array_free(removed, TRUE);
 	fvw_free(v);
 }
 
-static const struct cfg_obj *fst_view_site(const struct fst *f,
-					   struct lstr zone)
+static const struct cfg_obj *fst_find_view_site(const struct fst *f,
+						struct lstr zone)
 {
 	const struct cfg_obj *site;
 	char *name;
@@ -70,25 +73,25 @@
 	return site;
 }
 
-/* The view with all pools and those VMs that changed after version from. */
-static struct fvw *fst_view_make(const struct fst *f,
-				 const struct cfg_obj *site, uint64_t from)
+/* Returns the view with all pools, and the VMs changed after version from. */
+static struct fvw *fst_build_view(const struct fst *f,
+				  const struct cfg_obj *site, uint64_t from)
 {
 	struct fvw *v = fvw_new(f->version);
 	guint i;
 
-	/* Few and short, so always all of them. */
+	/* Key replicas are few and short, so they are always included. */
 	for (i = 0; i < f->keepers->len; i++)
 		g_ptr_array_add(v->keepers, fvw_keepers_copy(g_ptr_array_index(
 						    f->keepers, i)));
 	if (!f->cfg)
 		return v;
-	fst_view_pools(f, site, v);
+	fst_build_view_pools(f, site, v);
 	for (i = 0; i < f->vms->len; i++) {
 		const struct fst_vm *vm = g_ptr_array_index(f->vms, i);
 		struct fvw_vm out = {
 			.epoch = vm->epoch,
-			/* A VM on its way gets no new work of either pool. */
+			/* A moving VM gets no new work of either pool. */
 			.drained = vm->drained || vm->phase != FST_SETTLED,
 		};
 
@@ -108,8 +111,8 @@
 	return v;
 }
 
-static void fst_view_pools(const struct fst *f, const struct cfg_obj *site,
-			   struct fvw *v)
+static void fst_build_view_pools(const struct fst *f,
+				 const struct cfg_obj *site, struct fvw *v)
 {
 	guint i;
 
@@ -124,26 +127,26 @@
 	}
 }
 
-static int fst_name_order(gconstpointer a, gconstpointer b)
+static int fst_compare_names(gconstpointer a, gconstpointer b)
 {
 	return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* Names of VMs removed after version from, of whichever site. */
-static GPtrArray *fst_view_gone(const struct fst *f, uint64_t from)
+/* Returns the names of VMs of all sites removed after version from. */
+static GPtrArray *fst_removed_since(const struct fst *f, uint64_t from)
 {
-	GPtrArray *gone = g_ptr_array_new();
+	GPtrArray *removed = g_ptr_array_new();
 	guint i;
 
-	for (i = f->gone->len; i-- > 0;) {
-		const struct fst_vm *vm = g_ptr_array_index(f->gone, i);
+	for (i = f->removed->len; i-- > 0;) {
+		const struct fst_vm *vm = g_ptr_array_index(f->removed, i);
 
 		if (vm->since <= from)
 			break;
-		g_ptr_array_add(gone, vm->name);
+		g_ptr_array_add(removed, vm->name);
 	}
-	g_ptr_array_sort(gone, fst_name_order);
-	return gone;
+	g_ptr_array_sort(removed, fst_compare_names);
+	return removed;
 }
 
 static struct fst_site *fst_site_find(const struct fst *f, const char *name)
@@ -159,7 +162,7 @@
 	return NULL;
 }
 
-/* Frees a site's record. */
+/* Frees the record of a site (struct fst_site). */
 void fst_site_free(gpointer p)
 {
 	struct fst_site *s = p;
@@ -168,8 +171,8 @@
 	g_free(s);
 }
 
-/* The pools of every site have changed. */
-void fst_sites_touch(struct fst *f)
+/* Marks the pools of every site as changed in the present version. */
+void fst_mark_sites_changed(struct fst *f)
 {
 	guint i;
 
@@ -178,9 +181,9 @@
 			f->version;
 }
 
-/* Whether the pools of a site are the same under both configurations. */
-static bool fst_same_pools(const struct cfg *was, const struct cfg *next,
-			   const char *name)
+/* Returns whether a site's pools are the same in both configurations. */
+static bool fst_pools_equal(const struct cfg *was, const struct cfg *next,
+			    const char *name)
 {
 	struct fvw *a = fvw_new(0);
 	struct fvw *b = fvw_new(0);
@@ -203,10 +206,10 @@
 }
 
 /*
- * Notes for each site of the next configuration whether its pools change
- * with it; a site that is new needs whole views.
+ * Updates the list of sites for the next configuration, with the version in
+ * which each site's pools changed last. A new site needs full views.
  */
-void fst_sites_take(struct fst *f, const struct cfg *next)
+void fst_update_sites(struct fst *f, const struct cfg *next)
 {
 	GPtrArray *sites = g_ptr_array_new_with_free_func(fst_site_free);
 	guint i;
@@ -220,14 +223,14 @@
 		s->name = g_strdup(site->name);
 		s->since = f->version;
 		if (!was)
-			f->whole_since = f->version;
-		else if (fst_same_pools(f->cfg, next, site->name))
+			f->full_view_since = f->version;
+		else if (fst_pools_equal(f->cfg, next, site->name))
 			s->since = was->since;
 		g_ptr_array_add(sites, s);
 	}
-	/* Zones may have gone to another site, and VMs with them. */
+	/* Zones and their VMs may have been reassigned to another site. */
 	if (f->cfg && f->sites->len != sites->len)
-		f->whole_since = f->version;
+		f->full_view_since = f->version;
 	g_ptr_array_free(f->sites, TRUE);
 	f->sites = sites;
 }
--- a/tests/prop/fst_prop.cc
+++ b/tests/prop/fst_prop.cc
@@ -14,7 +14,7 @@
 namespace
 {
 
-/* Configurations operators choose from; the last one is faulty. */
+/* Configurations that operators apply; the last one is invalid. */
 const char *const head = "[fleet]\nname = f\n[site s]\nzones = a b\n"
 			 "[size std]\ncores = 16\nmemory = 64G\n"
 			 "[pool check]\nservice = c\ncapacity = 2\n"
@@ -41,8 +41,8 @@
 	PRIORITY,
 	RESEND,
 	WAIT,
-	HEAR,
-	CUT,
+	UPDATE_VIEW,
+	PARTITION,
 	DECIDE,
 	DELIVER,
 	SNAPSHOT,
@@ -61,16 +61,16 @@
 	   << "}";
 }
 
-/* An entry daemon: the view it works by, and whether it hears of others. */
+/* An entry daemon with its view and whether it is partitioned from voters. */
 struct Entry {
 	std::string name;
 	std::string zone;
 	struct fvw *view;
-	bool cut;
-	uint64_t told = 0; /* version before the one worked by */
+	bool partitioned;
+	uint64_t previous_version = 0; /* of the view before the present one */
 };
 
-/* A command as it was sent, to be sent again. */
+/* A command as it was sent, for resends. */
 struct Sent {
 	std::string who;
 	enum key_role role;
@@ -95,7 +95,7 @@
       public:
 	World()
 	{
-		static const struct mvr_ops ops = {works_by, submit};
+		static const struct mvr_ops ops = {view_version, submit};
 
 		f = fst_new();
 		m = mvr_new(&ops, this);
@@ -145,11 +145,11 @@
 		case WAIT:
 			now += op.a % 4 ? 40000 : 2400000;
 			break;
-		case HEAR:
-			hear(entries[(size_t)op.a % 3], op.c % 2);
+		case UPDATE_VIEW:
+			update_view(entries[(size_t)op.a % 3], op.c % 2);
 			break;
-		case CUT:
-			entries[(size_t)op.a % 3].cut = op.b % 2;
+		case PARTITION:
+			entries[(size_t)op.a % 3].partitioned = op.b % 2;
 			break;
 		case DECIDE:
 			mvr_run(m, f, now);
@@ -164,16 +164,17 @@
 	}
 
 	/*
-	 * What a leader does all the time: decides, and submits what it
-	 * decided, unless it freezes just before; the step then comes late.
+	 * Runs the mover as a leader does and applies the steps it submits.
+	 * If the leader stalls before that, the steps stay queued and are
+	 * delivered late.
 	 */
-	void lead(bool freezes)
+	void lead(bool stalls)
 	{
-		size_t held = queue.size();
+		size_t queued = queue.size();
 
 		mvr_run(m, f, now);
-		while (!freezes && queue.size() > held) {
-			give(queue.back());
+		while (!stalls && queue.size() > queued) {
+			append(queue.back());
 			queue.pop_back();
 		}
 		check();
@@ -186,14 +187,14 @@
 	std::vector<Sent> log;
 	struct mvr *m;
 	std::vector<Entry> entries;
-	std::vector<Sent> queue; /* automatic steps under way */
+	std::vector<Sent> queue; /* automatic steps not yet applied */
 	uint64_t index = 0;
 	uint64_t version = 0;
 	uint64_t last_number = 0;
 	std::map<std::string, uint64_t> epochs;
 	int ids = 0;
 
-	static uint64_t works_by(void *arg, const char *node)
+	static uint64_t view_version(void *arg, const char *node)
 	{
 		for (auto &e : static_cast<World *>(arg)->entries)
 			if (e.name == node)
@@ -230,7 +231,7 @@
 		return s;
 	}
 
-	std::string give(const Sent &s)
+	std::string append(const Sent &s)
 	{
 		struct pk_out e;
 		struct pk_out o;
@@ -251,7 +252,7 @@
 	{
 		Sent s = make(who, KEY_DUTY, cmd);
 
-		s.result = give(s);
+		s.result = append(s);
 		log.push_back(s);
 	}
 
@@ -264,19 +265,19 @@
 		return r.code;
 	}
 
-	/* A resend gets the first one's result, or "unknown"; no effect. */
+	/* Checks that a resend has no effect and gets the first result. */
 	void resend(const Sent &s)
 	{
-		std::string before = core();
-		std::string result = give(s);
+		std::string before = state();
+		std::string result = append(s);
 
-		RC_ASSERT(core() == before);
+		RC_ASSERT(state() == before);
 		if (code_of(result) != PROTO_OUTCOME_UNKNOWN)
 			RC_ASSERT(result == s.result);
 	}
 
-	/* What commands change, without the trail of those that did not. */
-	std::string core() const
+	/* The state that commands change, without the audit trail. */
+	std::string state() const
 	{
 		struct pk_out o;
 		std::string s;
@@ -301,10 +302,10 @@
 		cmd.kind = FCM_JOIN;
 		cmd.node.node = view_of(e.name);
 		cmd.node.zone = view_of(e.zone);
-		give(make("ctl", KEY_PEER, cmd));
+		append(make("ctl", KEY_PEER, cmd));
 	}
 
-	/* Of two made from one version only the first may be accepted. */
+	/* Of two changes made from one version only the first is accepted. */
 	void apply(int tail, uint64_t base, int who)
 	{
 		std::string text = std::string(head) + tails[tail];
@@ -344,7 +345,7 @@
 		send(operators[op.c % 3], cmd);
 	}
 
-	/* w1 begins to move to the other pool, or is called back. */
+	/* Begins the move of w1 to the other pool, or cancels its move. */
 	void toggle()
 	{
 		const struct fst_vm *w1 = fst_vm_find(f, LSTR("w1"));
@@ -371,29 +372,30 @@
 		send(operators[op.c % 3], cmd);
 	}
 
-	void hear(Entry &e, bool late)
+	void update_view(Entry &e, bool outdated)
 	{
 		struct pk_out o;
 		struct fvw *v;
 
-		if (e.cut)
+		if (e.partitioned)
 			return;
 		pk_out_init(&o);
-		/* The voter may have heard of an older version only. */
+		/* The last version reported to the voter may be outdated. */
 		fst_view_since(f, view_of(e.zone),
-			       late ? e.told : e.view->version, &o);
+			       outdated ? e.previous_version : e.view->version,
+			       &o);
 		v = fvw_update(e.view, pk_out_view(&o), nullptr);
 		pk_out_done(&o);
 		RC_ASSERT(v != nullptr);
-		RC_ASSERT(same_as_whole(v, e));
+		RC_ASSERT(equals_full_view(v, e));
 		RC_ASSERT(v->version >= e.view->version);
-		e.told = e.view->version;
+		e.previous_version = e.view->version;
 		fvw_free(e.view);
 		e.view = v;
 	}
 
-	/* What changes led to is what a whole view would have given. */
-	bool same_as_whole(const struct fvw *v, const Entry &e) const
+	/* Whether an updated view equals the full view of the state. */
+	bool equals_full_view(const struct fvw *v, const Entry &e) const
 	{
 		struct pk_out got;
 		struct pk_out whole;
@@ -409,14 +411,14 @@
 		return same;
 	}
 
-	/* A step may come late, out of order, or twice. */
+	/* Applies a queued step: late, out of order, or twice. */
 	void deliver(const Op &op)
 	{
 		if (queue.empty())
 			return;
 		size_t at = (size_t)op.a % queue.size();
 
-		give(queue[at]);
+		append(queue[at]);
 		if (op.b % 3)
 			queue.erase(queue.begin() + (long)at);
 	}
@@ -452,14 +454,14 @@
 			fst_member(f, i, &vm);
 			RC_ASSERT(vm.epoch >= epochs[vm.vm]);
 			epochs[vm.vm] = vm.epoch;
-			one_pool(vm.vm);
+			check_one_pool(vm.vm);
 		}
 	}
 
-	/* No two entry daemons of its zone place different pools' work. */
-	void one_pool(const char *name)
+	/* No two entry daemons of a VM's zone place work of different pools. */
+	void check_one_pool(const char *name)
 	{
-		std::set<std::string> acted;
+		std::set<std::string> placing;
 
 		for (auto &e : entries) {
 			const struct fvw_vm *vm =
@@ -468,15 +470,15 @@
 			if (!vm || vm->drained ||
 			    e.zone != cfg_vm(f->cfg, name)->zone)
 				continue;
-			acted.insert(g_array_index(e.view->pools,
-						   struct fvw_pool, vm->pool)
-					     .name);
+			placing.insert(g_array_index(e.view->pools,
+						     struct fvw_pool, vm->pool)
+					       .name);
 		}
-		RC_ASSERT(acted.size() <= 1u);
+		RC_ASSERT(placing.size() <= 1u);
 	}
 };
 
-/* Kinds as often as they bring about what is looked for. */
+/* Weights favour the kinds that provoke races of moves and views. */
 rc::Gen<Op> any_op()
 {
 	auto number = rc::gen::inRange(0, 1000);
@@ -489,20 +491,22 @@
 					       {1, PRIORITY},
 					       {4, RESEND},
 					       {3, WAIT},
-					       {12, HEAR},
-					       {4, CUT},
+					       {12, UPDATE_VIEW},
+					       {4, PARTITION},
 					       {10, DECIDE},
 					       {8, DELIVER},
 					       {2, SNAPSHOT}}),
 		number, number, number);
 }
 
-/* Only w1 on its way to and fro, so that steps of its moves meet. */
+/* Moves of w1 only, so that steps of successive moves overlap. */
 rc::Gen<Op> move_op()
 {
 	return rc::gen::construct<Op>(
-		rc::gen::weightedElement<int>(
-			{{2, TOGGLE}, {5, HEAR}, {2, WAIT}, {2, DELIVER}}),
+		rc::gen::weightedElement<int>({{2, TOGGLE},
+					       {5, UPDATE_VIEW},
+					       {2, WAIT},
+					       {2, DELIVER}}),
 		rc::gen::inRange(0, 2), rc::gen::just(1),
 		rc::gen::inRange(0, 2));
 }
@@ -512,8 +516,8 @@
 	return rc::gen::resize(size, rc::gen::container<std::vector<Op>>(op));
 }
 
-/* Whether a trail with one byte of a record changed is found out. */
-bool tampering_shows(const struct fst *f, size_t place)
+/* Whether a change of one byte in the audit trail's records is detected. */
+bool tampering_is_detected(const struct fst *f, size_t offset)
 {
 	struct pk_out o;
 	struct pk_in in;
@@ -526,7 +530,7 @@
 	fau_snapshot(f->audit, &o);
 	bytes = bytes_of(o);
 	pk_out_done(&o);
-	bytes[records + place % (bytes.size() - records)] ^= 0x20;
+	bytes[records + offset % (bytes.size() - records)] ^= 0x20;
 	if (!pk_in_init(&in, view_of(bytes)))
 		return true;
 	a = fau_restore(&in);
@@ -542,12 +546,12 @@
 	bool ok = true;
 
 	/*
-	 * Operators race and resend, entry daemons are cut off and hear late,
-	 * steps of a frozen leader come late or twice, and the state goes
-	 * through snapshots. What operators see: one effect a command, no
-	 * version that goes back, no VM that works for two pools.
+	 * Operators race and resend commands, entry daemons are partitioned
+	 * and get views late, steps of a stalled leader arrive late or twice,
+	 * and the state is restored from snapshots. Each command takes effect
+	 * once, versions never decrease, and no VM works for two pools.
 	 */
-	ok &= rc::check("racing operators and late steps", [] {
+	ok &= rc::check("racing operators and delayed steps", [] {
 		auto ops = *some_ops(250, any_op());
 		World w;
 
@@ -556,12 +560,12 @@
 	});
 
 	/*
-	 * A VM is moved, the move called off and begun anew, over and over,
-	 * while entry daemons are cut off and a frozen leader's steps for an
-	 * older move come late. No two entry daemons place different pools'
-	 * work on it.
+	 * A VM's move is begun, cancelled and begun again repeatedly, while
+	 * entry daemons get views late and a stalled leader's steps for an
+	 * older move arrive late. No two entry daemons place work of different
+	 * pools on the VM.
 	 */
-	ok &= rc::check("steps of a move that was called off", [] {
+	ok &= rc::check("delayed steps of a cancelled move", [] {
 		auto ops = *some_ops(600, move_op());
 		World w;
 
@@ -572,17 +576,17 @@
 	});
 
 	/*
-	 * Somebody edits one byte of a trail, to hide who did what. The chain
-	 * no longer leads to its last hash.
+	 * One byte of the audit trail is changed, to hide who did what. The
+	 * hash chain then no longer leads to its last hash.
 	 */
-	ok &= rc::check("tampering with the audit trail shows", [] {
+	ok &= rc::check("tampering with the audit trail is detected", [] {
 		auto ops = *some_ops(30, any_op());
-		auto place = *rc::gen::inRange<size_t>(0, 100000);
+		auto offset = *rc::gen::inRange<size_t>(0, 100000);
 		World w;
 
 		for (const auto &op : ops)
 			w.run(op);
-		RC_ASSERT(tampering_shows(w.f, place));
+		RC_ASSERT(tampering_is_detected(w.f, offset));
 	});
 	return ok ? 0 : 1;
 }
--- a/tests/unit/fst_test.c
+++ b/tests/unit/fst_test.c
@@ -17,33 +17,34 @@
 	"[rack r1]\nzone = a\nvm.w1 = check std\nvm.w2 = check std\n"
 	"[rack r2]\nzone = b\nvm.w3 = draft std\n";
 
-/* A state with a log of its own, and the result of the last command. */
-struct rig {
+/* A fleet state with its log position and the result of the last command. */
+struct fixture {
 	struct fst *f;
 	uint64_t index;
 	int64_t now_ms;
-	guint made;
+	guint n_commands;
 	struct fcm_result result;
 };
 
-static struct rig *rig_new(void)
+static struct fixture *fixture_new(void)
 {
-	struct rig *g = g_new0(struct rig, 1);
+	struct fixture *fx = g_new0(struct fixture, 1);
 
-	g->f = fst_new();
-	g->now_ms = 1000000;
-	return g;
+	fx->f = fst_new();
+	fx->now_ms = 1000000;
+	return fx;
 }
 
-static void rig_free(struct rig *g)
+static void fixture_free(struct fixture *fx)
 {
-	fcm_result_clear(&g->result);
-	fst_free(g->f);
-	g_free(g);
+	fcm_result_clear(&fx->result);
+	fst_free(fx->f);
+	g_free(fx);
 }
 
-static enum proto_result rig_send(struct rig *g, const char *who,
-				  enum key_role role, const struct fcm_cmd *cmd)
+static enum proto_result apply_command(struct fixture *fx, const char *who,
+				       enum key_role role,
+				       const struct fcm_cmd *cmd)
 {
 	struct pk_out c;
 	struct pk_out e;
@@ -53,31 +54,31 @@
 	pk_out_init(&e);
 	pk_out_init(&o);
 	fcm_encode(cmd, &c);
-	fst_entry_pack(&e, g->now_ms, lstr_from(who), role, pk_out_view(&c));
-	fst_apply(g->f, ++g->index, pk_out_view(&e), &o);
-	fcm_result_clear(&g->result);
-	assert_true(fcm_result_unpack(&g->result, pk_out_view(&o)));
+	fst_entry_pack(&e, fx->now_ms, lstr_from(who), role, pk_out_view(&c));
+	fst_apply(fx->f, ++fx->index, pk_out_view(&e), &o);
+	fcm_result_clear(&fx->result);
+	assert_true(fcm_result_unpack(&fx->result, pk_out_view(&o)));
 	pk_out_done(&c);
 	pk_out_done(&e);
 	pk_out_done(&o);
-	return g->result.code;
+	return fx->result.code;
 }
 
-static enum proto_result rig_do(struct rig *g, const char *who,
-				struct fcm_cmd *cmd)
+static enum proto_result apply_new_command(struct fixture *fx, const char *who,
+					   struct fcm_cmd *cmd)
 {
-	char *id = g_strdup_printf("id-%u", ++g->made);
+	char *id = g_strdup_printf("id-%u", ++fx->n_commands);
 	enum proto_result code;
 
 	cmd->id = lstr_from(id);
-	cmd->made_ms = g->now_ms;
-	code = rig_send(g, who, KEY_PEER, cmd);
+	cmd->made_ms = fx->now_ms;
+	code = apply_command(fx, who, KEY_PEER, cmd);
 	g_free(id);
 	return code;
 }
 
-static enum proto_result rig_apply(struct rig *g, const char *who,
-				   uint64_t base, const char *text)
+static enum proto_result apply_config(struct fixture *fx, const char *who,
+				      uint64_t base, const char *text)
 {
 	struct fcm_cmd cmd = {
 		.kind = FCM_APPLY,
@@ -85,36 +86,36 @@
 			  .n_files = 1,
 			  .files = {{LSTR("base.conf"), lstr_from(text)}}}};
 
-	return rig_do(g, who, &cmd);
+	return apply_new_command(fx, who, &cmd);
 }
 
-static enum proto_result rig_move(struct rig *g, const char *vm,
-				  const char *pool)
+static enum proto_result begin_move(struct fixture *fx, const char *vm,
+				    const char *pool)
 {
 	struct fcm_cmd cmd = {.kind = FCM_MOVE,
 			      .move = {.vm = lstr_from(vm),
 				       .pool = lstr_from(pool),
 				       .base = FCM_ANY_BASE}};
 
-	return rig_do(g, "anna", &cmd);
+	return apply_new_command(fx, "anna", &cmd);
 }
 
-static enum proto_result rig_step(struct rig *g, enum fcm_kind kind,
-				  const char *vm, uint64_t epoch)
+static enum proto_result apply_move_step(struct fixture *fx, enum fcm_kind kind,
+					 const char *vm, uint64_t epoch)
 {
 	struct fcm_cmd cmd = {.kind = kind,
 			      .step = {.vm = lstr_from(vm), .epoch = epoch}};
 
-	return rig_do(g, "ctl", &cmd);
+	return apply_new_command(fx, "ctl", &cmd);
 }
 
-static struct fst_member rig_vm(const struct rig *g, const char *name)
+static struct fst_member find_vm(const struct fixture *fx, const char *name)
 {
 	struct fst_member m = {0};
 	guint i;
 
-	for (i = 0; i < fst_members(g->f); i++) {
-		fst_member(g->f, i, &m);
+	for (i = 0; i < fst_members(fx->f); i++) {
+		fst_member(fx->f, i, &m);
 		if (strcmp(m.vm, name) == 0)
 			return m;
 	}
@@ -123,140 +124,146 @@
 }
 
 /*
- * Two operators edit the same version. The first one's change is in force
- * when the second one's comes; taken in, it would undo the first without a
- * word. The second is told who, when and what, and nothing changes.
+ * Guards against lost updates: two operators edit the same version, and
+ * applying the second edit would silently revert the first. The second gets a
+ * conflict that names who made the change, when and what; nothing changes.
  */
-static void second_of_two_operators_gets_a_conflict(void **state)
+static void concurrent_config_change_is_a_conflict(void **state)
 {
-	struct rig *g = rig_new();
+	struct fixture *fx = fixture_new();
 	uint64_t version;
 
-	assert_int_equal(rig_apply(g, "anna", 0, base_text), PROTO_OK);
-	assert_int_equal(g->result.number, 1);
-	assert_int_equal(rig_apply(g, "anna", 1, base_text), PROTO_OK);
-	version = fst_version(g->f);
-	assert_int_equal(rig_apply(g, "ivo", 1, base_text), PROTO_CONFLICT);
-	assert_non_null(strstr(g->result.text,
+	assert_int_equal(apply_config(fx, "anna", 0, base_text), PROTO_OK);
+	assert_int_equal(fx->result.number, 1);
+	assert_int_equal(apply_config(fx, "anna", 1, base_text), PROTO_OK);
+	version = fst_version(fx->f);
+	assert_int_equal(apply_config(fx, "ivo", 1, base_text), PROTO_CONFLICT);
+	assert_non_null(strstr(fx->result.text,
 			       "made from configuration 1, but 2 is in force: "
 			       "by anna at 1970-01-01T00:16:40Z: configuration "
 			       "base.conf and 0 overlays, made from 1"));
-	assert_int_equal(fst_version(g->f), version);
-	rig_free(g);
+	assert_int_equal(fst_version(fx->f), version);
+	fixture_free(fx);
 }
 
 /*
- * The answer to a drain is lost and the client sends it again, through
- * another voter; meanwhile somebody undrained. The resend gets the first
- * one's result and drains nothing. An hour later its identity is forgotten:
- * it is still not applied, and the operator is told that nobody knows.
+ * Guards against applying a command twice: the answer to a drain is lost, an
+ * operator undrains the VM, and the client resends the drain. The resend gets
+ * the first result and drains nothing. An hour later the command's ID is
+ * evicted; the resend gets "outcome unknown" and still drains nothing.
  */
-static void resends_take_effect_once(void **state)
+static void resent_command_is_applied_once(void **state)
 {
-	struct rig *g = rig_new();
+	struct fixture *fx = fixture_new();
 	struct fcm_cmd drain = {.kind = FCM_DRAIN,
 				.id = LSTR("x"),
-				.made_ms = g->now_ms,
+				.made_ms = fx->now_ms,
 				.drain = {.name = LSTR("w1"),
 					  .base = FCM_ANY_BASE}};
 	struct fcm_cmd other = drain;
 	struct fcm_cmd undrain = {.kind = FCM_UNDRAIN, .drain = drain.drain};
 	uint64_t index;
 
-	rig_apply(g, "anna", 0, base_text);
-	assert_int_equal(rig_send(g, "ivo", KEY_OPERATE, &drain), PROTO_OK);
-	index = g->result.index;
-	assert_int_equal(rig_do(g, "anna", &undrain), PROTO_OK);
-	assert_int_equal(rig_send(g, "ivo", KEY_OPERATE, &drain), PROTO_OK);
-	assert_int_equal(g->result.index, index);
-	assert_false(rig_vm(g, "w1").drained);
+	apply_config(fx, "anna", 0, base_text);
+	assert_int_equal(apply_command(fx, "ivo", KEY_OPERATE, &drain),
+			 PROTO_OK);
+	index = fx->result.index;
+	assert_int_equal(apply_new_command(fx, "anna", &undrain), PROTO_OK);
+	assert_int_equal(apply_command(fx, "ivo", KEY_OPERATE, &drain),
+			 PROTO_OK);
+	assert_int_equal(fx->result.index, index);
+	assert_false(find_vm(fx, "w1").drained);
 	other.drain.name = LSTR("w2");
-	assert_int_equal(rig_send(g, "ivo", KEY_OPERATE, &other),
+	assert_int_equal(apply_command(fx, "ivo", KEY_OPERATE, &other),
 			 PROTO_REFUSED);
-	g->now_ms += 3600 * 1000;
-	assert_int_equal(rig_send(g, "ivo", KEY_OPERATE, &drain),
+	fx->now_ms += 3600 * 1000;
+	assert_int_equal(apply_command(fx, "ivo", KEY_OPERATE, &drain),
 			 PROTO_OUTCOME_UNKNOWN);
-	assert_false(rig_vm(g, "w1").drained);
-	rig_free(g);
+	assert_false(find_vm(fx, "w1").drained);
+	fixture_free(fx);
 }
 
 /*
- * A move is begun, called off and begun anew to another pool. A leader that
- * was frozen since the first wakes up and says "released" for that one. An
- * entry daemon may still place on the VM: the old word must not count.
+ * Guards against a delayed step: a move is begun, cancelled and begun again,
+ * then a leader resumes from a process pause and submits "released" for the
+ * first move. An entry daemon may still place work on the VM, so the step must
+ * be rejected.
  */
-static void word_of_an_older_move_releases_nothing(void **state)
+static void step_of_cancelled_move_is_rejected(void **state)
 {
-	struct rig *g = rig_new();
+	struct fixture *fx = fixture_new();
 	uint64_t first;
 
-	rig_apply(g, "anna", 0, base_text);
-	assert_int_equal(rig_move(g, "w1", "draft"), PROTO_OK);
-	first = rig_vm(g, "w1").epoch;
-	assert_int_equal(rig_step(g, FCM_MOVED, "w1", first), PROTO_REFUSED);
-	assert_int_equal(rig_move(g, "w1", "check"), PROTO_OK);
-	assert_int_equal(rig_move(g, "w1", "draft"), PROTO_OK);
-	assert_int_equal(rig_step(g, FCM_RELEASED, "w1", first),
+	apply_config(fx, "anna", 0, base_text);
+	assert_int_equal(begin_move(fx, "w1", "draft"), PROTO_OK);
+	first = find_vm(fx, "w1").epoch;
+	assert_int_equal(apply_move_step(fx, FCM_MOVED, "w1", first),
+			 PROTO_REFUSED);
+	assert_int_equal(begin_move(fx, "w1", "check"), PROTO_OK);
+	assert_int_equal(begin_move(fx, "w1", "draft"), PROTO_OK);
+	assert_int_equal(apply_move_step(fx, FCM_RELEASED, "w1", first),
 			 PROTO_CONFLICT);
-	assert_int_equal(rig_vm(g, "w1").phase, FST_RELEASING);
-	assert_string_equal(rig_vm(g, "w1").pool, "check");
-	assert_int_equal(rig_step(g, FCM_RELEASED, "w1", rig_vm(g, "w1").epoch),
+	assert_int_equal(find_vm(fx, "w1").phase, FST_RELEASING);
+	assert_string_equal(find_vm(fx, "w1").pool, "check");
+	assert_int_equal(apply_move_step(fx, FCM_RELEASED, "w1",
+					 find_vm(fx, "w1").epoch),
 			 PROTO_OK);
-	assert_int_equal(rig_step(g, FCM_MOVED, "w1", rig_vm(g, "w1").epoch),
+	assert_int_equal(apply_move_step(fx, FCM_MOVED, "w1",
+					 find_vm(fx, "w1").epoch),
 			 PROTO_OK);
-	assert_string_equal(rig_vm(g, "w1").pool, "draft");
-	rig_free(g);
+	assert_string_equal(find_vm(fx, "w1").pool, "draft");
+	fixture_free(fx);
 }
 
 /*
- * An operator moved w1; later somebody applies a file whose line for w1 is
- * as it ever was. The move must not be taken back by that.
+ * Guards against reverting an operator's move of w1: a configuration is
+ * applied whose line for w1 is unchanged and names the old pool.
  */
-static void an_unchanged_line_takes_no_move_back(void **state)
+static void unchanged_config_line_keeps_manual_move(void **state)
 {
-	struct rig *g = rig_new();
-
-	rig_apply(g, "anna", 0, base_text);
-	rig_move(g, "w1", "draft");
-	rig_step(g, FCM_RELEASED, "w1", rig_vm(g, "w1").epoch);
-	rig_step(g, FCM_MOVED, "w1", rig_vm(g, "w1").epoch);
-	assert_int_equal(rig_apply(g, "ivo", 1, base_text), PROTO_OK);
-	assert_string_equal(rig_vm(g, "w1").pool, "draft");
-	assert_null(rig_vm(g, "w1").to);
-	rig_free(g);
+	struct fixture *fx = fixture_new();
+
+	apply_config(fx, "anna", 0, base_text);
+	begin_move(fx, "w1", "draft");
+	apply_move_step(fx, FCM_RELEASED, "w1", find_vm(fx, "w1").epoch);
+	apply_move_step(fx, FCM_MOVED, "w1", find_vm(fx, "w1").epoch);
+	assert_int_equal(apply_config(fx, "ivo", 1, base_text), PROTO_OK);
+	assert_string_equal(find_vm(fx, "w1").pool, "draft");
+	assert_null(find_vm(fx, "w1").to);
+	fixture_free(fx);
 }
 
-static void roles_are_kept(void **state)
+static void roles_are_enforced(void **state)
 {
-	struct rig *g = rig_new();
+	struct fixture *fx = fixture_new();
 	struct fcm_cmd cmd = {.kind = FCM_PRIORITY,
 			      .id = LSTR("p"),
-			      .made_ms = g->now_ms,
+			      .made_ms = fx->now_ms,
 			      .priority = {.pool = LSTR("check"),
 					   .priority = 99}};
 
-	rig_apply(g, "anna", 0, base_text);
-	assert_int_equal(rig_send(g, "ivo", KEY_OPERATE, &cmd),
+	apply_config(fx, "anna", 0, base_text);
+	assert_int_equal(apply_command(fx, "ivo", KEY_OPERATE, &cmd),
 			 PROTO_FORBIDDEN);
-	assert_int_equal(rig_send(g, "mara", KEY_DUTY, &cmd), PROTO_OK);
-	assert_int_equal(fst_priority(g->f, "check"), 99);
-	rig_free(g);
+	assert_int_equal(apply_command(fx, "mara", KEY_DUTY, &cmd), PROTO_OK);
+	assert_int_equal(fst_priority(fx->f, "check"), 99);
+	fixture_free(fx);
 }
 
-static void the_view_is_what_was_applied(void **state)
+static void view_matches_applied_config(void **state)
 {
-	struct rig *g = rig_new();
+	struct fixture *fx = fixture_new();
 	struct pk_out o;
 	struct fvw *v;
 	GError *err = NULL;
 
-	rig_apply(g, "anna", 0, base_text);
-	rig_move(g, "w1", "draft");
+	apply_config(fx, "anna", 0, base_text);
+	begin_move(fx, "w1", "draft");
 	pk_out_init(&o);
-	fst_view(g->f, &o);
+	fst_view(fx->f, &o);
 	v = fvw_unpack(pk_out_view(&o), &err);
 	assert_non_null(v);
-	assert_int_equal(v->version, fst_version(g->f));
+	assert_int_equal(v->version, fst_version(fx->f));
 	assert_int_equal(v->vms->len, 3);
 	assert_true(fvw_vm(v, LSTR("w1"))->drained);
 	assert_string_equal(g_array_index(v->pools, struct fvw_pool,
@@ -266,52 +273,52 @@
 	assert_int_equal(fvw_service(v, LSTR("c"))->slots, 8);
 	fvw_free(v);
 	pk_out_done(&o);
-	rig_free(g);
+	fixture_free(fx);
 }
 
-static void a_snapshot_gives_the_same_state(void **state)
+static void snapshot_restores_same_state(void **state)
 {
-	struct rig *g = rig_new();
+	struct fixture *fx = fixture_new();
 	struct fst *other = fst_new();
 	struct pk_out a;
 	struct pk_out b;
 	GError *err = NULL;
 
-	rig_apply(g, "anna", 0, base_text);
-	rig_move(g, "w1", "draft");
+	apply_config(fx, "anna", 0, base_text);
+	begin_move(fx, "w1", "draft");
 	pk_out_init(&a);
 	pk_out_init(&b);
-	fst_snapshot(g->f, &a);
+	fst_snapshot(fx->f, &a);
 	assert_true(fst_restore(other, pk_out_view(&a), &err));
 	fst_snapshot(other, &b);
 	assert_true(lstr_eq(pk_out_view(&a), pk_out_view(&b)));
 	a.buf.size--;
 	assert_false(fst_restore(other, pk_out_view(&a), &err));
 	assert_true(g_error_matches(err, ERR_DOMAIN, ERR_CORRUPT));
-	assert_int_equal(fst_index(other), fst_index(g->f));
+	assert_int_equal(fst_index(other), fst_index(fx->f));
 	g_clear_error(&err);
 	pk_out_done(&a);
 	pk_out_done(&b);
 	fst_free(other);
-	rig_free(g);
+	fixture_free(fx);
 }
 
-static void queries_are_tables(void **state)
+static void every_query_returns_a_table(void **state)
 {
 	static const char *const names[] = {"config", "history", "show",
 					    "audit",  "vms",	 "moves",
 					    "pools",  "drains",	 "status"};
-	struct rig *g = rig_new();
+	struct fixture *fx = fixture_new();
 	size_t i;
 
-	rig_apply(g, "anna", 0, base_text);
-	rig_move(g, "w1", "draft");
+	apply_config(fx, "anna", 0, base_text);
+	begin_move(fx, "w1", "draft");
 	for (i = 0; i < G_N_ELEMENTS(names); i++) {
 		struct pk_out o;
 		struct qtb_in t;
 
 		pk_out_init(&o);
-		fst_query(g->f, lstr_from(names[i]),
+		fst_query(fx->f, lstr_from(names[i]),
 			  strcmp(names[i], "status") ? LSTR("") : LSTR("id-2"),
 			  &o);
 		assert_true(qtb_read(&t, pk_out_view(&o)));
@@ -324,20 +331,20 @@
 		qtb_read_done(&t);
 		pk_out_done(&o);
 	}
-	rig_free(g);
+	fixture_free(fx);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(second_of_two_operators_gets_a_conflict),
-		cmocka_unit_test(resends_take_effect_once),
-		cmocka_unit_test(word_of_an_older_move_releases_nothing),
-		cmocka_unit_test(an_unchanged_line_takes_no_move_back),
-		cmocka_unit_test(roles_are_kept),
-		cmocka_unit_test(the_view_is_what_was_applied),
-		cmocka_unit_test(a_snapshot_gives_the_same_state),
-		cmocka_unit_test(queries_are_tables),
+		cmocka_unit_test(concurrent_config_change_is_a_conflict),
+		cmocka_unit_test(resent_command_is_applied_once),
+		cmocka_unit_test(step_of_cancelled_move_is_rejected),
+		cmocka_unit_test(unchanged_config_line_keeps_manual_move),
+		cmocka_unit_test(roles_are_enforced),
+		cmocka_unit_test(view_matches_applied_config),
+		cmocka_unit_test(snapshot_restores_same_state),
+		cmocka_unit_test(every_query_returns_a_table),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
