--- a/src/fcm.h
+++ b/src/fcm.h
@@ -1,6 +1,8 @@
 #ifndef FCM_H
 #define FCM_H
 
+/* fcm: encoding of the commands that change the fleet state. */
+
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -13,25 +15,25 @@
 #include "proto.h"
 
 /*
- * Commands on the fleet state and their results, as they travel from a
- * client to a voter and stand in the log.
+ * Kinds of commands on the fleet state. Clients send commands to voters, which
+ * store them in the replicated log; the values are part of that format.
  */
 enum fcm_kind {
-	FCM_APPLY, /* a configuration */
+	FCM_APPLY, /* puts a configuration in force */
 	FCM_DRAIN, /* a VM or target gets no new work */
 	FCM_UNDRAIN,
-	FCM_MOVE, /* begins the move of a VM to a pool, or calls it off */
-	FCM_RELEASED, /* every entry daemon has let go of a VM */
+	FCM_MOVE, /* begins the move of a VM to a pool, or cancels it */
+	FCM_RELEASED, /* every entry daemon has released a moving VM */
 	FCM_MOVED, /* a released VM joins its new pool */
-	FCM_PRIORITY, /* of a pool, set or cleared by the duty officer */
-	FCM_JOIN, /* an entry daemon that is about to get views */
-	FCM_FORGET, /* an entry daemon that never places again */
-	FCM_NOTE, /* an automatic act, into the audit trail */
-	FCM_KEEPERS, /* of a zone's memory of idempotency keys */
+	FCM_PRIORITY, /* duty officer sets or clears a pool's priority */
+	FCM_JOIN, /* registers an entry daemon, before it gets views */
+	FCM_FORGET, /* removes an entry daemon that never places work again */
+	FCM_NOTE, /* records an automatic action in the audit trail */
+	FCM_KEEPERS, /* sets the key replicas of a zone */
 	FCM_KINDS
 };
 
-/* The operator looked at no earlier change, and takes what it finds. */
+/* Base of a command that applies whatever was changed before. */
 #define FCM_ANY_BASE UINT64_MAX
 #define FCM_ID_MAX 64
 #define FCM_REASON_MAX 200
@@ -39,19 +41,18 @@
 #define FCM_NO_PRIORITY (-1)
 
 struct fcm_apply {
-	uint64_t
-		base; /* number of the configuration it was made from; 0: none */
+	uint64_t base; /* number of the configuration it edits; 0: none */
 	struct lstr reason;
 	guint n_files;
 	struct cfg_text files[FCM_FILES_MAX]; /* the base file first */
 };
 
 /*
- * base of the others: the stamp of the object as the operator saw it, that is
- * the log index of its last change, 0 where there was none.
+ * In the other commands base is the log index of the object's last change as
+ * the operator saw it (its stamp), or 0 if it was never changed.
  */
 struct fcm_drain {
-	bool target; /* the name is a target's, not a VM's */
+	bool target; /* whether name is a target's, not a VM's */
 	struct lstr name;
 	uint64_t base;
 	struct lstr reason;
@@ -59,20 +60,20 @@
 
 struct fcm_move {
 	struct lstr vm;
-	struct lstr pool; /* its present one calls a move off */
+	struct lstr pool; /* the VM's present pool: cancels its move */
 	uint64_t base;
 	struct lstr reason;
 };
 
-struct fcm_step {
+struct fcm_move_step {
 	struct lstr vm;
-	uint64_t epoch; /* of the move it belongs to */
+	uint64_t epoch; /* of the move that the step belongs to */
 	struct lstr reason;
 };
 
 struct fcm_priority {
 	struct lstr pool;
-	int64_t priority; /* FCM_NO_PRIORITY: back to the configuration's */
+	int64_t priority; /* FCM_NO_PRIORITY: use the configuration's */
 	uint64_t base;
 	struct lstr reason;
 };
@@ -83,7 +84,10 @@
 	struct lstr reason;
 };
 
-/* The number must be one above that of the zone's view; see idm. */
+/*
+ * The key replicas of a zone; see idm. The number must be one above that of
+ * the zone's present key replicas.
+ */
 struct fcm_keepers {
 	struct lstr zone;
 	uint64_t epoch;
@@ -98,13 +102,13 @@
 
 struct fcm_cmd {
 	enum fcm_kind kind;
-	struct lstr id; /* the same for each sending of one command */
+	struct lstr id; /* equal in all resends of a command */
 	int64_t made_ms; /* client's clock at the first sending */
 	union {
 		struct fcm_apply apply;
-		struct fcm_drain drain; /* and undrain */
+		struct fcm_drain drain; /* drain, undrain */
 		struct fcm_move move;
-		struct fcm_step step; /* released, moved */
+		struct fcm_move_step step; /* released, moved */
 		struct fcm_priority priority;
 		struct fcm_node node; /* join, forget */
 		struct fcm_note note;
@@ -112,10 +116,10 @@
 	};
 };
 
-/* What the table says of a kind of command. */
+/* Definition of a kind of command. */
 struct fcm_def {
 	const char *name;
-	enum key_role role; /* least that its sender must have */
+	enum key_role role; /* lowest role that may send it */
 	void (*encode)(const struct fcm_cmd *c, struct pk_out *o);
 	void (*decode)(struct fcm_cmd *c, struct pk_in *in);
 	void (*describe)(const struct fcm_cmd *c, GString *s);
@@ -127,12 +131,12 @@
 void fcm_describe(const struct fcm_cmd *c, GString *s);
 bool fcm_decode(struct fcm_cmd *c, struct pk_in *in, struct lstr bytes);
 
-/* How a command ended; version is the view's, number the configuration's. */
+/* Result of a command. */
 struct fcm_result {
 	enum proto_result code;
-	uint64_t index; /* of the entry that decided it; 0: none */
-	uint64_t version;
-	uint64_t number;
+	uint64_t index; /* of the command's log entry; 0: none */
+	uint64_t version; /* of the view */
+	uint64_t number; /* of the configuration in force; 0: none */
 	char *text;
 };
 
--- a/src/fcm_codec.c
+++ b/src/fcm_codec.c
@@ -1,72 +1,72 @@
 #include "fcm.h"
 
-static void fcm_put_apply(const struct fcm_cmd *c, struct pk_out *o);
-static void fcm_put_drain(const struct fcm_cmd *c, struct pk_out *o);
-static void fcm_put_move(const struct fcm_cmd *c, struct pk_out *o);
-static void fcm_put_step(const struct fcm_cmd *c, struct pk_out *o);
-static void fcm_put_priority(const struct fcm_cmd *c, struct pk_out *o);
-static void fcm_put_node(const struct fcm_cmd *c, struct pk_out *o);
-static void fcm_get_node(struct fcm_cmd *c, struct pk_in *in);
-static void fcm_put_note(const struct fcm_cmd *c, struct pk_out *o);
-static void fcm_get_apply(struct fcm_cmd *c, struct pk_in *in);
-static void fcm_get_drain(struct fcm_cmd *c, struct pk_in *in);
-static void fcm_get_move(struct fcm_cmd *c, struct pk_in *in);
-static void fcm_get_step(struct fcm_cmd *c, struct pk_in *in);
-static void fcm_get_priority(struct fcm_cmd *c, struct pk_in *in);
-static void fcm_get_note(struct fcm_cmd *c, struct pk_in *in);
-static void fcm_put_keepers(const struct fcm_cmd *c, struct pk_out *o);
-static void fcm_get_keepers(struct fcm_cmd *c, struct pk_in *in);
-static void fcm_say_apply(const struct fcm_cmd *c, GString *s);
-static void fcm_say_drain(const struct fcm_cmd *c, GString *s);
-static void fcm_say_move(const struct fcm_cmd *c, GString *s);
-static void fcm_say_step(const struct fcm_cmd *c, GString *s);
-static void fcm_say_priority(const struct fcm_cmd *c, GString *s);
-static void fcm_say_node(const struct fcm_cmd *c, GString *s);
-static void fcm_say_note(const struct fcm_cmd *c, GString *s);
-static void fcm_say_keepers(const struct fcm_cmd *c, GString *s);
-static struct lstr fcm_get_text(struct pk_in *in, size_t max);
-static struct lstr fcm_get_name(struct pk_in *in);
+static void fcm_pack_apply(const struct fcm_cmd *c, struct pk_out *o);
+static void fcm_pack_drain(const struct fcm_cmd *c, struct pk_out *o);
+static void fcm_pack_move(const struct fcm_cmd *c, struct pk_out *o);
+static void fcm_pack_move_step(const struct fcm_cmd *c, struct pk_out *o);
+static void fcm_pack_priority(const struct fcm_cmd *c, struct pk_out *o);
+static void fcm_pack_node(const struct fcm_cmd *c, struct pk_out *o);
+static void fcm_unpack_node(struct fcm_cmd *c, struct pk_in *in);
+static void fcm_pack_note(const struct fcm_cmd *c, struct pk_out *o);
+static void fcm_unpack_apply(struct fcm_cmd *c, struct pk_in *in);
+static void fcm_unpack_drain(struct fcm_cmd *c, struct pk_in *in);
+static void fcm_unpack_move(struct fcm_cmd *c, struct pk_in *in);
+static void fcm_unpack_move_step(struct fcm_cmd *c, struct pk_in *in);
+static void fcm_unpack_priority(struct fcm_cmd *c, struct pk_in *in);
+static void fcm_unpack_note(struct fcm_cmd *c, struct pk_in *in);
+static void fcm_pack_key_replicas(const struct fcm_cmd *c, struct pk_out *o);
+static void fcm_unpack_key_replicas(struct fcm_cmd *c, struct pk_in *in);
+static void fcm_describe_apply(const struct fcm_cmd *c, GString *s);
+static void fcm_describe_drain(const struct fcm_cmd *c, GString *s);
+static void fcm_describe_move(const struct fcm_cmd *c, GString *s);
+static void fcm_describe_move_step(const struct fcm_cmd *c, GString *s);
+static void fcm_describe_priority(const struct fcm_cmd *c, GString *s);
+static void fcm_describe_node(const struct fcm_cmd *c, GString *s);
+static void fcm_describe_note(const struct fcm_cmd *c, GString *s);
+static void fcm_describe_key_replicas(const struct fcm_cmd *c, GString *s);
+static struct lstr fcm_unpack_text(struct pk_in *in, size_t max);
+static struct lstr fcm_unpack_name(struct pk_in *in);
 
 const struct fcm_def fcm_defs[FCM_KINDS] = {
-	[FCM_APPLY] = {"apply", KEY_OPERATE, fcm_put_apply, fcm_get_apply,
-		       fcm_say_apply},
-	[FCM_DRAIN] = {"drain", KEY_OPERATE, fcm_put_drain, fcm_get_drain,
-		       fcm_say_drain},
-	[FCM_UNDRAIN] = {"undrain", KEY_OPERATE, fcm_put_drain, fcm_get_drain,
-			 fcm_say_drain},
-	[FCM_MOVE] = {"move", KEY_OPERATE, fcm_put_move, fcm_get_move,
-		      fcm_say_move},
-	[FCM_RELEASED] = {"released", KEY_PEER, fcm_put_step, fcm_get_step,
-			  fcm_say_step},
-	[FCM_MOVED] = {"moved", KEY_PEER, fcm_put_step, fcm_get_step,
-		       fcm_say_step},
-	[FCM_PRIORITY] = {"priority", KEY_DUTY, fcm_put_priority,
-			  fcm_get_priority, fcm_say_priority},
-	[FCM_JOIN] = {"join", KEY_PEER, fcm_put_node, fcm_get_node,
-		      fcm_say_node},
-	[FCM_FORGET] = {"forget", KEY_DUTY, fcm_put_node, fcm_get_node,
-			fcm_say_node},
-	/* Recovery of a lost majority, by the duty officer, is noted too. */
-	[FCM_NOTE] = {"note", KEY_DUTY, fcm_put_note, fcm_get_note,
-		      fcm_say_note},
-	[FCM_KEEPERS] = {"keepers", KEY_PEER, fcm_put_keepers, fcm_get_keepers,
-			 fcm_say_keepers},
+	[FCM_APPLY] = {"apply", KEY_OPERATE, fcm_pack_apply, fcm_unpack_apply,
+		       fcm_describe_apply},
+	[FCM_DRAIN] = {"drain", KEY_OPERATE, fcm_pack_drain, fcm_unpack_drain,
+		       fcm_describe_drain},
+	[FCM_UNDRAIN] = {"undrain", KEY_OPERATE, fcm_pack_drain,
+			 fcm_unpack_drain, fcm_describe_drain},
+	[FCM_MOVE] = {"move", KEY_OPERATE, fcm_pack_move, fcm_unpack_move,
+		      fcm_describe_move},
+	[FCM_RELEASED] = {"released", KEY_PEER, fcm_pack_move_step,
+			  fcm_unpack_move_step, fcm_describe_move_step},
+	[FCM_MOVED] = {"moved", KEY_PEER, fcm_pack_move_step,
+		       fcm_unpack_move_step, fcm_describe_move_step},
+	[FCM_PRIORITY] = {"priority", KEY_DUTY, fcm_pack_priority,
+			  fcm_unpack_priority, fcm_describe_priority},
+	[FCM_JOIN] = {"join", KEY_PEER, fcm_pack_node, fcm_unpack_node,
+		      fcm_describe_node},
+	[FCM_FORGET] = {"forget", KEY_DUTY, fcm_pack_node, fcm_unpack_node,
+			fcm_describe_node},
+	/* The duty officer's recovery of a lost majority sends a note too. */
+	[FCM_NOTE] = {"note", KEY_DUTY, fcm_pack_note, fcm_unpack_note,
+		      fcm_describe_note},
+	[FCM_KEEPERS] = {"keepers", KEY_PEER, fcm_pack_key_replicas,
+			 fcm_unpack_key_replicas, fcm_describe_key_replicas},
 };
 
-static const char *const fcm_outcomes[] = {
+static const char *const fcm_outcome_names[] = {
 	[PROTO_OK] = "accepted",	 [PROTO_REFUSED] = "refused",
 	[PROTO_CONFLICT] = "conflict",	 [PROTO_NOT_LEADER] = "not leader",
 	[PROTO_NO_QUORUM] = "no quorum", [PROTO_OUTCOME_UNKNOWN] = "unknown",
 	[PROTO_FORBIDDEN] = "forbidden",
 };
 
-/* How a command ended, as operators read it. */
+/* Returns the name of a command's outcome as shown to operators. */
 const char *fcm_outcome_name(enum proto_result code)
 {
-	return fcm_outcomes[code];
+	return fcm_outcome_names[code];
 }
 
-/* Packs a command: [kind, identity, made, [fields of the kind]]. */
+/* Packs a command: [kind, id, made_ms, [fields of the kind]]. */
 void fcm_encode(const struct fcm_cmd *c, struct pk_out *o)
 {
 	pk_arr(o, 4);
@@ -77,8 +77,9 @@
 }
 
 /*
- * Reads a command with every check of form. Its strings live until
- * pk_in_done(in), which the caller calls in both cases.
+ * Decodes a command and checks its format. Returns false if it is malformed.
+ * Its strings are valid until pk_in_done(in), which the caller calls in both
+ * cases.
  */
 bool fcm_decode(struct fcm_cmd *c, struct pk_in *in, struct lstr bytes)
 {
@@ -89,7 +90,7 @@
 	if (!pk_in_init(in, bytes))
 		return false;
 	kind = pk_get_u(in);
-	c->id = fcm_get_text(in, FCM_ID_MAX);
+	c->id = fcm_unpack_text(in, FCM_ID_MAX);
 	c->made_ms = pk_get_i(in);
 	body = pk_get_arr(in);
 	if (!pk_in_ok(in) || pk_in_left(in) || kind >= FCM_KINDS ||
@@ -100,7 +101,7 @@
 	return pk_in_ok(&body) && pk_in_left(&body) == 0;
 }
 
-static void fcm_put_apply(const struct fcm_cmd *c, struct pk_out *o)
+static void fcm_pack_apply(const struct fcm_cmd *c, struct pk_out *o)
 {
 	guint i;
 
@@ -114,14 +115,14 @@
 	}
 }
 
-static void fcm_get_apply(struct fcm_cmd *c, struct pk_in *in)
+static void fcm_unpack_apply(struct fcm_cmd *c, struct pk_in *in)
 {
 	struct fcm_apply *a = &c->apply;
 	struct pk_in files;
 	guint i;
 
 	a->base = pk_get_u(in);
-	a->reason = fcm_get_text(in, FCM_REASON_MAX);
+	a->reason = fcm_unpack_text(in, FCM_REASON_MAX);
 	files = pk_get_arr(in);
 	a->n_files = pk_in_left(&files) / 2;
 	if (!pk_in_ok(&files) || pk_in_left(&files) % 2 || a->n_files == 0 ||
@@ -130,13 +131,13 @@
 		return;
 	}
 	for (i = 0; i < a->n_files; i++) {
-		a->files[i].name = fcm_get_name(&files);
+		a->files[i].name = fcm_unpack_name(&files);
 		a->files[i].text = pk_get_str(&files);
 	}
 	in->bad = in->bad || files.bad;
 }
 
-static void fcm_put_drain(const struct fcm_cmd *c, struct pk_out *o)
+static void fcm_pack_drain(const struct fcm_cmd *c, struct pk_out *o)
 {
 	pk_arr(o, 4);
 	pk_bool(o, c->drain.target);
@@ -145,15 +146,15 @@
 	pk_str(o, c->drain.reason);
 }
 
-static void fcm_get_drain(struct fcm_cmd *c, struct pk_in *in)
+static void fcm_unpack_drain(struct fcm_cmd *c, struct pk_in *in)
 {
 	c->drain.target = pk_get_bool(in);
-	c->drain.name = fcm_get_name(in);
+	c->drain.name = fcm_unpack_name(in);
 	c->drain.base = pk_get_u(in);
-	c->drain.reason = fcm_get_text(in, FCM_REASON_MAX);
+	c->drain.reason = fcm_unpack_text(in, FCM_REASON_MAX);
 }
 
-static void fcm_put_move(const struct fcm_cmd *c, struct pk_out *o)
+static void fcm_pack_move(const struct fcm_cmd *c, struct pk_out *o)
 {
 	pk_arr(o, 4);
 	pk_str(o, c->move.vm);
@@ -162,15 +163,15 @@
 	pk_str(o, c->move.reason);
 }
 
-static void fcm_get_move(struct fcm_cmd *c, struct pk_in *in)
+static void fcm_unpack_move(struct fcm_cmd *c, struct pk_in *in)
 {
-	c->move.vm = fcm_get_name(in);
-	c->move.pool = fcm_get_name(in);
+	c->move.vm = fcm_unpack_name(in);
+	c->move.pool = fcm_unpack_name(in);
 	c->move.base = pk_get_u(in);
-	c->move.reason = fcm_get_text(in, FCM_REASON_MAX);
+	c->move.reason = fcm_unpack_text(in, FCM_REASON_MAX);
 }
 
-static void fcm_put_step(const struct fcm_cmd *c, struct pk_out *o)
+static void fcm_pack_move_step(const struct fcm_cmd *c, struct pk_out *o)
 {
 	pk_arr(o, 3);
 	pk_str(o, c->step.vm);
@@ -178,14 +179,14 @@
 	pk_str(o, c->step.reason);
 }
 
-static void fcm_get_step(struct fcm_cmd *c, struct pk_in *in)
+static void fcm_unpack_move_step(struct fcm_cmd *c, struct pk_in *in)
 {
-	c->step.vm = fcm_get_name(in);
+	c->step.vm = fcm_unpack_name(in);
 	c->step.epoch = pk_get_u(in);
-	c->step.reason = fcm_get_text(in, FCM_REASON_MAX);
+	c->step.reason = fcm_unpack_text(in, FCM_REASON_MAX);
 }
 
-static void fcm_put_priority(const struct fcm_cmd *c, struct pk_out *o)
+static void fcm_pack_priority(const struct fcm_cmd *c, struct pk_out *o)
 {
 	pk_arr(o, 4);
 	pk_str(o, c->priority.pool);
@@ -194,15 +195,15 @@
 	pk_str(o, c->priority.reason);
 }
 
-static void fcm_get_priority(struct fcm_cmd *c, struct pk_in *in)
+static void fcm_unpack_priority(struct fcm_cmd *c, struct pk_in *in)
 {
-	c->priority.pool = fcm_get_name(in);
+	c->priority.pool = fcm_unpack_name(in);
 	c->priority.priority = pk_get_i(in);
 	c->priority.base = pk_get_u(in);
-	c->priority.reason = fcm_get_text(in, FCM_REASON_MAX);
+	c->priority.reason = fcm_unpack_text(in, FCM_REASON_MAX);
 }
 
-static void fcm_put_node(const struct fcm_cmd *c, struct pk_out *o)
+static void fcm_pack_node(const struct fcm_cmd *c, struct pk_out *o)
 {
 	pk_arr(o, 3);
 	pk_str(o, c->node.node);
@@ -210,26 +211,26 @@
 	pk_str(o, c->node.reason);
 }
 
-static void fcm_get_node(struct fcm_cmd *c, struct pk_in *in)
+static void fcm_unpack_node(struct fcm_cmd *c, struct pk_in *in)
 {
-	c->node.node = fcm_get_name(in);
-	c->node.zone =
-		c->kind == FCM_JOIN ? fcm_get_name(in) : fcm_get_text(in, 0);
-	c->node.reason = fcm_get_text(in, FCM_REASON_MAX);
+	c->node.node = fcm_unpack_name(in);
+	c->node.zone = c->kind == FCM_JOIN ? fcm_unpack_name(in)
+					   : fcm_unpack_text(in, 0);
+	c->node.reason = fcm_unpack_text(in, FCM_REASON_MAX);
 }
 
-static void fcm_put_note(const struct fcm_cmd *c, struct pk_out *o)
+static void fcm_pack_note(const struct fcm_cmd *c, struct pk_out *o)
 {
 	pk_arr(o, 1);
 	pk_str(o, c->note.text);
 }
 
-static void fcm_get_note(struct fcm_cmd *c, struct pk_in *in)
+static void fcm_unpack_note(struct fcm_cmd *c, struct pk_in *in)
 {
-	c->note.text = fcm_get_text(in, FCM_REASON_MAX);
+	c->note.text = fcm_unpack_text(in, FCM_REASON_MAX);
 }
 
-static void fcm_put_keepers(const struct fcm_cmd *c, struct pk_out *o)
+static void fcm_pack_key_replicas(const struct fcm_cmd *c, struct pk_out *o)
 {
 	guint i;
 
@@ -242,11 +243,11 @@
 		pk_str(o, c->keepers.names[i]);
 }
 
-static void fcm_get_keepers(struct fcm_cmd *c, struct pk_in *in)
+static void fcm_unpack_key_replicas(struct fcm_cmd *c, struct pk_in *in)
 {
 	struct pk_in list;
 
-	c->keepers.zone = fcm_get_name(in);
+	c->keepers.zone = fcm_unpack_name(in);
 	c->keepers.epoch = pk_get_u(in);
 	c->keepers.number = pk_get_u(in);
 	list = pk_get_arr(in);
@@ -257,27 +258,27 @@
 	}
 	for (c->keepers.n = 0; pk_in_left(&list); c->keepers.n++)
 		c->keepers.names[c->keepers.n] =
-			fcm_get_text(&list, FVW_NAME_MAX);
+			fcm_unpack_text(&list, FVW_NAME_MAX);
 	if (!pk_in_ok(&list))
 		in->bad = true;
 }
 
 /*
- * Says what a command wants to do, for stamps and the audit trail, also of
- * one that is refused.
+ * Appends a description of a command, for stamps and the audit trail; refused
+ * commands are described too.
  */
 void fcm_describe(const struct fcm_cmd *c, GString *s)
 {
 	fcm_defs[c->kind].describe(c, s);
 }
 
-static void fcm_say_reason(struct lstr reason, GString *s)
+static void fcm_append_reason(struct lstr reason, GString *s)
 {
 	if (reason.len)
 		g_string_append_printf(s, " (" LSTR_FMT ")", LSTR_ARG(reason));
 }
 
-static void fcm_say_apply(const struct fcm_cmd *c, GString *s)
+static void fcm_describe_apply(const struct fcm_cmd *c, GString *s)
 {
 	const struct fcm_apply *a = &c->apply;
 
@@ -286,33 +287,33 @@
 	if (a->base != FCM_ANY_BASE)
 		g_string_append_printf(s, ", made from %llu",
 				       (unsigned long long)a->base);
-	fcm_say_reason(a->reason, s);
+	fcm_append_reason(a->reason, s);
 }
 
-static void fcm_say_drain(const struct fcm_cmd *c, GString *s)
+static void fcm_describe_drain(const struct fcm_cmd *c, GString *s)
 {
 	g_string_append_printf(s, "%s %s" LSTR_FMT, fcm_defs[c->kind].name,
 			       c->drain.target ? "target " : "",
 			       LSTR_ARG(c->drain.name));
-	fcm_say_reason(c->drain.reason, s);
+	fcm_append_reason(c->drain.reason, s);
 }
 
-static void fcm_say_move(const struct fcm_cmd *c, GString *s)
+static void fcm_describe_move(const struct fcm_cmd *c, GString *s)
 {
 	g_string_append_printf(s, "move " LSTR_FMT " to " LSTR_FMT,
 			       LSTR_ARG(c->move.vm), LSTR_ARG(c->move.pool));
-	fcm_say_reason(c->move.reason, s);
+	fcm_append_reason(c->move.reason, s);
 }
 
-static void fcm_say_step(const struct fcm_cmd *c, GString *s)
+static void fcm_describe_move_step(const struct fcm_cmd *c, GString *s)
 {
 	g_string_append_printf(s, "%s " LSTR_FMT " at epoch %llu",
 			       fcm_defs[c->kind].name, LSTR_ARG(c->step.vm),
 			       (unsigned long long)c->step.epoch);
-	fcm_say_reason(c->step.reason, s);
+	fcm_append_reason(c->step.reason, s);
 }
 
-static void fcm_say_priority(const struct fcm_cmd *c, GString *s)
+static void fcm_describe_priority(const struct fcm_cmd *c, GString *s)
 {
 	const struct fcm_priority *p = &c->priority;
 
@@ -323,24 +324,24 @@
 		g_string_append_printf(s, "priority %lld for " LSTR_FMT,
 				       (long long)p->priority,
 				       LSTR_ARG(p->pool));
-	fcm_say_reason(p->reason, s);
+	fcm_append_reason(p->reason, s);
 }
 
-static void fcm_say_node(const struct fcm_cmd *c, GString *s)
+static void fcm_describe_node(const struct fcm_cmd *c, GString *s)
 {
 	g_string_append_printf(s, "entry daemon " LSTR_FMT " %s" LSTR_FMT,
 			       LSTR_ARG(c->node.node),
 			       c->kind == FCM_JOIN ? "joins in " : "forgotten",
 			       LSTR_ARG(c->node.zone));
-	fcm_say_reason(c->node.reason, s);
+	fcm_append_reason(c->node.reason, s);
 }
 
-static void fcm_say_note(const struct fcm_cmd *c, GString *s)
+static void fcm_describe_note(const struct fcm_cmd *c, GString *s)
 {
 	g_string_append_len(s, c->note.text.p, (gssize)c->note.text.len);
 }
 
-static void fcm_say_keepers(const struct fcm_cmd *c, GString *s)
+static void fcm_describe_key_replicas(const struct fcm_cmd *c, GString *s)
 {
 	const struct fcm_keepers *k = &c->keepers;
 
@@ -351,8 +352,11 @@
 			       LSTR_ARG(k->names[0]));
 }
 
-/* Text that goes into the audit trail: UTF-8 without control characters. */
-static struct lstr fcm_get_text(struct pk_in *in, size_t max)
+/*
+ * Reads a text of at most max bytes for the audit trail. The message is marked
+ * bad unless the text is UTF-8 without control characters.
+ */
+static struct lstr fcm_unpack_text(struct pk_in *in, size_t max)
 {
 	struct lstr s = pk_get_str(in);
 	size_t i;
@@ -365,8 +369,8 @@
 	return in->bad ? LSTR("") : s;
 }
 
-/* A name of a VM, target, pool or file. */
-static struct lstr fcm_get_name(struct pk_in *in)
+/* Reads a name of a VM, target, pool or file; marks bad if not a name. */
+static struct lstr fcm_unpack_name(struct pk_in *in)
 {
 	struct lstr s = pk_get_str(in);
 
@@ -386,7 +390,10 @@
 	pk_cstr(o, r->text);
 }
 
-/* Reads a result; text is then freed by fcm_result_clear. */
+/*
+ * Reads a result; the caller frees its text with fcm_result_clear. Returns
+ * false if the bytes are malformed.
+ */
 bool fcm_result_unpack(struct fcm_result *r, struct lstr bytes)
 {
 	struct pk_in in;
@@ -408,7 +415,7 @@
 	return ok;
 }
 
-/* Frees what a result holds. */
+/* Frees the text of a result. */
 void fcm_result_clear(struct fcm_result *r)
 {
 	g_free(r->text);
--- a/src/fst_vm.c
+++ b/src/fst_vm.c
@@ -324,7 +324,7 @@
  */
 static struct fst_vm *fst_find_moving_vm(struct fst_exec *ex)
 {
-	const struct fcm_step *s = &ex->cmd->step;
+	const struct fcm_move_step *s = &ex->cmd->step;
 	struct fst_vm *vm;
 
 	ex->from = s->epoch;
