--- a/src/fst_keep.c
+++ b/src/fst_keep.c
@@ -34,7 +34,7 @@
 		return;
 	}
 	for (i = 0; i < c->n; i++) {
-		if (fvw_keeper_ok(c->names[i]))
+		if (fvw_is_key_replica_name(c->names[i]))
 			continue;
 		fst_exec_finish(ex, PROTO_REFUSED,
 				"keeper " LSTR_FMT "; allowed: NODE/BOOT",
--- a/src/fst_view.c
+++ b/src/fst_view.c
@@ -98,7 +98,7 @@
 		if (vm->since <= from ||
 		    (site && cfg_vm(f->cfg, vm->name)->site != site))
 			continue;
-		out.pool = fvw_pool_at(v, vm->pool);
+		out.pool = fvw_pool_index(v, vm->pool);
 		g_assert(out.pool >= 0);
 		out.name = g_strdup(vm->name);
 		g_array_append_val(v->vms, out);
--- a/src/fvw.c
+++ b/src/fvw.c
@@ -7,17 +7,18 @@
 static void fvw_clear_pool(gpointer p);
 static void fvw_clear_vm(gpointer p);
 static void fvw_pack_pool(const struct fvw_pool *p, struct pk_out *o);
-static bool fvw_get(struct pk_in *in, struct fvw *v, GError **err);
-static bool fvw_get_pools(struct pk_in *in, struct fvw *v, GError **err);
-static bool fvw_get_vms(struct pk_in *in, struct fvw *v, GError **err);
-static bool fvw_get_keepers(struct pk_in *in, struct fvw *v, GError **err);
-static bool fvw_get_name(struct pk_in *in, char **out);
-static int64_t fvw_get_num(struct pk_in *in, int64_t max);
-static int fvw_by_service(gconstpointer a, gconstpointer b, gpointer arg);
-static bool fvw_services_differ(const struct fvw *v, GError **err);
-static int fvw_vm_named(const void *name, const void *vm);
-
-/* An empty view of that version. */
+static bool fvw_unpack_fields(struct pk_in *in, struct fvw *v, GError **err);
+static bool fvw_unpack_pools(struct pk_in *in, struct fvw *v, GError **err);
+static bool fvw_unpack_vms(struct pk_in *in, struct fvw *v, GError **err);
+static bool fvw_unpack_key_replicas(struct pk_in *in, struct fvw *v,
+				    GError **err);
+static bool fvw_unpack_name(struct pk_in *in, char **out);
+static int64_t fvw_unpack_num(struct pk_in *in, int64_t max);
+static int fvw_compare_services(gconstpointer a, gconstpointer b, gpointer arg);
+static bool fvw_check_services_unique(const struct fvw *v, GError **err);
+static int fvw_compare_vm_name(const void *name, const void *vm);
+
+/* Returns a new, empty view of that version. */
 struct fvw *fvw_new(uint64_t version)
 {
 	struct fvw *v = g_new0(struct fvw, 1);
@@ -60,8 +61,8 @@
 }
 
 /*
- * Makes the look-up by service; needed once after the pools of a view were
- * filled in by hand. fvw_unpack does it by itself.
+ * Builds the index by service. Needed once after a caller has filled in the
+ * pools itself; fvw_unpack and fvw_update call it.
  */
 void fvw_index(struct fvw *v)
 {
@@ -70,10 +71,10 @@
 	g_array_set_size(v->services, 0);
 	for (i = 0; i < v->pools->len; i++)
 		g_array_append_val(v->services, i);
-	g_array_sort_with_data(v->services, fvw_by_service, v);
+	g_array_sort_with_data(v->services, fvw_compare_services, v);
 }
 
-static int fvw_by_service(gconstpointer a, gconstpointer b, gpointer arg)
+static int fvw_compare_services(gconstpointer a, gconstpointer b, gpointer arg)
 {
 	const struct fvw *v = arg;
 	guint i = *(const guint *)a;
@@ -83,17 +84,17 @@
 		      g_array_index(v->pools, struct fvw_pool, j).service);
 }
 
-/* Packs a view, whose pools, VMs and drained targets are in order of name. */
+/* Packs a full view; its pools, VMs and drained targets must be sorted. */
 void fvw_pack(const struct fvw *v, struct pk_out *o)
 {
 	pk_arr(o, 6);
-	pk_u(o, FVW_WHOLE);
+	pk_u(o, FVW_FULL);
 	pk_u(o, v->version);
-	fvw_pack_parts(v, o);
+	fvw_pack_body(v, o);
 }
 
-/* Packs pools, VMs, drained targets and keepers: four fields. */
-void fvw_pack_parts(const struct fvw *v, struct pk_out *o)
+/* Packs pools, VMs, drained targets and key replicas as four fields. */
+void fvw_pack_body(const struct fvw *v, struct pk_out *o)
 {
 	guint i;
 
@@ -134,9 +135,9 @@
 }
 
 /*
- * Reads a packed view with every check: format, limits, names in strict
- * order, one pool a service, each VM in a pool that exists. NULL with
- * ERR_INPUT; the caller then goes on with the view it has.
+ * Reads and checks a packed full view: format, limits, names in strict order,
+ * one pool per service, each VM in an existing pool. Returns NULL with
+ * ERR_INPUT if a check fails; the caller then keeps the view it has.
  */
 struct fvw *fvw_unpack(struct lstr bytes, GError **err)
 {
@@ -149,7 +150,7 @@
 		return NULL;
 	}
 	v = fvw_new(0);
-	ok = fvw_get(&in, v, err);
+	ok = fvw_unpack_fields(&in, v, err);
 	pk_in_done(&in);
 	if (ok)
 		return v;
@@ -157,100 +158,101 @@
 	return NULL;
 }
 
-static bool fvw_get(struct pk_in *in, struct fvw *v, GError **err)
+static bool fvw_unpack_fields(struct pk_in *in, struct fvw *v, GError **err)
 {
 	uint64_t format = pk_get_u(in);
 
 	v->version = pk_get_u(in);
-	if (!pk_in_ok(in) || format != FVW_WHOLE) {
+	if (!pk_in_ok(in) || format != FVW_FULL) {
 		err_set(err, ERR_INPUT, "read view", NULL,
 			"format %llu; allowed: %d", (unsigned long long)format,
-			FVW_WHOLE);
+			FVW_FULL);
 		return false;
 	}
-	if (!fvw_get_parts(in, v, err))
+	if (!fvw_unpack_body(in, v, err))
 		return false;
 	if (!pk_in_ok(in) || pk_in_left(in) != 0)
-		return fvw_bad(err, "fields", 0);
-	return fvw_seal(v, err);
+		return fvw_reject(err, "fields", 0);
+	return fvw_finish(v, err);
 }
 
 /*
- * Reads pools, VMs, drained targets and keepers, each held against the pools v then
- * has.
+ * Reads pools, VMs, drained targets and key replicas. VMs are checked against
+ * the pools that v then has.
  */
-bool fvw_get_parts(struct pk_in *in, struct fvw *v, GError **err)
+bool fvw_unpack_body(struct pk_in *in, struct fvw *v, GError **err)
 {
-	return fvw_get_pools(in, v, err) && fvw_get_vms(in, v, err) &&
-	       fvw_get_names(in, v->drained, FVW_DRAINED_MAX, "drained target",
-			     err) &&
-	       fvw_get_keepers(in, v, err);
+	return fvw_unpack_pools(in, v, err) && fvw_unpack_vms(in, v, err) &&
+	       fvw_unpack_names(in, v->drained, FVW_DRAINED_MAX,
+				"drained target", err) &&
+	       fvw_unpack_key_replicas(in, v, err);
 }
 
-/* Ends the reading of a view: its look-ups, and one pool a service. */
-bool fvw_seal(struct fvw *v, GError **err)
+/* Builds the index of a view and checks that each service has one pool. */
+bool fvw_finish(struct fvw *v, GError **err)
 {
 	fvw_index(v);
-	return fvw_services_differ(v, err);
+	return fvw_check_services_unique(v, err);
 }
 
-static bool fvw_get_pools(struct pk_in *in, struct fvw *v, GError **err)
+static bool fvw_unpack_pools(struct pk_in *in, struct fvw *v, GError **err)
 {
 	struct pk_in list = pk_get_arr(in);
 	const char *last = "";
 	guint i;
 
 	if (!pk_in_ok(&list) || pk_in_left(&list) > FVW_POOLS_MAX)
-		return fvw_bad(err, "pools", 0);
+		return fvw_reject(err, "pools", 0);
 	for (i = 0; pk_in_left(&list); i++) {
 		struct pk_in one = pk_get_arr(&list);
 		struct fvw_pool p = {0};
-		bool named = fvw_get_name(&one, &p.name) &&
-			     fvw_get_name(&one, &p.service);
-
-		p.slots = (int)fvw_get_num(&one, INT32_MAX);
-		p.conns = (int)fvw_get_num(&one, INT32_MAX);
-		p.deadline_ms = fvw_get_num(&one, INT64_MAX);
-		p.max_answer = fvw_get_num(&one, INT64_MAX);
-		p.max_body = fvw_get_num(&one, INT64_MAX);
-		p.queue_ms = (int)fvw_get_num(&one, INT32_MAX);
-		p.priority = (int)fvw_get_num(&one, INT32_MAX);
+		bool named = fvw_unpack_name(&one, &p.name) &&
+			     fvw_unpack_name(&one, &p.service);
+
+		p.slots = (int)fvw_unpack_num(&one, INT32_MAX);
+		p.conns = (int)fvw_unpack_num(&one, INT32_MAX);
+		p.deadline_ms = fvw_unpack_num(&one, INT64_MAX);
+		p.max_answer = fvw_unpack_num(&one, INT64_MAX);
+		p.max_body = fvw_unpack_num(&one, INT64_MAX);
+		p.queue_ms = (int)fvw_unpack_num(&one, INT32_MAX);
+		p.priority = (int)fvw_unpack_num(&one, INT32_MAX);
 		g_array_append_val(v->pools, p);
 		if (!named || !pk_in_ok(&one) || pk_in_left(&one) ||
 		    strcmp(p.name, last) <= 0 || p.slots == 0 || p.conns == 0)
-			return fvw_bad(err, "pool", i);
+			return fvw_reject(err, "pool", i);
 		last = p.name;
 	}
 	return true;
 }
 
-static bool fvw_get_vms(struct pk_in *in, struct fvw *v, GError **err)
+static bool fvw_unpack_vms(struct pk_in *in, struct fvw *v, GError **err)
 {
 	struct pk_in list = pk_get_arr(in);
 	const char *last = "";
 	guint i;
 
 	if (!pk_in_ok(&list) || pk_in_left(&list) > FVW_VMS_MAX)
-		return fvw_bad(err, "VMs", 0);
+		return fvw_reject(err, "VMs", 0);
 	for (i = 0; pk_in_left(&list); i++) {
 		struct pk_in one = pk_get_arr(&list);
 		struct fvw_vm vm = {0};
-		bool named = fvw_get_name(&one, &vm.name);
+		bool named = fvw_unpack_name(&one, &vm.name);
 
-		vm.pool = (int)fvw_get_num(&one, INT32_MAX);
+		vm.pool = (int)fvw_unpack_num(&one, INT32_MAX);
 		vm.epoch = pk_get_u(&one);
 		vm.drained = pk_get_bool(&one);
 		g_array_append_val(v->vms, vm);
 		if (!named || !pk_in_ok(&one) || pk_in_left(&one) ||
 		    (guint)vm.pool >= v->pools->len ||
 		    strcmp(vm.name, last) <= 0)
-			return fvw_bad(err, "VM", i);
+			return fvw_reject(err, "VM", i);
 		last = vm.name;
 	}
 	return true;
 }
 
-static bool fvw_get_keepers(struct pk_in *in, struct fvw *v, GError **err)
+static bool fvw_unpack_key_replicas(struct pk_in *in, struct fvw *v,
+				    GError **err)
 {
 	struct pk_in list = pk_get_arr(in);
 	struct fvw_keepers *k;
@@ -258,22 +260,22 @@
 	guint i;
 
 	if (!pk_in_ok(&list) || pk_in_left(&list) > FVW_ZONES_MAX)
-		return fvw_bad(err, "zones' keepers", 0);
+		return fvw_reject(err, "zones' keepers", 0);
 	for (i = 0; pk_in_left(&list); i++) {
 		k = fvw_keepers_unpack(&list);
 		if (!k)
-			return fvw_bad(err, "zone's keepers", i);
+			return fvw_reject(err, "zone's keepers", i);
 		g_ptr_array_add(v->keepers, k);
 		if (strcmp(k->zone, last) <= 0)
-			return fvw_bad(err, "zone's keepers", i);
+			return fvw_reject(err, "zone's keepers", i);
 		last = k->zone;
 	}
 	return true;
 }
 
-/* Reads names in strict order. */
-bool fvw_get_names(struct pk_in *in, GPtrArray *names, guint max,
-		   const char *what, GError **err)
+/* Reads a list of at most max names, which must be in strict order. */
+bool fvw_unpack_names(struct pk_in *in, GPtrArray *names, guint max,
+		      const char *what, GError **err)
 {
 	struct pk_in list = pk_get_arr(in);
 	const char *last = "";
@@ -281,20 +283,20 @@
 	guint i;
 
 	if (!pk_in_ok(&list) || pk_in_left(&list) > max)
-		return fvw_bad(err, what, 0);
+		return fvw_reject(err, what, 0);
 	for (i = 0; pk_in_left(&list); i++) {
-		if (!fvw_get_name(&list, &name))
-			return fvw_bad(err, what, i);
+		if (!fvw_unpack_name(&list, &name))
+			return fvw_reject(err, what, i);
 		g_ptr_array_add(names, name);
 		if (strcmp(name, last) <= 0)
-			return fvw_bad(err, what, i);
+			return fvw_reject(err, what, i);
 		last = name;
 	}
 	return true;
 }
 
-/* A name that is not empty and holds printable ASCII without blanks. */
-static bool fvw_get_name(struct pk_in *in, char **out)
+/* Reads a name of printable ASCII without blanks; false: invalid or empty. */
+static bool fvw_unpack_name(struct pk_in *in, char **out)
 {
 	struct lstr s = pk_get_str(in);
 	size_t i;
@@ -308,7 +310,7 @@
 	return true;
 }
 
-static int64_t fvw_get_num(struct pk_in *in, int64_t max)
+static int64_t fvw_unpack_num(struct pk_in *in, int64_t max)
 {
 	int64_t n = pk_get_i(in);
 
@@ -318,29 +320,32 @@
 	return 0;
 }
 
-/* Two pools of one service would leave open whose limits a request keeps. */
-static bool fvw_services_differ(const struct fvw *v, GError **err)
+/*
+ * Checks that no two pools have the same service; it would be undefined which
+ * pool's limits apply to a request.
+ */
+static bool fvw_check_services_unique(const struct fvw *v, GError **err)
 {
 	guint i;
 
 	for (i = 1; i < v->services->len; i++) {
 		guint *at = &g_array_index(v->services, guint, i);
 
-		if (fvw_by_service(at - 1, at, (gpointer)v) == 0)
-			return fvw_bad(err, "service of pool", *at);
+		if (fvw_compare_services(at - 1, at, (gpointer)v) == 0)
+			return fvw_reject(err, "service of pool", *at);
 	}
 	return true;
 }
 
-/* Refuses a view; always false. */
-bool fvw_bad(GError **err, const char *what, guint at)
+/* Sets the error for the invalid element what[at]; always returns false. */
+bool fvw_reject(GError **err, const char *what, guint at)
 {
 	err_set(err, ERR_INPUT, "read view", NULL, "%s %u not allowed", what,
 		at);
 	return false;
 }
 
-/* The pool that serves a service, or NULL. */
+/* Returns the pool of a service, or NULL. */
 const struct fvw_pool *fvw_service(const struct fvw *v, struct lstr service)
 {
 	guint low = 0;
@@ -364,24 +369,24 @@
 	return NULL;
 }
 
-/* The VM of that name, or NULL. */
+/* Returns the VM of that name, or NULL. */
 const struct fvw_vm *fvw_vm(const struct fvw *v, struct lstr name)
 {
 	if (v->vms->len == 0)
 		return NULL;
 	return bsearch(&name, v->vms->data, v->vms->len, sizeof(struct fvw_vm),
-		       fvw_vm_named);
+		       fvw_compare_vm_name);
 }
 
-static int fvw_vm_named(const void *name, const void *vm)
+static int fvw_compare_vm_name(const void *name, const void *vm)
 {
 	const struct lstr *want = name;
 
 	return lstr_cmp(*want, lstr_from(((const struct fvw_vm *)vm)->name));
 }
 
-/* The place of the pool of that name among the pools, or -1. */
-int fvw_pool_at(const struct fvw *v, const char *name)
+/* Returns the index in v->pools of the pool of that name, or -1. */
+int fvw_pool_index(const struct fvw *v, const char *name)
 {
 	int low = 0;
 	int high = (int)v->pools->len - 1;
@@ -402,12 +407,12 @@
 	return -1;
 }
 
-/* Whether an operator drained the target of that name. */
+/* Returns whether the target of that name is drained by name. */
 bool fvw_target_drained(const struct fvw *v, struct lstr target)
 {
 	guint i;
 
-	/* Few are drained by name at any time, so a walk is enough. */
+	/* Few targets are drained by name, so a linear search suffices. */
 	for (i = 0; i < v->drained->len; i++)
 		if (lstr_eq(target,
 			    lstr_from(g_ptr_array_index(v->drained, i))))
--- a/src/fvw_delta.c
+++ b/src/fvw_delta.c
@@ -5,31 +5,32 @@
 #include "err.h"
 
 /*
- * What changed in a view since an earlier version: values as they are now, so
- * that it may be laid over any version from the one it was made for on. At
- * 34,000 changes a day whole views of a large site would take many times the
- * 3 KB a second that a node may spend.
+ * Deltas: the changes of a view since an earlier version. A delta holds the
+ * present values, so it applies to any version from its base version on.
+ * Deltas keep a node within its budget of 3 KB/s: at 34,000 changes a day,
+ * full views of a large site would exceed that many times over.
  */
 
-static bool fvw_delta_get(struct pk_in *in, const struct fvw *old,
-			  struct fvw *v, GError **err);
-static bool fvw_delta_fits(const struct fvw *old, uint64_t from,
-			   uint64_t version, GError **err);
+static bool fvw_unpack_delta(struct pk_in *in, const struct fvw *old,
+			     struct fvw *v, GError **err);
+static bool fvw_check_delta_base(const struct fvw *old, uint64_t from,
+				 uint64_t version, GError **err);
 static void fvw_copy_pools(const struct fvw *from, struct fvw *to);
-static bool fvw_lay_over(const struct fvw *old, const GPtrArray *gone,
-			 struct fvw *v, GError **err);
-static int fvw_vm_order(gconstpointer a, gconstpointer b);
-static bool fvw_keep_vm(const struct fvw *old, const struct fvw_vm *vm,
+static bool fvw_add_unchanged_vms(const struct fvw *old,
+				  const GPtrArray *removed, struct fvw *v,
+				  GError **err);
+static int fvw_compare_vms(gconstpointer a, gconstpointer b);
+static bool fvw_copy_vm(const struct fvw *old, const struct fvw_vm *vm,
 			const struct fvw *v, GArray *out);
-static bool fvw_is_named(const GPtrArray *names, const char *name);
+static bool fvw_has_name(const GPtrArray *names, const char *name);
 
 /*
- * Packs what changed since version from: the VMs, targets drained and, with
- * pools, the pools of changed, and the names of VMs that are gone, in order.
- * A VM's pool is its place among the pools of the new version.
+ * Packs a delta since version from: the VMs and drained targets of changed, its
+ * pools if pools is set, and the sorted names of removed VMs. A VM's pool is
+ * its index in the pools of the new version.
  */
 void fvw_delta_pack(const struct fvw *changed, uint64_t from, bool pools,
-		    const GPtrArray *gone, struct pk_out *o)
+		    const GPtrArray *removed, struct pk_out *o)
 {
 	guint i;
 
@@ -38,13 +39,13 @@
 	pk_u(o, changed->version);
 	pk_u(o, from);
 	pk_bool(o, pools);
-	fvw_pack_parts(changed, o);
-	pk_arr(o, gone->len);
-	for (i = 0; i < gone->len; i++)
-		pk_cstr(o, g_ptr_array_index(gone, i));
+	fvw_pack_body(changed, o);
+	pk_arr(o, removed->len);
+	for (i = 0; i < removed->len; i++)
+		pk_cstr(o, g_ptr_array_index(removed, i));
 }
 
-/* The version a packed delta was made from; 0: a whole view, or neither. */
+/* Returns the base version of a packed delta; 0 if bytes are not a delta. */
 uint64_t fvw_delta_from(struct lstr bytes)
 {
 	struct pk_in in;
@@ -61,10 +62,10 @@
 }
 
 /*
- * The view that packed bytes lead to: a whole one by itself, a delta laid
- * over old, which may be NULL. NULL with ERR_INPUT where they are neither or
- * the delta doesn't fit old; the caller goes on with old and asks for a whole
- * one.
+ * Returns the new view from packed bytes, which are a full view or a delta to
+ * be applied to old; old may be NULL. Returns NULL with ERR_INPUT if the bytes
+ * are neither, or if the delta does not apply to the version of old; the
+ * caller then keeps old and requests a full view.
  */
 struct fvw *fvw_update(const struct fvw *old, struct lstr bytes, GError **err)
 {
@@ -81,7 +82,7 @@
 		return fvw_unpack(bytes, err);
 	}
 	v = fvw_new(pk_get_u(&in));
-	ok = fvw_delta_get(&in, old, v, err);
+	ok = fvw_unpack_delta(&in, old, v, err);
 	pk_in_done(&in);
 	if (ok)
 		return v;
@@ -89,33 +90,37 @@
 	return NULL;
 }
 
-static bool fvw_delta_get(struct pk_in *in, const struct fvw *old,
-			  struct fvw *v, GError **err)
+static bool fvw_unpack_delta(struct pk_in *in, const struct fvw *old,
+			     struct fvw *v, GError **err)
 {
 	uint64_t from = pk_get_u(in);
 	bool pools = pk_get_bool(in);
-	GPtrArray *gone;
+	GPtrArray *removed;
 	bool ok;
 
 	if (!pk_in_ok(in))
-		return fvw_bad(err, "fields", 0);
-	if (!fvw_delta_fits(old, from, v->version, err))
+		return fvw_reject(err, "fields", 0);
+	if (!fvw_check_delta_base(old, from, v->version, err))
 		return false;
 	if (!pools)
 		fvw_copy_pools(old, v);
-	gone = g_ptr_array_new_with_free_func(g_free);
-	ok = fvw_get_parts(in, v, err) &&
-	     fvw_get_names(in, gone, FVW_VMS_MAX, "VM that is gone", err);
+	removed = g_ptr_array_new_with_free_func(g_free);
+	ok = fvw_unpack_body(in, v, err) &&
+	     fvw_unpack_names(in, removed, FVW_VMS_MAX, "VM that is gone", err);
 	if (ok && (!pk_in_ok(in) || pk_in_left(in)))
-		ok = fvw_bad(err, "fields", 0);
-	ok = ok && fvw_lay_over(old, gone, v, err) && fvw_seal(v, err);
-	g_ptr_array_free(gone, TRUE);
+		ok = fvw_reject(err, "fields", 0);
+	ok = ok && fvw_add_unchanged_vms(old, removed, v, err) &&
+	     fvw_finish(v, err);
+	g_ptr_array_free(removed, TRUE);
 	return ok;
 }
 
-/* Laid over an older version than it was made for, it would leave gaps. */
-static bool fvw_delta_fits(const struct fvw *old, uint64_t from,
-			   uint64_t version, GError **err)
+/*
+ * Checks that a delta applies to old. Applied to a version older than its base
+ * it would miss the changes between the two.
+ */
+static bool fvw_check_delta_base(const struct fvw *old, uint64_t from,
+				 uint64_t version, GError **err)
 {
 	if (old && old->version >= from && old->version <= version)
 		return true;
@@ -140,11 +145,12 @@
 	}
 }
 
-/* Adds old's VMs that are neither changed nor gone to v's, in order. */
-static bool fvw_lay_over(const struct fvw *old, const GPtrArray *gone,
-			 struct fvw *v, GError **err)
+/* Adds the VMs of old that were neither changed nor removed to v, sorted. */
+static bool fvw_add_unchanged_vms(const struct fvw *old,
+				  const GPtrArray *removed, struct fvw *v,
+				  GError **err)
 {
-	GArray *kept = g_array_new(FALSE, TRUE, sizeof(struct fvw_vm));
+	GArray *unchanged = g_array_new(FALSE, TRUE, sizeof(struct fvw_vm));
 	bool ok = true;
 	guint i;
 
@@ -153,30 +159,34 @@
 			&g_array_index(old->vms, struct fvw_vm, i);
 
 		if (!fvw_vm(v, lstr_from(vm->name)) &&
-		    !fvw_is_named(gone, vm->name))
-			ok = fvw_keep_vm(old, vm, v, kept);
+		    !fvw_has_name(removed, vm->name))
+			ok = fvw_copy_vm(old, vm, v, unchanged);
 	}
-	if (kept->len)
-		g_array_append_vals(v->vms, kept->data, kept->len);
-	g_array_free(kept, TRUE);
-	g_array_sort(v->vms, fvw_vm_order);
+	if (unchanged->len)
+		g_array_append_vals(v->vms, unchanged->data, unchanged->len);
+	g_array_free(unchanged, TRUE);
+	g_array_sort(v->vms, fvw_compare_vms);
 	if (!ok || v->vms->len > FVW_VMS_MAX)
-		return fvw_bad(err, "VMs", 0);
+		return fvw_reject(err, "VMs", 0);
 	return true;
 }
 
-static int fvw_vm_order(gconstpointer a, gconstpointer b)
+static int fvw_compare_vms(gconstpointer a, gconstpointer b)
 {
 	return strcmp(((const struct fvw_vm *)a)->name,
 		      ((const struct fvw_vm *)b)->name);
 }
 
-static bool fvw_keep_vm(const struct fvw *old, const struct fvw_vm *vm,
+/*
+ * Copies a VM of old to out, with its pool's index in v. Returns false if v
+ * lacks the pool.
+ */
+static bool fvw_copy_vm(const struct fvw *old, const struct fvw_vm *vm,
 			const struct fvw *v, GArray *out)
 {
 	const struct fvw_pool *was =
 		&g_array_index(old->pools, struct fvw_pool, vm->pool);
-	int pool = fvw_pool_at(v, was->name);
+	int pool = fvw_pool_index(v, was->name);
 	struct fvw_vm copy = {.name = g_strdup(vm->name),
 			      .pool = pool,
 			      .epoch = vm->epoch,
@@ -186,13 +196,13 @@
 	return pool >= 0;
 }
 
-static int fvw_names_order(const void *a, const void *b)
+static int fvw_compare_names(const void *a, const void *b)
 {
 	return strcmp(a, *(const char *const *)b);
 }
 
-static bool fvw_is_named(const GPtrArray *names, const char *name)
+static bool fvw_has_name(const GPtrArray *names, const char *name)
 {
 	return names->len && bsearch(name, names->pdata, names->len,
-				     sizeof(*names->pdata), fvw_names_order);
+				     sizeof(*names->pdata), fvw_compare_names);
 }
--- a/src/fvw_keepers.c
+++ b/src/fvw_keepers.c
@@ -1,6 +1,6 @@
 #include "fvw.h"
 
-/* A zone's keepers, without names yet. */
+/* Returns new key replicas of a zone, with an empty list of names. */
 struct fvw_keepers *fvw_keepers_new(struct lstr zone, uint64_t epoch,
 				    uint64_t number)
 {
@@ -13,7 +13,7 @@
 	return k;
 }
 
-/* A copy of a zone's keepers. */
+/* Returns a copy of a zone's key replicas. */
 struct fvw_keepers *fvw_keepers_copy(const struct fvw_keepers *k)
 {
 	struct fvw_keepers *copy =
@@ -26,7 +26,7 @@
 	return copy;
 }
 
-/* Frees a zone's keepers. */
+/* Frees a zone's key replicas; NULL is allowed. */
 void fvw_keepers_free(gpointer p)
 {
 	struct fvw_keepers *k = p;
@@ -38,7 +38,7 @@
 	g_free(k);
 }
 
-/* Packs a zone's keepers. */
+/* Packs a zone's key replicas. */
 void fvw_keepers_pack(const struct fvw_keepers *k, struct pk_out *o)
 {
 	guint i;
@@ -52,8 +52,8 @@
 		pk_cstr(o, g_ptr_array_index(k->names, i));
 }
 
-/* Whether a name is a keeper's: NODE/BOOT, BOOT in hexadecimal digits. */
-bool fvw_keeper_ok(struct lstr name)
+/* Returns whether a name has the form NODE/BOOT, with BOOT in hexadecimal. */
+bool fvw_is_key_replica_name(struct lstr name)
 {
 	struct lstr node;
 	struct lstr boot;
@@ -71,7 +71,7 @@
 	return true;
 }
 
-/* Reads a zone's keepers; NULL: they are not, or not all. */
+/* Reads a zone's key replicas; returns NULL if malformed. */
 struct fvw_keepers *fvw_keepers_unpack(struct pk_in *in)
 {
 	struct pk_in rec = pk_get_arr(in);
@@ -90,7 +90,7 @@
 	k = fvw_keepers_new(zone, epoch, number);
 	while (ok && pk_in_left(&names)) {
 		name = pk_get_str(&names);
-		ok = pk_in_ok(&names) && fvw_keeper_ok(name);
+		ok = pk_in_ok(&names) && fvw_is_key_replica_name(name);
 		g_ptr_array_add(k->names, lstr_dup(name));
 	}
 	if (ok)
--- a/tests/unit/fvw_test.c
+++ b/tests/unit/fvw_test.c
@@ -6,7 +6,7 @@
 
 #include "fvw.h"
 
-static struct fvw *sample(void)
+static struct fvw *make_view(void)
 {
 	struct fvw *v = fvw_new(7);
 	struct fvw_pool draft = {
@@ -31,9 +31,9 @@
 	return v;
 }
 
-static void what_is_packed_is_found_again(void **state)
+static void packed_view_unpacks_unchanged(void **state)
 {
-	struct fvw *v = sample();
+	struct fvw *v = make_view();
 	struct fvw *got;
 	struct pk_out o;
 	GError *err = NULL;
@@ -67,13 +67,13 @@
 }
 
 /*
- * A neighbour of another release sends a view with two pools of one service,
- * or a VM in a pool that is not there. Taken in, requests would be placed by
- * another pool's limits; it is refused as a whole and the old view stays.
+ * Guards against placing requests by another pool's limits: a neighbour of
+ * another release sends a view with two pools of one service, or with a VM in
+ * a pool that does not exist. The view must be rejected completely.
  */
-static void views_that_contradict_themselves_are_refused(void **state)
+static void inconsistent_view_is_rejected(void **state)
 {
-	struct fvw *v = sample();
+	struct fvw *v = make_view();
 	struct fvw_vm *vm = &g_array_index(v->vms, struct fvw_vm, 0);
 	struct fvw_pool *p = &g_array_index(v->pools, struct fvw_pool, 0);
 
@@ -89,28 +89,28 @@
 }
 
 /*
- * A voter sends changes from version 7 on; the entry daemon still works by 6,
- * since what led from 6 to 7 was lost. Laid over 6 they would leave a VM in
- * the pool it left; they are refused, and the entry daemon's next report
- * brings it all that it lacks.
+ * Guards against leaving a VM in its former pool: a voter sends a delta from
+ * version 7, but the entry daemon has version 6, since the delta from 6 to 7
+ * was lost. The delta must be rejected; the entry daemon's next report to the
+ * voter then brings it all missing changes.
  */
-static void changes_are_laid_over_what_they_were_made_for(void **state)
+static void delta_applies_to_its_base_only(void **state)
 {
-	struct fvw *old = sample();
+	struct fvw *old = make_view();
 	struct fvw *changed = fvw_new(9);
 	struct fvw_vm w1 = {
 		.name = g_strdup("w1"), .pool = 0, .epoch = 4, .drained = true};
 	struct fvw_vm w2 = {.name = g_strdup("w2"), .pool = 1, .epoch = 1};
-	GPtrArray *gone = g_ptr_array_new();
+	GPtrArray *removed = g_ptr_array_new();
 	struct fvw *got;
 	struct pk_out o;
 	GError *err = NULL;
 
 	g_array_append_val(changed->vms, w1);
 	g_array_append_val(changed->vms, w2);
-	g_ptr_array_add(gone, "w0");
+	g_ptr_array_add(removed, "w0");
 	pk_out_init(&o);
-	fvw_delta_pack(changed, 7, false, gone, &o);
+	fvw_delta_pack(changed, 7, false, removed, &o);
 	assert_int_equal(fvw_delta_from(pk_out_view(&o)), 7);
 	got = fvw_update(old, pk_out_view(&o), &err);
 	assert_non_null(got);
@@ -126,7 +126,7 @@
 	assert_null(fvw_update(NULL, pk_out_view(&o), &err));
 	g_clear_error(&err);
 	pk_out_done(&o);
-	g_ptr_array_free(gone, TRUE);
+	g_ptr_array_free(removed, TRUE);
 	fvw_free(changed);
 	fvw_free(old);
 }
@@ -134,9 +134,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(what_is_packed_is_found_again),
-		cmocka_unit_test(views_that_contradict_themselves_are_refused),
-		cmocka_unit_test(changes_are_laid_over_what_they_were_made_for),
+		cmocka_unit_test(packed_view_unpacks_unchanged),
+		cmocka_unit_test(inconsistent_view_is_rejected),
+		cmocka_unit_test(delta_applies_to_its_base_only),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
