--- a/src/fst.c
+++ b/src/fst.c
@@ -332,7 +332,7 @@
 		.role = lstr_from(role),
 		.kind = lstr_from(kind),
 		.what = lstr_n(ex->what->str, ex->what->len),
-		/* Records hold values up to INT64_MAX; larger ones become 0. */
+		/* FCM_ANY_BASE and invalid bases could not be read back. */
 		.from = ex->from <= INT64_MAX ? ex->from : 0,
 		.outcome = lstr_from(fcm_outcome_name(ex->code)),
 		.text = lstr_n(ex->text->str, ex->text->len),
