--- a/src/fvw_delta.c
+++ b/src/fvw_delta.c
@@ -125,7 +125,7 @@
 	if (old && old->version >= from && old->version <= version)
 		return true;
 	err_set(err, ERR_INPUT, "read view", NULL,
-		"changes from version %llu to %llu; works by %llu",
+		"changes from version %llu to %llu; present version is %llu",
 		(unsigned long long)from, (unsigned long long)version,
 		(unsigned long long)(old ? old->version : 0));
 	return false;
