--- a/src/fdb.c
+++ b/src/fdb.c
@@ -4,7 +4,7 @@
 
 #include "err.h"
 
-/* Where the system sets no limit: more than any daemon of ours can use. */
+/* Limit if the system sets none; more than any own daemon can use. */
 #define FDB_LIMIT_MAX 100000
 
 static const char *const fdb_names[FDB_PARTS] = {
@@ -14,9 +14,9 @@
 };
 
 /*
- * Descriptors that this process may have: the limit that it runs under, or the
- * one that its settings name if that is less (0: none). kept are taken off the
- * latter, as not for us.
+ * Returns the number of descriptors that this process may open: the lower of
+ * its RLIMIT_NOFILE and the limit in its settings, set (0: none). The
+ * descriptors reserved for other uses, kept, are subtracted from the latter.
  */
 int fdb_limit(long long set, long long kept)
 {
@@ -31,8 +31,8 @@
 }
 
 /*
- * Shares a limit out among FDB_PARTS parts. False with ERR_INPUT: it is less
- * than what they need.
+ * Divides a limit among the FDB_PARTS parts by their demands. Returns false
+ * with ERR_INPUT if the limit is below the sum of the minimums.
  */
 bool fdb_split(struct fdb *f, int limit, const struct fdb_want *want,
 	       GError **err)
@@ -61,7 +61,7 @@
 	return true;
 }
 
-/* Appends how the parts stand, in the text form that monitoring reads. */
+/* Appends the metrics of all parts in the Prometheus text format. */
 void fdb_text(const struct fdb *f, const struct fdb_use *use, GString *out)
 {
 	size_t i;
--- a/src/fdb.h
+++ b/src/fdb.h
@@ -1,40 +1,46 @@
 #ifndef FDB_H
 #define FDB_H
 
+/* fdb: the file descriptor budget of a process. */
+
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
 
 /*
- * The descriptors of a process, shared out among its parts. Each part bounds
- * itself by its share, and what is over it waits or is refused there: a daemon
- * whose callers or workers took all would lose its data folder with the next
- * file that it has to open.
+ * The descriptors of a process are divided among the parts below. Each part
+ * limits itself to its share; connections beyond it wait or are refused. If
+ * callers or workers could use all descriptors, the daemon would fail to open
+ * the next file of its data folder.
  */
 enum fdb_part {
-	FDB_FILES, /* data folder, settings, the loop itself */
-	FDB_PEERS, /* our own processes, those that we dial and the others */
-	FDB_OPERATORS, /* metrics and health */
-	FDB_CALLERS, /* all others that dial us */
-	FDB_TARGETS, /* all others that we dial */
+	FDB_FILES, /* data folder, settings, event loop */
+	FDB_PEERS, /* connections with own processes, in both directions */
+	FDB_OPERATORS, /* connections for metrics and health */
+	FDB_CALLERS, /* other incoming connections */
+	FDB_TARGETS, /* other outgoing connections */
 	FDB_PARTS
 };
 
-/* What a part asks for; all that is left is shared by weight. */
+/*
+ * Demand of a part: the minimum it needs, and its weight in the division of
+ * the descriptors that remain after all minimums.
+ */
 struct fdb_want {
 	int least;
 	int weight;
 };
 
+/* Division of a process's descriptors. */
 struct fdb {
 	int limit;
 	int share[FDB_PARTS];
 };
 
-/* How a part stands, for metrics. */
+/* Usage of a part, for metrics. */
 struct fdb_use {
 	uint64_t used;
-	uint64_t refused; /* since the start: turned away, closed for others */
+	uint64_t refused; /* connections refused or closed since the start */
 };
 
 int fdb_limit(long long set, long long kept);
--- a/tests/unit/fdb_test.c
+++ b/tests/unit/fdb_test.c
@@ -10,7 +10,7 @@
 #include "err.h"
 #include "fdb.h"
 
-static const struct fdb_want wants[FDB_PARTS] = {
+static const struct fdb_want demands[FDB_PARTS] = {
 	[FDB_FILES] = {.least = 32},
 	[FDB_PEERS] = {.least = 96, .weight = 1},
 	[FDB_OPERATORS] = {.least = 16},
@@ -18,8 +18,8 @@
 	[FDB_TARGETS] = {.least = 48, .weight = 8},
 };
 
-/* Guards against a part that takes what another needs. */
-static void shares_never_add_up_to_more(void **state)
+/* Guards against shares that together exceed the limit. */
+static void shares_never_exceed_limit(void **state)
 {
 	struct fdb f;
 	int limit;
@@ -27,9 +27,9 @@
 	size_t i;
 
 	for (limit = 224; limit < 10000; limit += 37) {
-		assert_true(fdb_split(&f, limit, wants, NULL));
+		assert_true(fdb_split(&f, limit, demands, NULL));
 		for (sum = 0, i = 0; i < FDB_PARTS; i++) {
-			assert_true(f.share[i] >= wants[i].least);
+			assert_true(f.share[i] >= demands[i].least);
 			sum += f.share[i];
 		}
 		assert_in_range(sum, limit - FDB_PARTS, limit);
@@ -37,21 +37,21 @@
 	assert_int_equal(f.share[FDB_FILES], 32);
 }
 
-/* Guards against a daemon that starts and can't keep its data folder. */
-static void too_few_are_refused_with_both_figures(void **state)
+/* Guards against a daemon that starts but can't open its data folder. */
+static void too_low_limit_is_rejected_with_both_numbers(void **state)
 {
 	struct fdb f;
 	GError *err = NULL;
 
-	assert_false(fdb_split(&f, 223, wants, &err));
+	assert_false(fdb_split(&f, 223, demands, &err));
 	assert_true(g_error_matches(err, ERR_DOMAIN, ERR_INPUT));
 	assert_non_null(strstr(err->message, "223"));
 	assert_non_null(strstr(err->message, "224"));
 	g_error_free(err);
 }
 
-/* Guards against a daemon that counts on more than it may have. */
-static void the_lesser_limit_counts(void **state)
+/* Guards against dividing more descriptors than the process may open. */
+static void lower_limit_applies(void **state)
 {
 	struct rlimit old;
 	struct rlimit few;
@@ -67,13 +67,13 @@
 	assert_int_equal(setrlimit(RLIMIT_NOFILE, &old), 0);
 }
 
-static void each_part_is_told(void **state)
+static void metrics_list_every_part(void **state)
 {
 	const struct fdb_use use[FDB_PARTS] = {[FDB_TARGETS] = {7, 3}};
 	GString *out = g_string_new(NULL);
 	struct fdb f;
 
-	assert_true(fdb_split(&f, 1000, wants, NULL));
+	assert_true(fdb_split(&f, 1000, demands, NULL));
 	fdb_text(&f, use, out);
 	assert_non_null(strstr(out->str, "endive_descriptors_limit 1000\n"));
 	assert_non_null(strstr(out->str, "_share{part=\"files\"} 32\n"));
@@ -85,10 +85,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(shares_never_add_up_to_more),
-		cmocka_unit_test(too_few_are_refused_with_both_figures),
-		cmocka_unit_test(the_lesser_limit_counts),
-		cmocka_unit_test(each_part_is_told),
+		cmocka_unit_test(shares_never_exceed_limit),
+		cmocka_unit_test(too_low_limit_is_rejected_with_both_numbers),
+		cmocka_unit_test(lower_limit_applies),
+		cmocka_unit_test(metrics_list_every_part),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
