--- a/src/nst.h
+++ b/src/nst.h
@@ -1,41 +1,43 @@
 #ifndef NST_H
 #define NST_H
 
+/* nst: node settings, read from the file that the platform writes. */
+
 #include <glib.h>
 #include <stdbool.h>
 
 /*
- * Settings of a node that a platform writes for us: a key file with the groups
- * [node] and [bounds]. It may change while we run.
+ * Settings of a node. The platform writes them as a key file with the groups
+ * [node] and [bounds], which may change while the daemon runs.
  */
 struct nst {
 	char *path;
 	char *node;
 	char *zone;
 	char *wire; /* IP:PORT for own processes */
-	char *callers; /* IP:PORT; or NULL */
-	char *ready; /* IP:PORT; or NULL */
-	char *control; /* IP:PORT; or NULL */
-	char *metrics; /* IP:PORT; or NULL */
-	char *data; /* folder; or NULL */
-	char *vms; /* IP:PORT of the service that moves VMs; or NULL */
-	char *advice; /* IP:PORT of the service that gives it; or NULL */
-	char *orders; /* how workers get them, as the platform says; or NULL */
-	char **seeds; /* IP:PORT of replicas, on the port of wire */
-	bool bootstrap;
+	char *callers; /* IP:PORT to listen on, or NULL */
+	char *ready; /* IP:PORT to listen on, or NULL */
+	char *control; /* IP:PORT to listen on, or NULL */
+	char *metrics; /* IP:PORT to listen on, or NULL */
+	char *data; /* data folder, or NULL */
+	char *vms; /* IP:PORT of the service that moves VMs, or NULL */
+	char *advice; /* IP:PORT of the advice service, or NULL */
+	char *orders; /* how the platform delivers orders to workers, or NULL */
+	char **seeds; /* IP:PORT of replicas, with the port of wire */
+	bool bootstrap; /* may found a new cluster of replicas */
 	bool open_network; /* own processes need no key */
-	char *keys; /* key file; or NULL */
-	long long losses; /* replicas that may be lost at once */
-	long long hold_max_ms;
+	char *keys; /* key file, or NULL */
+	long long losses; /* replicas that may be lost at the same time */
+	long long hold_max_ms; /* longest lease that workers accept */
 	long long vm_lease_ms;
-	long long carry_from; /* workers */
-	long long keep_ms;
-	long long grace_ms;
-	long long body_max;
-	long long memory; /* bytes that we may use; 0: not told */
-	long long descriptors; /* open files that we may have; 0: not told */
-	long long descriptors_kept; /* of these, not for us */
-	char *level; /* least level that is logged */
+	long long carry_from; /* workers from which on calls are relayed */
+	long long keep_ms; /* how long an ended job can be queried */
+	long long grace_ms; /* from a stop signal until the process is killed */
+	long long body_max; /* bytes */
+	long long memory; /* bytes the process may use; 0: not set */
+	long long descriptors; /* files the process may open; 0: not set */
+	long long descriptors_kept; /* of these, reserved for other uses */
+	char *level; /* lowest log level that is written */
 };
 
 struct nst *nst_load(const char *path, GError **err);
--- a/tests/unit/nst_test.c
+++ b/tests/unit/nst_test.c
@@ -10,12 +10,12 @@
 
 #include "nst.h"
 
-#define GOOD                                                   \
+#define VALID_SETTINGS                                         \
 	"[node]\nname = n1\nzone = z1\nwire = 10.0.0.1:7000\n" \
 	"seeds = 10.0.0.2:80,10.0.0.3:80\nbootstrap = true\n"  \
 	"[bounds]\nkeep-s = 5\n"
 
-static struct nst *load(const char *text, GError **err)
+static struct nst *load_text(const char *text, GError **err)
 {
 	char path[] = "/tmp/endive-nst-XXXXXX";
 	int fd = mkstemp(path);
@@ -28,10 +28,10 @@
 	return s;
 }
 
-static void settings_are_read(void **state)
+static void valid_settings_are_parsed(void **state)
 {
 	GError *err = NULL;
-	struct nst *s = load(GOOD, &err);
+	struct nst *s = load_text(VALID_SETTINGS, &err);
 
 	assert_non_null(s);
 	assert_string_equal(s->node, "n1");
@@ -41,14 +41,14 @@
 	assert_null(s->advice);
 	assert_int_equal(s->keep_ms, 5000);
 	assert_int_equal(s->losses, 1);
-	/* seeds are given by another port than own processes use */
+	/* The ports of seeds are replaced by the port of wire. */
 	assert_string_equal(s->seeds[0], "10.0.0.2:7000");
 	assert_string_equal(s->seeds[1], "10.0.0.3:7000");
 	nst_free(s);
 }
 
-/* A wrong setting is told by its name, its value and what is allowed. */
-static void wrong_settings_are_named(void **state)
+/* The error names the invalid setting, its value and the allowed values. */
+static void invalid_setting_is_named_in_error(void **state)
 {
 	static const char *const cases[][2] = {
 		{"[node]\nzone = z\nwire = 1.1.1.1:1\nseeds = 1.1.1.1:1\n",
@@ -65,9 +65,10 @@
 		{"[node]\nname = n\nzone = z\nwire = 1.1.1.1:1\n"
 		 "seeds = 1.1.1.1:1\nadvice = there\n",
 		 "[node] advice is \"there\"; allowed: IP:PORT"},
-		{GOOD "losses = 9\n",
+		{VALID_SETTINGS "losses = 9\n",
 		 "[bounds] losses is \"9\"; allowed: a whole number, 0 to 5"},
-		{GOOD "grace-s = soon\n", "[bounds] grace-s is \"soon\""},
+		{VALID_SETTINGS "grace-s = soon\n",
+		 "[bounds] grace-s is \"soon\""},
 		{"[node]\nname = n\nzone = z\nwire = 1.1.1.1:1\n"
 		 "seeds = 1.1.1.1:1\nbootstrap = yes\n",
 		 "[node] bootstrap is \"yes\"; allowed: true or false"},
@@ -78,7 +79,7 @@
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		GError *err = NULL;
 
-		assert_null(load(cases[i][0], &err));
+		assert_null(load_text(cases[i][0], &err));
 		assert_non_null(strstr(err->message, cases[i][1]));
 		g_error_free(err);
 	}
@@ -87,8 +88,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(settings_are_read),
-		cmocka_unit_test(wrong_settings_are_named),
+		cmocka_unit_test(valid_settings_are_parsed),
+		cmocka_unit_test(invalid_setting_is_named_in_error),
 	};
 
 	return cmocka_run_group_tests_name("nst", tests, NULL, NULL);
