--- a/src/set.c
+++ b/src/set.c
@@ -25,13 +25,16 @@
 static gboolean set_check_dir(const struct set_def *def, const char *value);
 static gboolean set_check_flag(const struct set_def *def, const char *value);
 
-/* For each kind: how a value is read, and what an error says is allowed. */
+/*
+ * For each kind: the function that checks and stores a value, the allowed
+ * values for error messages, and the placeholder in the help.
+ */
 static const struct {
 	set_check_fn check;
 	const char *allowed;
 	const char *arg;
 } set_kinds[] = {
-	[SET_STR] = {set_check_str, "any text but the empty one", "TEXT"},
+	[SET_STR] = {set_check_str, "non-empty text", "TEXT"},
 	[SET_INT] = {set_check_int, NULL, "NUMBER"},
 	[SET_ADDR] = {set_check_addr, "IP:PORT, the IP in numbers", "IP:PORT"},
 	[SET_ADDRS] = {set_check_addrs, "IP:PORT with commas between",
@@ -57,8 +60,8 @@
 	return env;
 }
 
-static void set_complain(const char *program, const struct set_def *def,
-			 const char *value)
+static void set_print_error(const char *program, const struct set_def *def,
+			    const char *value)
 {
 	if (!value) {
 		fprintf(stderr,
@@ -78,8 +81,8 @@
 		fprintf(stderr, "%s\n", set_kinds[def->kind].allowed);
 }
 
-static gboolean set_apply(const char *program, const struct set_def *def,
-			  const char *flag)
+static gboolean set_store_value(const char *program, const struct set_def *def,
+				const char *flag)
 {
 	char *env = set_env_name(def->name);
 	const char *value = flag ? flag : g_getenv(env);
@@ -88,19 +91,19 @@
 	if (!value)
 		value = def->dflt;
 	if (!value) {
-		set_complain(program, def, NULL);
+		set_print_error(program, def, NULL);
 		return FALSE;
 	}
-	/* An optional setting left out keeps what its owner put there. */
+	/* An omitted optional setting leaves the caller's initial value. */
 	if (*value == '\0' && value == def->dflt)
 		return TRUE;
 	if (set_kinds[def->kind].check(def, value))
 		return TRUE;
-	set_complain(program, def, value);
+	set_print_error(program, def, value);
 	return FALSE;
 }
 
-static char *set_describe(const struct set_def *def)
+static char *set_format_help(const struct set_def *def)
 {
 	if (!def->dflt || *def->dflt == '\0' || def->kind == SET_FLAG)
 		return g_strdup(def->help);
@@ -108,10 +111,11 @@
 }
 
 /*
- * Reads the settings of a program from its flags and the environment into the
- * places that defs name. Flags are taken out of argv; words stay. Returns -1
- * to go on, or the exit status to end with: 0 after --help or --version, 2
- * after one line that names the setting, the value and what is allowed.
+ * Reads the settings of a program from its flags and the environment and
+ * stores them at the dest pointers of defs. Removes flags from argv and leaves
+ * the other arguments. Returns -1 if the program shall continue; otherwise the
+ * exit status: 0 after --help or --version, SET_EXIT_USAGE (2) after one error
+ * line that names the setting, its value and the allowed values.
  */
 int set_parse(const char *program, const char *summary,
 	      const struct set_def *defs, size_t n, int *argc, char ***argv)
@@ -129,7 +133,7 @@
 	for (i = 0; i < n; i++) {
 		gboolean is_flag = defs[i].kind == SET_FLAG;
 
-		help[i] = set_describe(&defs[i]);
+		help[i] = set_format_help(&defs[i]);
 		entries[i] = (GOptionEntry){
 			.long_name = defs[i].name,
 			.arg = is_flag ? G_OPTION_ARG_NONE
@@ -144,7 +148,7 @@
 		.long_name = "version",
 		.arg = G_OPTION_ARG_NONE,
 		.arg_data = &version,
-		.description = "Show the version and end",
+		.description = "Show the version and exit",
 	};
 	g_option_context_set_summary(ctx, summary);
 	g_option_context_add_main_entries(ctx, entries, NULL);
@@ -157,7 +161,8 @@
 		rc = 0;
 	}
 	for (i = 0; rc == -1 && i < n; i++)
-		if (!set_apply(program, &defs[i], flags[i] ? "1" : values[i]))
+		if (!set_store_value(program, &defs[i],
+				     flags[i] ? "1" : values[i]))
 			rc = SET_EXIT_USAGE;
 	for (i = 0; i < n; i++)
 		g_free(values[i]);
@@ -169,7 +174,7 @@
 	return rc;
 }
 
-/* Frees what set_parse put into the places that defs name. */
+/* Frees the values that set_parse stored at the dest pointers of defs. */
 void set_free(const struct set_def *defs, size_t n)
 {
 	size_t i;
@@ -182,7 +187,7 @@
 	}
 }
 
-static gboolean set_keep(const struct set_def *def, const char *value)
+static gboolean set_store_string(const struct set_def *def, const char *value)
 {
 	char **dest = def->dest;
 
@@ -192,7 +197,7 @@
 
 static gboolean set_check_str(const struct set_def *def, const char *value)
 {
-	return *value && set_keep(def, value);
+	return *value && set_store_string(def, value);
 }
 
 static gboolean set_check_int(const struct set_def *def, const char *value)
@@ -223,7 +228,7 @@
 
 static gboolean set_check_addr(const struct set_def *def, const char *value)
 {
-	return set_is_addr(value) && set_keep(def, value);
+	return set_is_addr(value) && set_store_string(def, value);
 }
 
 static gboolean set_is_name(const char *value, size_t len)
@@ -244,16 +249,16 @@
 	       set_is_addr(eq + 1);
 }
 
-/* A list with commas between, each part of which must be right. */
+/* Stores a comma-separated list if every element is valid. */
 static gboolean set_check_list(const struct set_def *def, const char *value,
-			       gboolean (*is_right)(const char *value))
+			       gboolean (*is_valid)(const char *value))
 {
 	char ***dest = def->dest;
 	char **list = g_strsplit(value, ",", -1);
 	size_t i;
 
 	for (i = 0; list[i]; i++) {
-		if (is_right(list[i]))
+		if (is_valid(list[i]))
 			continue;
 		g_strfreev(list);
 		return FALSE;
@@ -278,23 +283,24 @@
 	gboolean known = g_strv_contains((const char *const *)words, value);
 
 	g_strfreev(words);
-	return known && set_keep(def, value);
+	return known && set_store_string(def, value);
 }
 
 static gboolean set_check_name(const struct set_def *def, const char *value)
 {
-	return set_is_name(value, strlen(value)) && set_keep(def, value);
+	return set_is_name(value, strlen(value)) &&
+	       set_store_string(def, value);
 }
 
 static gboolean set_check_file(const struct set_def *def, const char *value)
 {
-	return access(value, R_OK) == 0 && set_keep(def, value);
+	return access(value, R_OK) == 0 && set_store_string(def, value);
 }
 
 static gboolean set_check_dir(const struct set_def *def, const char *value)
 {
 	return g_file_test(value, G_FILE_TEST_IS_DIR) &&
-	       access(value, W_OK) == 0 && set_keep(def, value);
+	       access(value, W_OK) == 0 && set_store_string(def, value);
 }
 
 static gboolean set_check_flag(const struct set_def *def, const char *value)
--- a/src/set.h
+++ b/src/set.h
@@ -1,37 +1,41 @@
 #ifndef SET_H
 #define SET_H
 
+/* set: command-line and environment settings of a program. */
+
 #include <stddef.h>
 
 /*
- * Settings: each is a flag --NAME and an environment variable ENDIVE_NAME
- * (upper case, "-" as "_"); the flag goes first. Each is checked before
- * anything else happens.
+ * Each setting is a flag --NAME and an environment variable ENDIVE_NAME (upper
+ * case, "-" as "_"); the flag has precedence. All settings are checked before
+ * the program does anything else.
  */
 enum set_kind {
-	SET_STR, /* char **: any text that is not empty */
+	SET_STR, /* char **: non-empty text */
 	SET_INT, /* long long *: whole number from min to max */
 	SET_ADDR, /* char **: IP:PORT */
-	SET_ADDRS, /* char ***: IP:PORT with commas between, NULL at the end */
-	SET_NODES, /* char ***: NODE=IP:PORT with commas between, NULL at end */
+	SET_ADDRS, /* char ***: comma-separated IP:PORT, NULL-terminated */
+	SET_NODES, /* char ***: comma-separated NODE=IP:PORT, likewise */
 	SET_WORD, /* char **: one of words */
 	SET_NAME, /* char **: letters, digits, "-", up to 31 characters */
-	SET_FILE, /* char **: a file that can be read */
-	SET_DIR, /* char **: a folder that can be written */
-	SET_FLAG, /* gboolean *: present or not; 1 or 0 in the environment */
+	SET_FILE, /* char **: a readable file */
+	SET_DIR, /* char **: a writable folder */
+	SET_FLAG, /* gboolean *: flag without value; 1 or 0 in environment */
 };
 
+/* Definition of a setting. */
 struct set_def {
 	const char *name;
 	enum set_kind kind;
 	void *dest;
-	const char *dflt; /* NULL: must be given; "": may be left out */
+	const char *dflt; /* default; NULL: required; "": optional */
 	long long min;
 	long long max;
 	const char *words; /* for SET_WORD: "a|b|c" */
 	const char *help;
 };
 
+/* Exit status for an invalid setting. */
 #define SET_EXIT_USAGE 2
 
 void set_free(const struct set_def *defs, size_t n);
