--- a/src/fcm.h
+++ b/src/fcm.h
@@ -88,7 +88,7 @@
  * The key replicas of a zone; see idm. The number must be one above that of
  * the zone's present key replicas.
  */
-struct fcm_keepers {
+struct fcm_key_replicas {
 	struct lstr zone;
 	uint64_t epoch;
 	uint64_t number;
@@ -112,7 +112,7 @@
 		struct fcm_priority priority;
 		struct fcm_node node; /* join, forget */
 		struct fcm_note note;
-		struct fcm_keepers keepers;
+		struct fcm_key_replicas keepers;
 	};
 };
 
--- a/src/fcm_codec.c
+++ b/src/fcm_codec.c
@@ -343,7 +343,7 @@
 
 static void fcm_describe_key_replicas(const struct fcm_cmd *c, GString *s)
 {
-	const struct fcm_keepers *k = &c->keepers;
+	const struct fcm_key_replicas *k = &c->keepers;
 
 	g_string_append_printf(s,
 			       "keepers %llu of zone " LSTR_FMT
--- a/src/fdb.c
+++ b/src/fdb.c
@@ -15,18 +15,18 @@
 
 /*
  * Returns the number of descriptors that this process may open: the lower of
- * its RLIMIT_NOFILE and the limit in its settings, set (0: none). The
- * descriptors reserved for other uses, kept, are subtracted from the latter.
+ * its RLIMIT_NOFILE and the configured limit (0: none). Descriptors reserved
+ * for other uses are subtracted from the configured limit.
  */
-int fdb_limit(long long set, long long kept)
+int fdb_limit(long long configured, long long reserved)
 {
 	long long limit = FDB_LIMIT_MAX;
 	struct rlimit r;
 
 	if (getrlimit(RLIMIT_NOFILE, &r) == 0 && r.rlim_cur < FDB_LIMIT_MAX)
 		limit = (long long)r.rlim_cur;
-	if (set)
-		limit = MIN(limit, set - kept);
+	if (configured)
+		limit = MIN(limit, configured - reserved);
 	return (int)MAX(limit, 0);
 }
 
--- a/src/fdb.h
+++ b/src/fdb.h
@@ -43,7 +43,7 @@
 	uint64_t refused; /* connections refused or closed since the start */
 };
 
-int fdb_limit(long long set, long long kept);
+int fdb_limit(long long configured, long long reserved);
 bool fdb_split(struct fdb *f, int limit, const struct fdb_want *want,
 	       GError **err);
 void fdb_text(const struct fdb *f, const struct fdb_use *use, GString *out);
--- a/src/fst.c
+++ b/src/fst.c
@@ -35,7 +35,7 @@
 	f->drains = g_ptr_array_new_with_free_func(fst_drain_free);
 	f->prios = g_ptr_array_new_with_free_func(fst_prio_free);
 	f->nodes = g_ptr_array_new_with_free_func(fst_node_free);
-	f->keepers = g_ptr_array_new_with_free_func(fvw_keepers_free);
+	f->key_replicas = g_ptr_array_new_with_free_func(fvw_keepers_free);
 	f->sites = g_ptr_array_new_with_free_func(fst_site_free);
 	f->ids = g_hash_table_new(g_str_hash, g_str_equal);
 	f->ids_by_made = g_sequence_new(fst_id_free);
@@ -54,7 +54,7 @@
 	g_ptr_array_free(f->drains, TRUE);
 	g_ptr_array_free(f->prios, TRUE);
 	g_ptr_array_free(f->nodes, TRUE);
-	g_ptr_array_free(f->keepers, TRUE);
+	g_ptr_array_free(f->key_replicas, TRUE);
 	g_ptr_array_free(f->sites, TRUE);
 	g_hash_table_destroy(f->ids);
 	g_sequence_free(f->ids_by_made);
--- a/src/fst_in.h
+++ b/src/fst_in.h
@@ -107,7 +107,7 @@
 	GPtrArray *drains; /* struct fst_drain by name */
 	GPtrArray *prios; /* struct fst_prio by pool */
 	GPtrArray *nodes; /* struct fst_node by name */
-	GPtrArray *keepers; /* struct fvw_keepers by zone */
+	GPtrArray *key_replicas; /* struct fvw_keepers by zone */
 	GPtrArray *sites; /* struct fst_site, of the configuration in force */
 	GHashTable *ids; /* key -> struct fst_id */
 	GSequence *ids_by_made;
--- a/src/fst_keep.c
+++ b/src/fst_keep.c
@@ -17,7 +17,7 @@
  */
 void fst_handle_key_replicas(struct fst_exec *ex)
 {
-	const struct fcm_keepers *c = &ex->cmd->keepers;
+	const struct fcm_key_replicas *c = &ex->cmd->keepers;
 	struct fvw_keepers *k = fst_key_replicas_find(ex->f, c->zone);
 	struct fvw_keepers *next;
 	bool lost = k && k->epoch != c->epoch;
@@ -28,7 +28,7 @@
 				(unsigned long long)(k ? k->number : 0));
 		return;
 	}
-	if (!k && ex->f->keepers->len >= FST_KEY_ZONES_MAX) {
+	if (!k && ex->f->key_replicas->len >= FST_KEY_ZONES_MAX) {
 		fst_exec_finish(ex, PROTO_REFUSED, "allowed: up to %d zones",
 				FST_KEY_ZONES_MAX);
 		return;
@@ -45,9 +45,9 @@
 	for (i = 0; i < c->n; i++)
 		g_ptr_array_add(next->names, lstr_dup(c->names[i]));
 	if (k)
-		g_ptr_array_remove(ex->f->keepers, k);
-	g_ptr_array_add(ex->f->keepers, next);
-	g_ptr_array_sort(ex->f->keepers, fst_compare_zones);
+		g_ptr_array_remove(ex->f->key_replicas, k);
+	g_ptr_array_add(ex->f->key_replicas, next);
+	g_ptr_array_sort(ex->f->key_replicas, fst_compare_zones);
 	fst_bump_version(ex->f);
 	fst_exec_finish(ex, PROTO_OK, "in force%s",
 			lost ? "; the memory before is lost" : "");
@@ -58,9 +58,9 @@
 {
 	guint i;
 
-	pk_arr(o, f->keepers->len);
-	for (i = 0; i < f->keepers->len; i++)
-		fvw_keepers_pack(g_ptr_array_index(f->keepers, i), o);
+	pk_arr(o, f->key_replicas->len);
+	for (i = 0; i < f->key_replicas->len; i++)
+		fvw_keepers_pack(g_ptr_array_index(f->key_replicas, i), o);
 }
 
 /* Reads the output of fst_key_replicas_pack; returns false if malformed. */
@@ -73,7 +73,7 @@
 		k = fvw_keepers_unpack(&list);
 		if (!k)
 			return false;
-		g_ptr_array_add(f->keepers, k);
+		g_ptr_array_add(f->key_replicas, k);
 	}
 	return pk_in_ok(&list);
 }
@@ -83,8 +83,8 @@
 {
 	guint i;
 
-	for (i = 0; i < f->keepers->len; i++) {
-		struct fvw_keepers *k = g_ptr_array_index(f->keepers, i);
+	for (i = 0; i < f->key_replicas->len; i++) {
+		struct fvw_keepers *k = g_ptr_array_index(f->key_replicas, i);
 
 		if (lstr_eq(zone, lstr_from(k->zone)))
 			return k;
--- a/src/fst_view.c
+++ b/src/fst_view.c
@@ -81,9 +81,9 @@
 	guint i;
 
 	/* Key replicas are few and short, so they are always included. */
-	for (i = 0; i < f->keepers->len; i++)
+	for (i = 0; i < f->key_replicas->len; i++)
 		g_ptr_array_add(v->keepers, fvw_keepers_copy(g_ptr_array_index(
-						    f->keepers, i)));
+						    f->key_replicas, i)));
 	if (!f->cfg)
 		return v;
 	fst_build_view_pools(f, site, v);
--- a/src/nst.h
+++ b/src/nst.h
@@ -24,12 +24,12 @@
 	char *advice; /* IP:PORT of the advice service, or NULL */
 	char *orders; /* how the platform delivers orders to workers, or NULL */
 	char **seeds; /* IP:PORT of replicas, with the port of wire */
-	bool bootstrap; /* may found a new cluster of replicas */
+	bool bootstrap; /* new fleet: the seeds are its first voters */
 	bool open_network; /* own processes need no key */
 	char *keys; /* key file, or NULL */
 	long long losses; /* replicas that may be lost at the same time */
 	long long hold_max_ms; /* longest lease that workers accept */
-	long long vm_lease_ms;
+	long long vm_lease_ms; /* between orders of two leaders for a VM */
 	long long carry_from; /* workers from which on calls are relayed */
 	long long keep_ms; /* how long an ended job can be queried */
 	long long grace_ms; /* from a stop signal until the process is killed */
