--- a/src/fst_query.c
+++ b/src/fst_query.c
@@ -295,14 +295,14 @@
 static void fst_put_vm(const struct fst *f, const struct fst_vm *vm,
 		       struct qtb *t)
 {
-	const struct cfg_vm *line = cfg_vm(f->cfg, vm->name);
+	const struct cfg_vm *conf = cfg_vm(f->cfg, vm->name);
 	struct pk_out *o = qtb_row(t);
 
 	pk_cstr(o, vm->name);
-	pk_cstr(o, line->site->name);
-	pk_cstr(o, line->zone);
-	pk_cstr(o, line->rack->name);
-	pk_cstr(o, line->size->name);
+	pk_cstr(o, conf->site->name);
+	pk_cstr(o, conf->zone);
+	pk_cstr(o, conf->rack->name);
+	pk_cstr(o, conf->size->name);
 	pk_cstr(o, vm->pool);
 	pk_cstr(o, vm->to);
 	pk_cstr(o, fst_phase_name(vm->phase));
@@ -330,12 +330,12 @@
 	qtb_init(&t, fst_vm_cols, G_N_ELEMENTS(fst_vm_cols));
 	for (i = 0; i < f->vms->len; i++) {
 		const struct fst_vm *vm = g_ptr_array_index(f->vms, i);
-		const struct cfg_vm *line = cfg_vm(f->cfg, vm->name);
+		const struct cfg_vm *conf = cfg_vm(f->cfg, vm->name);
 
 		if (arg.len == 0 || lstr_eq(arg, lstr_from(vm->name)) ||
 		    lstr_eq(arg, lstr_from(vm->pool)) ||
-		    lstr_eq(arg, lstr_from(line->zone)) ||
-		    lstr_eq(arg, lstr_from(line->site->name)))
+		    lstr_eq(arg, lstr_from(conf->zone)) ||
+		    lstr_eq(arg, lstr_from(conf->site->name)))
 			fst_put_vm(f, vm, &t);
 	}
 	qtb_finish(&t, result);
--- a/src/fst_view.c
+++ b/src/fst_view.c
@@ -182,7 +182,7 @@
 }
 
 /* Returns whether a site's pools are the same in both configurations. */
-static bool fst_pools_equal(const struct cfg *was, const struct cfg *next,
+static bool fst_pools_equal(const struct cfg *prev, const struct cfg *next,
 			    const char *name)
 {
 	struct fvw *a = fvw_new(0);
@@ -191,7 +191,7 @@
 	struct pk_out y;
 	bool same;
 
-	cfg_view_pools(was, cfg_find(was, CFG_SITE, name), a);
+	cfg_view_pools(prev, cfg_find(prev, CFG_SITE, name), a);
 	cfg_view_pools(next, cfg_find(next, CFG_SITE, name), b);
 	pk_out_init(&x);
 	pk_out_init(&y);
@@ -217,15 +217,15 @@
 	for (i = 0; i < next->objs[CFG_SITE]->len; i++) {
 		const struct cfg_obj *site =
 			g_ptr_array_index(next->objs[CFG_SITE], i);
-		const struct fst_site *was = fst_site_find(f, site->name);
+		const struct fst_site *prev = fst_site_find(f, site->name);
 		struct fst_site *s = g_new0(struct fst_site, 1);
 
 		s->name = g_strdup(site->name);
 		s->since = f->version;
-		if (!was)
+		if (!prev)
 			f->full_view_since = f->version;
 		else if (fst_pools_equal(f->cfg, next, site->name))
-			s->since = was->since;
+			s->since = prev->since;
 		g_ptr_array_add(sites, s);
 	}
 	/* Zones and their VMs may have been reassigned to another site. */
--- a/src/fst_vm.c
+++ b/src/fst_vm.c
@@ -21,14 +21,14 @@
 static void fst_vm_end_move(struct fst_exec *ex, struct fst_vm *vm);
 static struct fst_vm *fst_find_moving_vm(struct fst_exec *ex);
 static bool fst_vm_fits_config(struct fst_exec *ex, const struct fst_vm *vm,
-			       const struct cfg_vm *line,
+			       const struct cfg_vm *conf,
 			       const struct cfg *next);
 static bool fst_vm_pool_changed(const struct fst_exec *ex,
-				const struct cfg_vm *line);
+				const struct cfg_vm *conf);
 static void fst_update_vm(struct fst_exec *ex, struct fst_vm *vm,
-			  const struct cfg_vm *line);
+			  const struct cfg_vm *conf);
 static struct fst_vm *fst_add_vm(struct fst_exec *ex,
-				 const struct cfg_vm *line);
+				 const struct cfg_vm *conf);
 static void fst_remove_vm(struct fst_exec *ex, struct fst_vm *vm);
 static struct fst_vm *fst_reclaim_removed_vm(struct fst *f, const char *name);
 static void fst_vm_set_drained(struct fst_exec *ex, struct fst_vm *vm,
@@ -382,22 +382,22 @@
 
 	for (i = 0; i < ex->f->vms->len; i++) {
 		const struct fst_vm *vm = g_ptr_array_index(ex->f->vms, i);
-		const struct cfg_vm *line = cfg_vm(next, vm->name);
+		const struct cfg_vm *conf = cfg_vm(next, vm->name);
 
-		if (line && !fst_vm_fits_config(ex, vm, line, next))
+		if (conf && !fst_vm_fits_config(ex, vm, conf, next))
 			return false;
 	}
 	return true;
 }
 
 static bool fst_vm_fits_config(struct fst_exec *ex, const struct fst_vm *vm,
-			       const struct cfg_vm *line,
+			       const struct cfg_vm *conf,
 			       const struct cfg *next)
 {
 	const char *final_pool = vm->to ? vm->to : vm->pool;
 
-	if (fst_vm_pool_changed(ex, line) && vm->to &&
-	    !g_str_equal(line->pool->name, vm->to)) {
+	if (fst_vm_pool_changed(ex, conf) && vm->to &&
+	    !g_str_equal(conf->pool->name, vm->to)) {
 		fst_exec_finish(
 			ex, PROTO_REFUSED,
 			"VM %s moves from %s to %s: wait for that, or call "
@@ -423,12 +423,12 @@
  * one did. An unchanged line must not revert an operator's move.
  */
 static bool fst_vm_pool_changed(const struct fst_exec *ex,
-				const struct cfg_vm *line)
+				const struct cfg_vm *conf)
 {
-	const struct cfg_vm *was =
-		ex->f->cfg ? cfg_vm(ex->f->cfg, line->name) : NULL;
+	const struct cfg_vm *prev =
+		ex->f->cfg ? cfg_vm(ex->f->cfg, conf->name) : NULL;
 
-	return !was || !g_str_equal(was->pool->name, line->pool->name);
+	return !prev || !g_str_equal(prev->pool->name, conf->pool->name);
 }
 
 /*
@@ -445,38 +445,38 @@
 	g_ptr_array_set_free_func(old, NULL);
 	for (i = 0; i < old->len; i++) {
 		struct fst_vm *vm = g_ptr_array_index(old, i);
-		const struct cfg_vm *line = cfg_vm(next, vm->name);
+		const struct cfg_vm *conf = cfg_vm(next, vm->name);
 
-		if (line) {
-			fst_update_vm(ex, vm, line);
+		if (conf) {
+			fst_update_vm(ex, vm, conf);
 			g_ptr_array_add(f->vms, vm);
 		} else {
 			fst_remove_vm(ex, vm);
 		}
 	}
 	for (i = 0; i < next->vms->len; i++) {
-		const struct cfg_vm *line =
+		const struct cfg_vm *conf =
 			&g_array_index(next->vms, struct cfg_vm, i);
 
-		if (!f->cfg || !cfg_vm(f->cfg, line->name))
-			g_ptr_array_add(f->vms, fst_add_vm(ex, line));
+		if (!f->cfg || !cfg_vm(f->cfg, conf->name))
+			g_ptr_array_add(f->vms, fst_add_vm(ex, conf));
 	}
 	g_ptr_array_sort(f->vms, fst_compare_vms);
 	g_ptr_array_free(old, TRUE);
 }
 
 static void fst_update_vm(struct fst_exec *ex, struct fst_vm *vm,
-			  const struct cfg_vm *line)
+			  const struct cfg_vm *conf)
 {
-	const struct cfg_vm *was = cfg_vm(ex->f->cfg, vm->name);
+	const struct cfg_vm *prev = cfg_vm(ex->f->cfg, vm->name);
 
 	/* The old site's entry daemons learn of it by a full view. */
-	if (strcmp(was->site->name, line->site->name) != 0)
+	if (strcmp(prev->site->name, conf->site->name) != 0)
 		ex->f->full_view_since = ex->f->version;
-	if (!fst_vm_pool_changed(ex, line) || vm->to ||
-	    g_str_equal(vm->pool, line->pool->name))
+	if (!fst_vm_pool_changed(ex, conf) || vm->to ||
+	    g_str_equal(vm->pool, conf->pool->name))
 		return;
-	fst_vm_begin_move(ex, vm, line->pool->name);
+	fst_vm_begin_move(ex, vm, conf->pool->name);
 	fst_stamp_update(&vm->stamp, ex);
 	fst_audit_automatic(ex, "move %s from %s to %s: its line changed",
 			    vm->name, vm->pool, vm->to);
@@ -488,12 +488,12 @@
  * that was partitioned all that time may still place work of the old pool on
  * it.
  */
-static struct fst_vm *fst_add_vm(struct fst_exec *ex, const struct cfg_vm *line)
+static struct fst_vm *fst_add_vm(struct fst_exec *ex, const struct cfg_vm *conf)
 {
-	struct fst_vm *vm = fst_reclaim_removed_vm(ex->f, line->name);
+	struct fst_vm *vm = fst_reclaim_removed_vm(ex->f, conf->name);
 
 	if (!vm) {
-		vm = fst_vm_new(line->name, line->pool->name);
+		vm = fst_vm_new(conf->name, conf->pool->name);
 		vm->epoch = ex->f->epoch_floor + 1;
 		vm->since = ex->f->version;
 		fst_stamp_update(&vm->stamp, ex);
@@ -502,14 +502,14 @@
 	vm->epoch++;
 	vm->since = ex->f->version;
 	fst_stamp_update(&vm->stamp, ex);
-	if (g_str_equal(vm->pool, line->pool->name))
+	if (g_str_equal(vm->pool, conf->pool->name))
 		return vm;
 	if (!cfg_find(ex->f->cfg, CFG_POOL, vm->pool)) {
 		g_free(vm->pool);
-		vm->pool = g_strdup(line->pool->name);
+		vm->pool = g_strdup(conf->pool->name);
 		return vm;
 	}
-	fst_vm_begin_move(ex, vm, line->pool->name);
+	fst_vm_begin_move(ex, vm, conf->pool->name);
 	fst_audit_automatic(ex, "move %s from %s to %s: it came back", vm->name,
 			    vm->pool, vm->to);
 	return vm;
--- a/src/fvw_delta.c
+++ b/src/fvw_delta.c
@@ -184,9 +184,9 @@
 static bool fvw_copy_vm(const struct fvw *old, const struct fvw_vm *vm,
 			const struct fvw *v, GArray *out)
 {
-	const struct fvw_pool *was =
+	const struct fvw_pool *old_pool =
 		&g_array_index(old->pools, struct fvw_pool, vm->pool);
-	int pool = fvw_pool_index(v, was->name);
+	int pool = fvw_pool_index(v, old_pool->name);
 	struct fvw_vm copy = {.name = g_strdup(vm->name),
 			      .pool = pool,
 			      .epoch = vm->epoch,
