--- a/src/fdb.h
+++ b/src/fdb.h
@@ -40,7 +40,7 @@
 /* Usage of a part, for metrics. */
 struct fdb_use {
 	uint64_t used;
-	uint64_t refused; /* connections refused or closed since the start */
+	uint64_t refused; /* since the start; or closed in favour of others */
 };
 
 int fdb_limit(long long configured, long long reserved);
--- a/src/fst.c
+++ b/src/fst.c
@@ -224,8 +224,8 @@
 }
 
 /*
- * Checks the role and the time of a command, whatever its kind. Returns true
- * if the command is rejected; its result is then set.
+ * Checks the sender's role and the time at which a command was made. Returns
+ * true if the command is rejected; its result is then set.
  */
 static bool fst_exec_reject(struct fst_exec *ex)
 {
--- a/src/fst.h
+++ b/src/fst.h
@@ -53,7 +53,7 @@
 	const char *pool;
 	const char *to; /* pool that the VM moves to, or NULL */
 	enum fst_phase phase;
-	uint64_t epoch; /* incremented when a move begins or ends */
+	uint64_t epoch; /* incremented with each change of membership */
 	uint64_t since; /* view version of the last change of this VM */
 	bool drained;
 };
--- a/src/fst_vm.c
+++ b/src/fst_vm.c
@@ -181,8 +181,8 @@
 }
 
 /*
- * Drains a target. The name is not checked against a list, since targets
- * announce themselves to entry daemons only.
+ * Drains a target. Its name is not checked: targets announce themselves, so
+ * the state has no list of them.
  */
 static void fst_drain_target(struct fst_exec *ex)
 {
