--- a/tests/prop/fst_prop.cc
+++ b/tests/prop/fst_prop.cc
@@ -90,10 +90,10 @@
 	return lstr_n(s.data(), s.size());
 }
 
-class World
+class Fleet
 {
       public:
-	World()
+	Fleet()
 	{
 		static const struct mvr_ops ops = {view_version, submit};
 
@@ -107,7 +107,7 @@
 		apply(0, FCM_ANY_BASE, 0);
 	}
 
-	~World()
+	~Fleet()
 	{
 		for (auto &e : entries)
 			fvw_free(e.view);
@@ -196,7 +196,7 @@
 
 	static uint64_t view_version(void *arg, const char *node)
 	{
-		for (auto &e : static_cast<World *>(arg)->entries)
+		for (auto &e : static_cast<Fleet *>(arg)->entries)
 			if (e.name == node)
 				return e.view->version;
 		return 0;
@@ -204,7 +204,7 @@
 
 	static void submit(void *arg, const struct fcm_cmd *cmd)
 	{
-		auto *w = static_cast<World *>(arg);
+		auto *w = static_cast<Fleet *>(arg);
 
 		w->queue.push_back(w->make("ctl", KEY_PEER, *cmd));
 	}
@@ -553,7 +553,7 @@
 	 */
 	ok &= rc::check("racing operators and delayed steps", [] {
 		auto ops = *some_ops(250, any_op());
-		World w;
+		Fleet w;
 
 		for (const auto &op : ops)
 			w.run(op);
@@ -567,7 +567,7 @@
 	 */
 	ok &= rc::check("delayed steps of a cancelled move", [] {
 		auto ops = *some_ops(600, move_op());
-		World w;
+		Fleet w;
 
 		for (const auto &op : ops) {
 			w.run(op);
@@ -582,7 +582,7 @@
 	ok &= rc::check("tampering with the audit trail is detected", [] {
 		auto ops = *some_ops(30, any_op());
 		auto offset = *rc::gen::inRange<size_t>(0, 100000);
-		World w;
+		Fleet w;
 
 		for (const auto &op : ops)
 			w.run(op);
