--- a/src/ent_admin.c
+++ b/src/ent_admin.c
@@ -168,20 +168,19 @@
 	GString *out = g_string_new("");
 	int64_t now = tmr_now(e->tmr);
 
-	g_string_append_printf(out,
-			       "node=%s\nzone=%s\nversion=%" G_GUINT64_FORMAT
-			       "\nversion_age_ms=%" G_GINT64_FORMAT
-			       "\nvoter_heard_ms=%" G_GINT64_FORMAT
-			       "\ndraining=%d\nkey_epoch=%" G_GINT64_MODIFIER
-			       "x\nkey_keepers=%u\nkey_keeper=%d\nkey_records="
-			       "%" G_GUINT64_FORMAT,
-			       e->config.node, e->config.zone,
-			       e->view ? e->view->version : 0,
-			       e->view ? now - e->view_since : -1,
-			       e->voter_heard ? now - e->voter_heard : -1,
-			       e->draining, idm_epoch(e->keys),
-			       idm_keepers(e->keys), idm_is_keeper(e->keys),
-			       idm_stats(e->keys).records);
+	g_string_append_printf(
+		out,
+		"node=%s\nzone=%s\nversion=%" G_GUINT64_FORMAT
+		"\nversion_age_ms=%" G_GINT64_FORMAT
+		"\nvoter_heard_ms=%" G_GINT64_FORMAT
+		"\ndraining=%d\nkey_epoch=%" G_GINT64_MODIFIER
+		"x\nkey_keepers=%u\nkey_keeper=%d\nkey_records="
+		"%" G_GUINT64_FORMAT,
+		e->config.node, e->config.zone, e->view ? e->view->version : 0,
+		e->view ? now - e->view_since : -1,
+		e->voter_heard ? now - e->voter_heard : -1, e->draining,
+		idm_epoch(e->keys), idm_replica_count(e->keys),
+		idm_is_replica(e->keys), idm_stats(e->keys).records);
 	tgt_each(e->targets, ent_admin_target_line, out);
 	srv_reply_text(r, 200, out->str);
 	g_string_free(out, TRUE);
--- a/src/ent_key.c
+++ b/src/ent_key.c
@@ -38,7 +38,7 @@
 /* What a caller is told where no claim was granted; "not-run" only if no
  * sending of the key can have run. */
 static const struct ent_refusal ent_key_refusals[] = {
-	[IDM_LOST] = {409, "unknown", "may-have-run", 0},
+	[IDM_INDETERMINATE] = {409, "unknown", "may-have-run", 0},
 	[IDM_MISMATCH] = {422, "not-run", "key-of-another-request", 0},
 	[IDM_REFUSED] = {503, "unknown", "key-memory-out-of-reach", 1000},
 };
@@ -52,7 +52,7 @@
 			.node = e->config.node,
 			.boot = e->boot,
 			.max_bytes = ENT_KEEP_MAX,
-			.keep_ms = IDM_KEEP_MS,
+			.retention_ms = IDM_RETENTION_MS,
 		},
 		&ent_key_ops, e);
 }
@@ -68,7 +68,7 @@
 		struct idm_view v = {
 			.epoch = k->epoch,
 			.number = k->number,
-			.keepers = k->names,
+			.replicas = k->names,
 		};
 
 		if (strcmp(k->zone, e->config.zone) == 0)
@@ -128,9 +128,9 @@
 	q->ask_timer =
 		tmr_once(e->tmr, MAX(1, q->deadline_ms - tmr_now(e->tmr)),
 			 ent_key_late, q);
-	q->ask = idm_ask(e->keys, tmr_now(e->tmr), text, digest, q);
+	q->ask = idm_claim_new(e->keys, tmr_now(e->tmr), text, digest, q);
 	/* From here on q may be over. */
-	idm_go(e->keys, tmr_now(e->tmr), q->ask);
+	idm_claim_send(e->keys, tmr_now(e->tmr), q->ask);
 }
 
 /*
@@ -149,7 +149,8 @@
 
 	q->ask = 0;
 	if (state != IDM_DONE || !a) {
-		idm_finish(e->keys, tmr_now(e->tmr), ask, state, LSTR(""));
+		idm_claim_finish(e->keys, tmr_now(e->tmr), ask, state,
+				 LSTR(""));
 		return;
 	}
 	len = evbuffer_get_length(a->body);
@@ -170,7 +171,8 @@
 		pk_cstr(&o, h->value);
 	}
 	pk_str(&o, lstr_n(len ? evbuffer_pullup(a->body, -1) : NULL, len));
-	idm_finish(e->keys, tmr_now(e->tmr), ask, IDM_DONE, pk_out_view(&o));
+	idm_claim_finish(e->keys, tmr_now(e->tmr), ask, IDM_DONE,
+			 pk_out_view(&o));
 	pk_out_done(&o);
 	g_array_free(headers, TRUE);
 }
@@ -303,7 +305,7 @@
 		.keepers = {.zone = lstr_from(e->config.zone),
 			    .epoch = want->epoch,
 			    .number = want->number,
-			    .n = want->keepers->len},
+			    .n = want->replicas->len},
 	};
 	struct pk_out bytes;
 	struct pk_out o;
@@ -314,9 +316,9 @@
 		   "%s-%" G_GINT64_MODIFIER "x-%" G_GUINT64_FORMAT,
 		   e->config.node, e->boot, ++e->submits);
 	cmd.id = lstr_from(id);
-	for (i = 0; i < want->keepers->len; i++)
+	for (i = 0; i < want->replicas->len; i++)
 		cmd.keepers.names[i] =
-			lstr_from(g_ptr_array_index(want->keepers, i));
+			lstr_from(g_ptr_array_index(want->replicas, i));
 	pk_out_init(&bytes);
 	fcm_encode(&cmd, &bytes);
 	pk_out_init(&o);
@@ -345,7 +347,7 @@
 		ent_offer(q);
 	} else if (v == IDM_GRANTED) {
 		ent_req_free(q);
-	} else if (v == IDM_ANSWER) {
+	} else if (v == IDM_REPLAY) {
 		ent_key_replay(q, bytes);
 	} else {
 		ent_give_up(q, &ent_key_refusals[v]);
--- a/src/idm.h
+++ b/src/idm.h
@@ -9,60 +9,68 @@
 #include "pk.h"
 
 /*
- * The zone's memory of idempotency keys, without I/O and with time passed in.
- * Some entry daemons of a zone are its keepers; each claim of a key is held by
- * all keepers of the view before the request is passed on. docs/design/
- * idempotency.md has the reasons.
+ * Idempotency store: the zone's replicated table of idempotency keys, which
+ * keeps a request that is sent again with its key from running twice. Performs
+ * no I/O; the current time is passed in. Some entry daemons of a zone hold a
+ * replica, and a claim of a key is granted only once all replicas of the view
+ * hold it. docs/design/idempotency.md gives the reasons.
  */
 struct idm;
 
-/* Keepers of a zone at most; more copies cost messages and save nothing. */
-#define IDM_KEEPERS_MAX 3 /* as FVW_KEEPERS_MAX */
+/* Most replicas in a zone; more would cost messages without a benefit. */
+#define IDM_REPLICAS_MAX 3 /* equals FVW_KEEPERS_MAX */
 
 /*
- * The keepers the voters agreed on. A keeper is named NODE/BOOT: one that was
- * started anew has forgotten everything and is not the same keeper.
+ * The set of replicas that the voters agreed on. A replica is named NODE/BOOT:
+ * a daemon that was restarted holds no records and counts as another replica.
  */
 struct idm_view {
-	uint64_t epoch; /* of the memory: another one has forgotten all keys */
-	uint64_t number; /* grows with each change */
-	GPtrArray *keepers; /* char *; the first one decides the order */
+	uint64_t epoch; /* of the store; another epoch holds none of its keys */
+	uint64_t number; /* increases with each change */
+	/* char *; the first is the primary, which orders the changes */
+	GPtrArray *replicas;
 };
 
 enum idm_state {
-	IDM_CLAIMED, /* somebody may be running it */
-	IDM_DONE, /* ran; the answer is kept */
-	IDM_UNKNOWN, /* who claimed it is gone, or could not tell */
-	IDM_FREE, /* not run; may be claimed anew */
+	IDM_CLAIMED, /* the request may be running */
+	IDM_DONE, /* the request ran; the answer is stored */
+	IDM_UNKNOWN, /* the owner failed or could not determine the outcome */
+	IDM_FREE, /* not run; may be claimed again */
 };
 
 enum idm_verdict {
-	IDM_GRANTED, /* run it, then idm_finish */
-	IDM_ANSWER, /* it ran; here is the answer */
-	IDM_LOST, /* it may have run; nobody will ever know */
-	IDM_MISMATCH, /* the key was used for another request */
-	IDM_REFUSED, /* no claim can be made now; not run by this asking */
+	IDM_GRANTED, /* run the request, then call idm_claim_finish */
+	IDM_REPLAY, /* the request ran; the stored answer is passed along */
+	IDM_INDETERMINATE, /* it may have run; the outcome is unknown */
+	IDM_MISMATCH, /* the key was used for a different request */
+	IDM_REFUSED, /* no claim can be made now; this attempt was not run */
 };
 
-/* Effects; called from within the calls below. */
+/* Callbacks, made from within the functions below. */
 struct idm_ops {
-	/* sends to a node of the zone; lost if it is not up */
+	/* Sends bytes to a node of the zone; they are lost if it is down. */
 	void (*send)(void *arg, const char *node, struct lstr bytes);
-	/* asks the voters for a view; it comes by idm_set_view if accepted */
-	void (*propose)(void *arg, const struct idm_view *want);
-	/* the verdict on an ask, once; bytes are the answer kept */
+	/*
+	 * Proposes a view to the voters; if they accept it, it arrives by
+	 * idm_set_view.
+	 */
+	void (*propose)(void *arg, const struct idm_view *next_view);
+	/*
+	 * Reports the verdict on a claim, once; bytes is the stored answer for
+	 * IDM_REPLAY.
+	 */
 	void (*verdict)(void *arg, void *user, enum idm_verdict v,
 			struct lstr bytes);
 };
 
 struct idm_config {
 	const char *node;
-	uint64_t boot; /* random at each start */
-	size_t max_bytes; /* of records; beyond that claims are refused */
-	int64_t keep_ms; /* after the last change of a record */
+	uint64_t boot; /* random number drawn at each start */
+	size_t max_bytes; /* of all records; beyond it, claims are refused */
+	int64_t retention_ms; /* from the last change of a record */
 };
 
-/* Length of a request's digest: what the key was used for, bytes. */
+/* Length of the digest that identifies a request, bytes. */
 #define IDM_DIGEST 16
 
 struct idm *idm_new(const struct idm_config *config, const struct idm_ops *ops,
@@ -74,33 +82,33 @@
 void idm_recv(struct idm *m, int64_t now, const char *from, struct lstr bytes);
 void idm_tick(struct idm *m, int64_t now);
 
-uint64_t idm_ask(struct idm *m, int64_t now, struct lstr key,
-		 const uint8_t digest[IDM_DIGEST], void *user);
-void idm_go(struct idm *m, int64_t now, uint64_t ask);
-void idm_finish(struct idm *m, int64_t now, uint64_t ask, enum idm_state state,
-		struct lstr bytes);
+uint64_t idm_claim_new(struct idm *m, int64_t now, struct lstr key,
+		       const uint8_t digest[IDM_DIGEST], void *user);
+void idm_claim_send(struct idm *m, int64_t now, uint64_t claim_id);
+void idm_claim_finish(struct idm *m, int64_t now, uint64_t claim_id,
+		      enum idm_state state, struct lstr bytes);
 
-/* For pages and tests. */
+/* Counters since the start, and the records held now. */
 struct idm_stats {
 	uint64_t granted;
 	uint64_t replayed;
-	uint64_t lost;
+	uint64_t indeterminate;
 	uint64_t refused;
 	uint64_t records;
 	uint64_t bytes;
 };
 struct idm_stats idm_stats(const struct idm *m);
-bool idm_is_keeper(const struct idm *m);
+bool idm_is_replica(const struct idm *m);
 uint64_t idm_epoch(const struct idm *m);
-unsigned int idm_keepers(const struct idm *m);
+unsigned int idm_replica_count(const struct idm *m);
 
 struct idm_view *idm_view_new(uint64_t epoch, uint64_t number);
 struct idm_view *idm_view_copy(const struct idm_view *v);
 void idm_view_free(struct idm_view *v);
 
 /*
- * A key as callers send it: ZONE.EPOCH.MINUTE.REST. The zone says where its
- * memory is, the epoch which memory, the minute when it was issued.
+ * A key as callers send it: ZONE.EPOCH.MINUTE.REST. The zone and epoch select
+ * the store that holds the key; the minute is when it was issued.
  */
 struct idm_key {
 	struct lstr zone;
@@ -109,12 +117,13 @@
 	struct lstr rest;
 };
 
-/* A key may be claimed for so long after its minute. */
-#define IDM_VALID_MIN 10
-/* Clocks of two VMs may differ by so much. */
-#define IDM_SKEW_MIN 2
-/* A record is kept for longer than any key that could claim it again. */
-#define IDM_KEEP_MS ((IDM_VALID_MIN + 2 * IDM_SKEW_MIN + 1) * 60000LL)
+/* How long after its minute a key may be claimed. */
+#define IDM_KEY_VALID_MINUTES 10
+/* Largest clock difference between two VMs that is tolerated. */
+#define IDM_CLOCK_SKEW_MINUTES 2
+/* A record outlives every key that could claim it again. */
+#define IDM_RETENTION_MS \
+	((IDM_KEY_VALID_MINUTES + 2 * IDM_CLOCK_SKEW_MINUTES + 1) * 60000LL)
 
 #define IDM_KEY_MAX 128
 
--- a/src/idm_keep.c
+++ b/src/idm_keep.c
@@ -1,34 +1,39 @@
 #include "idm_int.h"
 
 /*
- * What a record costs beside its answer, bytes: names, tables, allocations.
- * Measured by idm_bench as the growth of the process for each record.
+ * Memory that a record takes beside its answer, bytes: names, tables and
+ * allocations, as idm_bench reports it by the growth of the process for each
+ * record.
  */
 #define IDM_RECORD_COST 400
 
 static struct idm_record *idm_new_record(struct idm *m, struct lstr key,
 					 struct lstr digest);
-static void idm_claim(struct idm *m, int64_t now, struct idm_record *r,
-		      const char *owner, uint64_t ask);
+static void idm_claim_record(struct idm *m, int64_t now, struct idm_record *r,
+			     const char *owner, uint64_t claim_id);
 static void idm_set_bytes(struct idm *m, struct idm_record *r,
 			  struct lstr bytes);
-static void idm_put(struct idm *m, int64_t now, struct idm_record *r);
+static void idm_replicate(struct idm *m, int64_t now, struct idm_record *r);
 static void idm_pack_record(struct pk_out *o, const struct idm_record *r);
-static void idm_take_record(struct idm *m, int64_t now, struct pk_in *in);
-static void idm_kept(struct idm *m, int64_t now, struct idm_record *r);
-static void idm_kept_free(struct idm *m, int64_t now, struct idm_record *r);
-static void idm_tell(struct idm *m, int64_t now, const char *node, uint64_t ask,
-		     int verdict, struct lstr bytes);
-static void idm_tell_finished(struct idm *m, const char *node, uint64_t ask);
-static void idm_wait(struct idm *m, int64_t now, struct idm_record *r,
-		     const char *node, uint64_t ask);
-static void idm_unwait(struct idm_record *r, const char *node, uint64_t ask);
-static void idm_wake(struct idm *m, int64_t now, struct idm_record *r);
-static void idm_remove(struct idm *m, struct idm_record *r);
-static bool idm_owner_gone(struct idm *m, int64_t now, struct idm_record *r);
+static void idm_apply_record(struct idm *m, int64_t now, struct pk_in *in);
+static void idm_replicated(struct idm *m, int64_t now, struct idm_record *r);
+static void idm_regrant_record(struct idm *m, int64_t now,
+			       struct idm_record *r);
+static void idm_send_verdict(struct idm *m, int64_t now, const char *node,
+			     uint64_t claim_id, int verdict, struct lstr bytes);
+static void idm_send_finish_ack(struct idm *m, const char *node,
+				uint64_t claim_id);
+static void idm_enqueue_waiter(struct idm *m, int64_t now, struct idm_record *r,
+			       const char *node, uint64_t claim_id);
+static void idm_dequeue_waiter(struct idm_record *r, const char *node,
+			       uint64_t claim_id);
+static void idm_answer_waiters(struct idm *m, int64_t now,
+			       struct idm_record *r);
+static void idm_remove_record(struct idm *m, struct idm_record *r);
+static bool idm_owner_failed(struct idm *m, int64_t now, struct idm_record *r);
 static GPtrArray *idm_all_records(struct idm *m);
-static bool idm_is_new(const struct idm *m, const struct idm_peer *p,
-		       const struct idm_view *old);
+static bool idm_is_added(const struct idm *m, const struct idm_peer *p,
+			 const struct idm_view *old);
 
 static void idm_waiter_free(gpointer p)
 {
@@ -38,7 +43,7 @@
 	g_free(w);
 }
 
-/* Frees a record. */
+/* Frees a record and its waiters. */
 void idm_record_free(gpointer p)
 {
 	struct idm_record *r = p;
@@ -53,12 +58,12 @@
 }
 
 /*
- * A node asks for a key; we should be the first keeper. If the view says
- * otherwise, nothing is answered: the asker hears of the right one, or gives
- * up with "not run".
+ * Handles a claim that a node sent to this daemon as the primary. If this
+ * daemon is not the primary, it does not reply: the node learns of the right
+ * one, or refuses the claim with "not run".
  */
-void idm_keep_ask(struct idm *m, int64_t now, const char *from, uint64_t ask,
-		  struct lstr key, struct lstr digest)
+void idm_replica_claim(struct idm *m, int64_t now, const char *from,
+		       uint64_t claim_id, struct lstr key, struct lstr digest)
 {
 	char *name = lstr_dup(key);
 	struct idm_record *r = g_hash_table_lookup(m->records, name);
@@ -66,150 +71,162 @@
 	const void *p;
 
 	g_free(name);
-	if (!idm_first(m) || !m->complete)
+	if (!idm_is_primary(m) || !m->complete)
 		return;
 	if (!r) {
-		/* Never forget a key to make room: it could run twice. */
+		/*
+		 * No key is evicted to free memory: its request could run
+		 * twice.
+		 */
 		if (m->bytes + IDM_RECORD_COST > m->config.max_bytes) {
-			idm_tell(m, now, from, ask, IDM_REFUSED, lstr_n("", 0));
+			idm_send_verdict(m, now, from, claim_id, IDM_REFUSED,
+					 lstr_n("", 0));
 			return;
 		}
 		r = idm_new_record(m, key, digest);
-		idm_claim(m, now, r, from, ask);
+		idm_claim_record(m, now, r, from, claim_id);
 		return;
 	}
 	if (memcmp(r->digest, digest.p, IDM_DIGEST) != 0) {
-		idm_tell(m, now, from, ask, IDM_MISMATCH, lstr_n("", 0));
+		idm_send_verdict(m, now, from, claim_id, IDM_MISMATCH,
+				 lstr_n("", 0));
 		return;
 	}
 	switch (r->state) {
 	case IDM_CLAIMED:
-		if (strcmp(r->owner, from) != 0 || r->ask != ask)
-			idm_wait(m, now, r, from, ask);
-		else if (r->missing == 0)
-			idm_tell(m, now, from, ask, IDM_GRANTED, lstr_n("", 0));
+		if (strcmp(r->owner, from) != 0 || r->claim_id != claim_id)
+			idm_enqueue_waiter(m, now, r, from, claim_id);
+		else if (r->unacked == 0)
+			idm_send_verdict(m, now, from, claim_id, IDM_GRANTED,
+					 lstr_n("", 0));
 		break;
 	case IDM_DONE:
 	case IDM_UNKNOWN:
-		/* Told only once all keepers hold it; see idm_kept. */
-		if (r->missing) {
-			idm_wait(m, now, r, from, ask);
+		/*
+		 * Answered only once all replicas hold the record; see
+		 * idm_replicated.
+		 */
+		if (r->unacked) {
+			idm_enqueue_waiter(m, now, r, from, claim_id);
 			break;
 		}
 		p = r->bytes ? g_bytes_get_data(r->bytes, &len) : "";
-		idm_tell(m, now, from, ask,
-			 r->state == IDM_DONE ? IDM_ANSWER : IDM_LOST,
-			 lstr_n(p, len));
+		idm_send_verdict(m, now, from, claim_id,
+				 r->state == IDM_DONE ? IDM_REPLAY
+						      : IDM_INDETERMINATE,
+				 lstr_n(p, len));
 		break;
 	case IDM_FREE:
-		idm_wait(m, now, r, from, ask);
+		idm_enqueue_waiter(m, now, r, from, claim_id);
 		break;
 	}
 }
 
 /*
- * The owner of a claim says how it ended; anybody else only takes back its
- * ask. The owner hears back once all keepers hold it, and sends it again to
- * the next first keeper until then.
+ * Handles the outcome that the owner of a claim reports; from another node, it
+ * only withdraws that node's queued claim. The owner gets an acknowledgement
+ * once all replicas hold the outcome, and until then sends it again to the next
+ * primary.
  */
-void idm_keep_finish(struct idm *m, int64_t now, const char *from, uint64_t ask,
-		     struct lstr key, enum idm_state state, struct lstr bytes)
+void idm_replica_finish(struct idm *m, int64_t now, const char *from,
+			uint64_t claim_id, struct lstr key,
+			enum idm_state state, struct lstr bytes)
 {
 	static const uint8_t no_digest[IDM_DIGEST];
 	char *name = lstr_dup(key);
 	struct idm_record *r = g_hash_table_lookup(m->records, name);
 
 	g_free(name);
-	if (!idm_first(m) || !m->complete)
+	if (!idm_is_primary(m) || !m->complete)
 		return;
-	if (r && (strcmp(r->owner, from) != 0 || r->ask != ask)) {
-		idm_unwait(r, from, ask);
-		idm_tell_finished(m, from, ask);
+	if (r && (strcmp(r->owner, from) != 0 || r->claim_id != claim_id)) {
+		idm_dequeue_waiter(r, from, claim_id);
+		idm_send_finish_ack(m, from, claim_id);
 		return;
 	}
 	if (r && r->state != IDM_CLAIMED && r->state != IDM_UNKNOWN) {
-		r->tell_finished = true;
-		if (r->missing == 0)
-			idm_tell_finished(m, from, ask);
+		r->ack_finish = true;
+		if (r->unacked == 0)
+			idm_send_finish_ack(m, from, claim_id);
 		return;
 	}
 	if (!r) {
 		/*
-		 * Unknown here, but another keeper may hold a claim that this
-		 * one has missed and that was never granted: it must go there
-		 * too.
+		 * Unknown to the primary, but another replica may hold a claim
+		 * that the primary missed and that was never granted; the
+		 * outcome must reach that replica too.
 		 */
 		r = idm_new_record(m, key, lstr_n(no_digest, IDM_DIGEST));
 		r->owner = g_strdup(from);
-		r->ask = ask;
+		r->claim_id = claim_id;
 	}
 	r->state = state;
-	r->tell_finished = true;
+	r->ack_finish = true;
 	if (state == IDM_DONE)
 		idm_set_bytes(m, r, bytes);
-	idm_put(m, now, r);
+	idm_replicate(m, now, r);
 }
 
-/* The first keeper says what a record is now. */
-void idm_keep_put(struct idm *m, int64_t now, const char *from,
-		  struct pk_in *in)
+/* Applies the current state of a record sent by the primary. */
+void idm_replica_recv_put(struct idm *m, int64_t now, const char *from,
+			  struct pk_in *in)
 {
 	uint64_t number = pk_get_u(in);
 	uint64_t seq = pk_get_u(in);
 	struct pk_in rec = pk_get_arr(in);
-	bool old;
+	bool stale;
 	struct pk_out o;
 
 	if (!pk_in_ok(in))
 		return;
 	/*
-	 * A first keeper that was cut off and does not know it has been
-	 * replaced: without our word it grants nothing.
+	 * A primary that was partitioned does not know that it has been
+	 * replaced. Without this acknowledgement it grants nothing.
 	 */
-	old = m->view && number < m->view->number;
-	if (!old) {
-		if (!m->complete && !m->learning)
+	stale = m->view && number < m->view->number;
+	if (!stale) {
+		if (!m->complete && !m->receiving)
 			return;
-		idm_take_record(m, now, &rec);
+		idm_apply_record(m, now, &rec);
 	}
 	pk_out_init(&o);
 	pk_arr(&o, 3);
-	pk_u(&o, old ? IDM_MSG_PUT_OLD : IDM_MSG_PUT_OK);
+	pk_u(&o, stale ? IDM_MSG_PUT_STALE : IDM_MSG_PUT_ACK);
 	pk_u(&o, number);
 	pk_u(&o, seq);
 	idm_send(m, from, &o);
 }
 
-/* Another keeper holds a record as it was sent with seq. */
-void idm_keep_put_ok(struct idm *m, int64_t now, const char *from,
-		     struct pk_in *in)
+/* Handles a replica's acknowledgement of the record sent with seq. */
+void idm_replica_recv_put_ack(struct idm *m, int64_t now, const char *from,
+			      struct pk_in *in)
 {
 	uint64_t number = pk_get_u(in);
 	uint64_t seq = pk_get_u(in);
 	struct idm_record *r;
 	guint i;
 
-	if (!pk_in_ok(in) || !idm_first(m) || number != m->view->number)
+	if (!pk_in_ok(in) || !idm_is_primary(m) || number != m->view->number)
 		return;
 	r = g_hash_table_lookup(m->by_seq, &seq);
 	if (!r)
 		return;
-	for (i = 1; i < m->view->keepers->len; i++) {
-		const struct idm_peer *p = idm_peer_of_keeper(
-			m, g_ptr_array_index(m->view->keepers, i));
+	for (i = 1; i < m->view->replicas->len; i++) {
+		const struct idm_peer *p = idm_peer_of_replica(
+			m, g_ptr_array_index(m->view->replicas, i));
 
 		if (p && strcmp(p->node, from) == 0)
-			r->missing &= ~(1u << i);
+			r->unacked &= ~(1u << i);
 	}
-	if (r->missing)
+	if (r->unacked)
 		return;
 	g_hash_table_remove(m->by_seq, &r->seq);
-	idm_kept(m, now, r);
+	idm_replicated(m, now, r);
 }
 
-/* Records from the first keeper, for one that is to hold all of them. */
-void idm_keep_sync(struct idm *m, int64_t now, const char *from,
-		   struct pk_in *in)
+/* Receives records from the primary, for a replica that is to hold all. */
+void idm_replica_recv_sync(struct idm *m, int64_t now, const char *from,
+			   struct pk_in *in)
 {
 	uint64_t number = pk_get_u(in);
 	bool first = pk_get_bool(in);
@@ -219,38 +236,42 @@
 
 	if (!pk_in_ok(in) || !m->view || number < m->view->number)
 		return;
-	/* A whole copy is only added to: its source may die half-way. */
+	/*
+	 * Records are only added to a complete replica: the sender may fail
+	 * before the last message.
+	 */
 	if (first && !m->complete) {
 		g_hash_table_remove_all(m->by_seq);
 		g_hash_table_remove_all(m->records);
 		m->bytes = 0;
-		m->learning = true;
+		m->receiving = true;
 	}
-	if (!m->complete && !m->learning)
+	if (!m->complete && !m->receiving)
 		return;
 	while (pk_in_ok(&list) && pk_in_left(&list)) {
 		struct pk_in rec = pk_get_arr(&list);
 
-		idm_take_record(m, now, &rec);
+		idm_apply_record(m, now, &rec);
 	}
 	if (!last)
 		return;
-	m->learning = false;
+	m->receiving = false;
 	m->complete = true;
-	m->learnt = number;
+	m->received_view = number;
 	pk_out_init(&o);
 	pk_arr(&o, 2);
-	pk_u(&o, IDM_MSG_SYNC_OK);
+	pk_u(&o, IDM_MSG_SYNC_ACK);
 	pk_u(&o, number);
 	idm_send(m, from, &o);
 }
 
 /*
- * The view has changed. A first keeper sends again what some keeper of the
- * new view may not hold: what was on its way, and, when it is newly first,
- * what its predecessor may have had on its way.
+ * Handles a change of view. The primary sends again what some replica of the
+ * new view may lack: records in flight and, if it was not the primary before,
+ * records that its predecessor may have had in flight.
  */
-void idm_keep_view(struct idm *m, int64_t now, const struct idm_view *old)
+void idm_replica_view_changed(struct idm *m, int64_t now,
+			      const struct idm_view *old)
 {
 	GPtrArray *all;
 	GHashTableIter it;
@@ -260,44 +281,45 @@
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct idm_peer *p = value;
-		bool gaps = !p->synced && idm_is_new(m, p, old);
+		bool incomplete = !p->synced && idm_is_added(m, p, old);
 
 		p->syncing = false;
 		p->synced = false;
 		/*
-		 * It was lost and came back between its learning and this
-		 * view: without its word no claim would ever be granted.
+		 * The new replica was disconnected and came back between its
+		 * synchronisation and this view. Until it is synchronised it
+		 * acknowledges nothing, and no claim would ever be granted.
 		 */
-		if (gaps && idm_first(m) && m->complete && p->up)
-			idm_keep_start_sync(m, p);
+		if (incomplete && idm_is_primary(m) && m->complete && p->up)
+			idm_replica_start_sync(m, p);
 	}
-	if (!idm_first(m) || !m->complete)
+	if (!idm_is_primary(m) || !m->complete)
 		return;
 	all = idm_all_records(m);
 	for (i = 0; i < all->len; i++) {
 		struct idm_record *r = g_ptr_array_index(all, i);
 
-		if (r->missing || r->state == IDM_CLAIMED ||
+		if (r->unacked || r->state == IDM_CLAIMED ||
 		    now - r->changed < IDM_IN_FLIGHT_MS)
-			idm_put(m, now, r);
+			idm_replicate(m, now, r);
 	}
 	g_ptr_array_free(all, TRUE);
 }
 
-/* Whether a peer is a keeper now and was none in the old view. */
-static bool idm_is_new(const struct idm *m, const struct idm_peer *p,
-		       const struct idm_view *old)
+/* Whether a peer is a replica now and was none in the old view. */
+static bool idm_is_added(const struct idm *m, const struct idm_peer *p,
+			 const struct idm_view *old)
 {
-	char *k = idm_keeper_name(p->node, p->boot);
-	bool is =
-		idm_has_keeper(m->view, k) && !(old && idm_has_keeper(old, k));
+	char *k = idm_replica_name(p->node, p->boot);
+	bool added = idm_has_replica(m->view, k) &&
+		     !(old && idm_has_replica(old, k));
 
 	g_free(k);
-	return is;
+	return added;
 }
 
-/* Sends all records to a node that is to hold them, or may have gaps. */
-void idm_keep_start_sync(struct idm *m, struct idm_peer *p)
+/* Sends all records to a node that is to hold them or may lack some. */
+void idm_replica_start_sync(struct idm *m, struct idm_peer *p)
 {
 	GPtrArray *all = idm_all_records(m);
 	bool first = true;
@@ -310,7 +332,7 @@
 		guint n = i;
 		struct pk_out o;
 
-		while (n < all->len && bytes < IDM_SYNC_BYTES) {
+		while (n < all->len && bytes < IDM_SYNC_BATCH_BYTES) {
 			const struct idm_record *r = g_ptr_array_index(all, n);
 
 			bytes += IDM_RECORD_COST;
@@ -333,10 +355,10 @@
 }
 
 /*
- * Forgets old records, gives claims of owners that are gone an end, and looks
- * for a node to hold another copy.
+ * Removes expired records, marks claims of failed owners as unknown, and
+ * synchronises a node as another replica if the view has too few.
  */
-void idm_keep_tick(struct idm *m, int64_t now)
+void idm_replica_tick(struct idm *m, int64_t now)
 {
 	GPtrArray *all;
 	GHashTableIter it;
@@ -348,24 +370,24 @@
 		struct idm_record *r = g_ptr_array_index(all, i);
 
 		if (r->state != IDM_CLAIMED &&
-		    now - r->changed > m->config.keep_ms) {
-			idm_remove(m, r);
-		} else if (idm_first(m) && r->state == IDM_CLAIMED &&
-			   idm_owner_gone(m, now, r)) {
+		    now - r->changed > m->config.retention_ms) {
+			idm_remove_record(m, r);
+		} else if (idm_is_primary(m) && r->state == IDM_CLAIMED &&
+			   idm_owner_failed(m, now, r)) {
 			r->state = IDM_UNKNOWN;
-			idm_put(m, now, r);
+			idm_replicate(m, now, r);
 		}
 	}
 	g_ptr_array_free(all, TRUE);
-	if (!idm_first(m) || !m->complete ||
-	    m->view->keepers->len >= IDM_KEEPERS_MAX)
+	if (!idm_is_primary(m) || !m->complete ||
+	    m->view->replicas->len >= IDM_REPLICAS_MAX)
 		return;
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct idm_peer *p = value;
 
 		if (p->up && !p->syncing && !p->synced)
-			idm_keep_start_sync(m, p);
+			idm_replica_start_sync(m, p);
 	}
 }
 
@@ -393,7 +415,7 @@
 	return r;
 }
 
-static uint64_t idm_boot_of(const struct idm *m, const char *node)
+static uint64_t idm_node_boot(const struct idm *m, const char *node)
 {
 	const struct idm_peer *p = g_hash_table_lookup(m->peers, node);
 
@@ -402,19 +424,19 @@
 	return p ? p->boot : 0;
 }
 
-static void idm_claim(struct idm *m, int64_t now, struct idm_record *r,
-		      const char *owner, uint64_t ask)
+static void idm_claim_record(struct idm *m, int64_t now, struct idm_record *r,
+			     const char *owner, uint64_t claim_id)
 {
 	char *name = g_strdup(owner);
 
 	g_free(r->owner);
 	r->owner = name;
-	r->boot = idm_boot_of(m, name);
-	r->ask = ask;
+	r->boot = idm_node_boot(m, name);
+	r->claim_id = claim_id;
 	r->state = IDM_CLAIMED;
-	r->tell_finished = false;
-	r->owner_lost = 0;
-	idm_put(m, now, r);
+	r->ack_finish = false;
+	r->owner_down_since = 0;
+	idm_replicate(m, now, r);
 }
 
 static void idm_set_bytes(struct idm *m, struct idm_record *r,
@@ -429,11 +451,11 @@
 }
 
 /*
- * Gives a record to every other keeper of the view. What follows from it
- * (grant, answers to those who wait) is told only when all hold it: whichever
- * keeper is left then knows it.
+ * Sends a record to every other replica of the view. The effects of the change
+ * (a grant, answers to queued claims) take place only when all replicas hold
+ * it, so that any surviving replica knows it.
  */
-static void idm_put(struct idm *m, int64_t now, struct idm_record *r)
+static void idm_replicate(struct idm *m, int64_t now, struct idm_record *r)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -443,20 +465,23 @@
 	g_hash_table_remove(m->by_seq, &r->seq);
 	r->changed = now;
 	r->seq = ++m->next_seq;
-	r->missing = 0;
-	for (i = 1; i < m->view->keepers->len; i++)
-		r->missing |= 1u << i;
-	if (r->missing)
+	r->unacked = 0;
+	for (i = 1; i < m->view->replicas->len; i++)
+		r->unacked |= 1u << i;
+	if (r->unacked)
 		g_hash_table_insert(m->by_seq, &r->seq, r);
-	/* Also to those that are learning; their word does not count yet. */
+	/*
+	 * Nodes being synchronised get it too; their acknowledgements do not
+	 * count yet.
+	 */
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct idm_peer *p = value;
-		char *k = idm_keeper_name(p->node, p->boot);
-		bool keeper = idm_has_keeper(m->view, k);
+		char *k = idm_replica_name(p->node, p->boot);
+		bool replica = idm_has_replica(m->view, k);
 
 		g_free(k);
-		if (!p->up || !(keeper || p->syncing || p->synced))
+		if (!p->up || !(replica || p->syncing || p->synced))
 			continue;
 		pk_out_init(&o);
 		pk_arr(&o, 4);
@@ -466,8 +491,8 @@
 		idm_pack_record(&o, r);
 		idm_send(m, p->node, &o);
 	}
-	if (r->missing == 0)
-		idm_kept(m, now, r);
+	if (r->unacked == 0)
+		idm_replicated(m, now, r);
 }
 
 static void idm_pack_record(struct pk_out *o, const struct idm_record *r)
@@ -481,18 +506,18 @@
 	pk_u(o, r->state);
 	pk_cstr(o, r->owner);
 	pk_u(o, r->boot);
-	pk_u(o, r->ask);
+	pk_u(o, r->claim_id);
 	pk_str(o, lstr_n(p, len));
 }
 
-static void idm_take_record(struct idm *m, int64_t now, struct pk_in *in)
+static void idm_apply_record(struct idm *m, int64_t now, struct pk_in *in)
 {
 	struct lstr key = pk_get_str(in);
 	struct lstr digest = pk_get_str(in);
 	uint64_t state = pk_get_u(in);
 	struct lstr owner = pk_get_str(in);
 	uint64_t boot = pk_get_u(in);
-	uint64_t ask = pk_get_u(in);
+	uint64_t claim_id = pk_get_u(in);
 	struct lstr bytes = pk_get_str(in);
 	struct idm_record *r;
 	char *name;
@@ -504,7 +529,7 @@
 	g_free(name);
 	if (state == IDM_FREE) {
 		if (r)
-			idm_remove(m, r);
+			idm_remove_record(m, r);
 		return;
 	}
 	if (!r)
@@ -514,58 +539,63 @@
 	g_free(r->owner);
 	r->owner = lstr_dup(owner);
 	r->boot = boot;
-	r->ask = ask;
+	r->claim_id = claim_id;
 	r->changed = now;
 	idm_set_bytes(m, r, bytes);
 }
 
-/* Every keeper of the view holds the record as it is now. */
-static void idm_kept(struct idm *m, int64_t now, struct idm_record *r)
+/* Takes the effects of a record that every replica of the view now holds. */
+static void idm_replicated(struct idm *m, int64_t now, struct idm_record *r)
 {
-	if (r->state != IDM_CLAIMED && r->tell_finished)
-		idm_tell_finished(m, r->owner, r->ask);
+	if (r->state != IDM_CLAIMED && r->ack_finish)
+		idm_send_finish_ack(m, r->owner, r->claim_id);
 	switch (r->state) {
 	case IDM_CLAIMED:
-		idm_tell(m, now, r->owner, r->ask, IDM_GRANTED, lstr_n("", 0));
+		idm_send_verdict(m, now, r->owner, r->claim_id, IDM_GRANTED,
+				 lstr_n("", 0));
 		break;
 	case IDM_DONE:
 	case IDM_UNKNOWN:
-		idm_wake(m, now, r);
+		idm_answer_waiters(m, now, r);
 		break;
 	case IDM_FREE:
-		idm_kept_free(m, now, r);
+		idm_regrant_record(m, now, r);
 		break;
 	}
 }
 
-/* A request that was not run: the next who waits may, or nobody does. */
-static void idm_kept_free(struct idm *m, int64_t now, struct idm_record *r)
+/*
+ * Grants a request that was not run to the next queued claim, or removes its
+ * record if there is none.
+ */
+static void idm_regrant_record(struct idm *m, int64_t now, struct idm_record *r)
 {
 	struct idm_waiter *w;
 
 	if (!r->waiters || r->waiters->len == 0) {
-		idm_remove(m, r);
+		idm_remove_record(m, r);
 		return;
 	}
 	w = g_ptr_array_steal_index(r->waiters, 0);
-	idm_claim(m, now, r, w->node, w->ask);
+	idm_claim_record(m, now, r, w->node, w->claim_id);
 	idm_waiter_free(w);
 }
 
-static void idm_wake(struct idm *m, int64_t now, struct idm_record *r)
+static void idm_answer_waiters(struct idm *m, int64_t now, struct idm_record *r)
 {
 	GPtrArray *waiters = r->waiters;
 	gsize len = 0;
 	const void *p = r->bytes ? g_bytes_get_data(r->bytes, &len) : "";
 	GBytes *held = r->bytes ? g_bytes_ref(r->bytes) : NULL;
-	int verdict = r->state == IDM_DONE ? IDM_ANSWER : IDM_LOST;
+	int verdict = r->state == IDM_DONE ? IDM_REPLAY : IDM_INDETERMINATE;
 	guint i;
 
 	r->waiters = NULL;
 	for (i = 0; waiters && i < waiters->len; i++) {
 		const struct idm_waiter *w = g_ptr_array_index(waiters, i);
 
-		idm_tell(m, now, w->node, w->ask, verdict, lstr_n(p, len));
+		idm_send_verdict(m, now, w->node, w->claim_id, verdict,
+				 lstr_n(p, len));
 	}
 	if (waiters)
 		g_ptr_array_free(waiters, TRUE);
@@ -573,68 +603,71 @@
 		g_bytes_unref(held);
 }
 
-static void idm_tell(struct idm *m, int64_t now, const char *node, uint64_t ask,
-		     int verdict, struct lstr bytes)
+static void idm_send_verdict(struct idm *m, int64_t now, const char *node,
+			     uint64_t claim_id, int verdict, struct lstr bytes)
 {
 	struct pk_out o;
 
 	if (strcmp(node, m->config.node) == 0) {
-		idm_own_verdict(m, now, ask, (enum idm_verdict)verdict, bytes);
+		idm_claim_set_verdict(m, now, claim_id,
+				      (enum idm_verdict)verdict, bytes);
 		return;
 	}
 	pk_out_init(&o);
 	pk_arr(&o, 4);
 	pk_u(&o, IDM_MSG_VERDICT);
-	pk_u(&o, ask);
+	pk_u(&o, claim_id);
 	pk_u(&o, (uint64_t)verdict);
 	pk_str(&o, bytes);
 	idm_send(m, node, &o);
 }
 
-static void idm_tell_finished(struct idm *m, const char *node, uint64_t ask)
+static void idm_send_finish_ack(struct idm *m, const char *node,
+				uint64_t claim_id)
 {
 	struct pk_out o;
 
 	if (strcmp(node, m->config.node) == 0) {
-		idm_own_finished(m, ask);
+		idm_claim_finish_acked(m, claim_id);
 		return;
 	}
 	pk_out_init(&o);
 	pk_arr(&o, 2);
-	pk_u(&o, IDM_MSG_FINISHED);
-	pk_u(&o, ask);
+	pk_u(&o, IDM_MSG_FINISH_ACK);
+	pk_u(&o, claim_id);
 	idm_send(m, node, &o);
 }
 
-static void idm_wait(struct idm *m, int64_t now, struct idm_record *r,
-		     const char *node, uint64_t ask)
+static void idm_enqueue_waiter(struct idm *m, int64_t now, struct idm_record *r,
+			       const char *node, uint64_t claim_id)
 {
 	struct idm_waiter *w;
 
-	idm_unwait(r, node, ask);
+	idm_dequeue_waiter(r, node, claim_id);
 	if (!r->waiters)
 		r->waiters = g_ptr_array_new_with_free_func(idm_waiter_free);
 	w = g_new(struct idm_waiter, 1);
-	*w = (struct idm_waiter){.node = g_strdup(node), .ask = ask};
+	*w = (struct idm_waiter){.node = g_strdup(node), .claim_id = claim_id};
 	g_ptr_array_add(r->waiters, w);
-	idm_tell(m, now, node, ask, IDM_WAIT, lstr_n("", 0));
+	idm_send_verdict(m, now, node, claim_id, IDM_QUEUED, lstr_n("", 0));
 }
 
-static void idm_unwait(struct idm_record *r, const char *node, uint64_t ask)
+static void idm_dequeue_waiter(struct idm_record *r, const char *node,
+			       uint64_t claim_id)
 {
 	guint i;
 
 	for (i = 0; r->waiters && i < r->waiters->len; i++) {
 		const struct idm_waiter *w = g_ptr_array_index(r->waiters, i);
 
-		if (w->ask == ask && strcmp(w->node, node) == 0) {
+		if (w->claim_id == claim_id && strcmp(w->node, node) == 0) {
 			g_ptr_array_remove_index(r->waiters, i);
 			return;
 		}
 	}
 }
 
-static void idm_remove(struct idm *m, struct idm_record *r)
+static void idm_remove_record(struct idm *m, struct idm_record *r)
 {
 	m->bytes -= IDM_RECORD_COST;
 	m->bytes -= r->bytes ? g_bytes_get_size(r->bytes) : 0;
@@ -643,10 +676,10 @@
 }
 
 /*
- * Whether the owner of a claim can't tell its end any more: it was started
- * anew, or is not heard for long. Its request may have run.
+ * Whether the owner of a claim can no longer report an outcome: it was
+ * restarted, or was disconnected for too long. Its request may have run.
  */
-static bool idm_owner_gone(struct idm *m, int64_t now, struct idm_record *r)
+static bool idm_owner_failed(struct idm *m, int64_t now, struct idm_record *r)
 {
 	const struct idm_peer *p;
 
@@ -655,7 +688,7 @@
 	p = g_hash_table_lookup(m->peers, r->owner);
 	if (p && p->up)
 		return p->boot != r->boot;
-	if (r->owner_lost == 0)
-		r->owner_lost = now;
-	return now - r->owner_lost > IDM_OWNER_MS;
+	if (r->owner_down_since == 0)
+		r->owner_down_since = now;
+	return now - r->owner_down_since > IDM_OWNER_TIMEOUT_MS;
 }
--- a/src/idm_key.c
+++ b/src/idm_key.c
@@ -2,11 +2,11 @@
 
 #define IDM_MINUTE_MS 60000
 
-static bool idm_hex(struct lstr s, uint64_t *out);
+static bool idm_parse_hex(struct lstr s, uint64_t *out);
 
 /*
- * What a caller puts before its own part to make a key of this zone's memory:
- * "ZONE.EPOCH.MINUTE", freed with g_free. wall_ms: time since 1970.
+ * Returns the prefix "ZONE.EPOCH.MINUTE" that a caller completes to make a key
+ * of this zone's store, to be freed with g_free. wall_ms: time since 1970.
  */
 char *idm_key_prefix(const char *zone, uint64_t epoch, int64_t wall_ms)
 {
@@ -16,7 +16,10 @@
 			       (uint64_t)(wall_ms / IDM_MINUTE_MS));
 }
 
-/* Reads a key; false for anything else. Views live as long as text. */
+/*
+ * Parses a key; false if text is malformed. The strings in *out point into
+ * text.
+ */
 bool idm_key_parse(struct lstr text, struct idm_key *out)
 {
 	struct lstr epoch;
@@ -30,27 +33,27 @@
 			return false;
 	return lstr_cut(text, '.', &out->zone, &text) && out->zone.len &&
 	       lstr_cut(text, '.', &epoch, &text) &&
-	       idm_hex(epoch, &out->epoch) &&
+	       idm_parse_hex(epoch, &out->epoch) &&
 	       lstr_cut(text, '.', &minute, &out->rest) &&
-	       idm_hex(minute, &out->minute) && out->rest.len;
+	       idm_parse_hex(minute, &out->minute) && out->rest.len;
 }
 
 /*
- * Whether a key may still be claimed. An older one may have been claimed and
- * forgotten since: taking it for new would run its request twice.
+ * Whether a key may still be claimed. An older key may have been claimed and
+ * its record removed since: accepting it as new would run its request twice.
  */
 enum idm_age idm_key_age(const struct idm_key *key, int64_t wall_ms)
 {
 	uint64_t now = (uint64_t)(wall_ms / IDM_MINUTE_MS);
 
-	if (key->minute > now + IDM_SKEW_MIN)
+	if (key->minute > now + IDM_CLOCK_SKEW_MINUTES)
 		return IDM_AGE_FUTURE;
-	if (key->minute + IDM_VALID_MIN < now)
+	if (key->minute + IDM_KEY_VALID_MINUTES < now)
 		return IDM_AGE_OLD;
 	return IDM_AGE_OK;
 }
 
-static bool idm_hex(struct lstr s, uint64_t *out)
+static bool idm_parse_hex(struct lstr s, uint64_t *out)
 {
 	uint64_t v = 0;
 	size_t i;
--- a/src/idm_own.c
+++ b/src/idm_own.c
@@ -1,128 +1,133 @@
 #include "idm_int.h"
 
 /*
- * A finish that no keeper has acknowledged for so long is dropped, ms: the
- * keepers have taken us for gone by then and keep "unknown".
+ * Time after which a finish that no replica has acknowledged is dropped, ms: by
+ * then the replicas count this daemon as failed and have stored "unknown".
  */
-#define IDM_FINISH_MS 60000
+#define IDM_FINISH_TIMEOUT_MS 60000
 
-static void idm_own_send(struct idm *m, int64_t now, struct idm_own *own);
-static void idm_own_send_finish(struct idm *m, int64_t now,
-				struct idm_own *own);
+static void idm_claim_send_request(struct idm *m, int64_t now,
+				   struct idm_claim *claim);
+static void idm_claim_send_finish(struct idm *m, int64_t now,
+				  struct idm_claim *claim);
 
-/* Frees an ask. */
-void idm_own_free(gpointer p)
+/* Frees a claim. */
+void idm_claim_free(gpointer p)
 {
-	struct idm_own *own = p;
+	struct idm_claim *claim = p;
 
-	if (own->bytes)
-		g_bytes_unref(own->bytes);
-	g_free(own->key);
-	g_free(own);
+	if (claim->bytes)
+		g_bytes_unref(claim->bytes);
+	g_free(claim->key);
+	g_free(claim);
 }
 
 /*
- * Makes an ask to claim a key for a request with that digest, to be sent by
- * idm_go. The result names it; it must be given to idm_finish, with IDM_FREE
- * if the request was not run.
+ * Prepares a claim of a key for a request with that digest; idm_claim_send
+ * sends it. Returns the claim's id, which must be given to idm_claim_finish,
+ * with IDM_FREE if the request was not run.
  */
-uint64_t idm_ask(struct idm *m, int64_t now, struct lstr key,
-		 const uint8_t digest[IDM_DIGEST], void *user)
+uint64_t idm_claim_new(struct idm *m, int64_t now, struct lstr key,
+		       const uint8_t digest[IDM_DIGEST], void *user)
 {
-	struct idm_own *own = g_new0(struct idm_own, 1);
-	uint64_t ask = m->next_ask++;
-
-	own->ask = ask;
-	own->key = lstr_dup(key);
-	memcpy(own->digest, digest, IDM_DIGEST);
-	own->user = user;
-	own->since = now;
-	g_hash_table_insert(m->own, &own->ask, own);
-	return ask;
+	struct idm_claim *claim = g_new0(struct idm_claim, 1);
+	uint64_t claim_id = m->next_claim++;
+
+	claim->id = claim_id;
+	claim->key = lstr_dup(key);
+	memcpy(claim->digest, digest, IDM_DIGEST);
+	claim->user = user;
+	claim->since = now;
+	g_hash_table_insert(m->claims, &claim->id, claim);
+	return claim_id;
 }
 
-/* Sends an ask; the verdict comes by ops->verdict, perhaps within this call. */
-void idm_go(struct idm *m, int64_t now, uint64_t ask)
+/* Sends a claim; ops->verdict reports the verdict, perhaps within this call. */
+void idm_claim_send(struct idm *m, int64_t now, uint64_t claim_id)
 {
-	struct idm_own *own = g_hash_table_lookup(m->own, &ask);
+	struct idm_claim *claim = g_hash_table_lookup(m->claims, &claim_id);
 
-	if (own && !own->told)
-		idm_own_send(m, now, own);
+	if (claim && !claim->decided)
+		idm_claim_send_request(m, now, claim);
 }
 
 /*
- * Ends an ask: IDM_DONE with the answer to keep, IDM_UNKNOWN, or IDM_FREE if
- * the request was not run or its verdict is not waited for any more. No
- * verdict comes after this.
+ * Ends a claim: IDM_DONE with the answer to store, IDM_UNKNOWN, or IDM_FREE if
+ * the request was not run or the caller no longer waits. No verdict is reported
+ * after this.
  */
-void idm_finish(struct idm *m, int64_t now, uint64_t ask, enum idm_state state,
-		struct lstr bytes)
+void idm_claim_finish(struct idm *m, int64_t now, uint64_t claim_id,
+		      enum idm_state state, struct lstr bytes)
 {
-	struct idm_own *own = g_hash_table_lookup(m->own, &ask);
+	struct idm_claim *claim = g_hash_table_lookup(m->claims, &claim_id);
 
-	if (!own || own->finishing)
+	if (!claim || claim->finishing)
 		return;
-	own->finishing = true;
-	own->told = true;
-	own->user = NULL;
-	own->since = now;
-	own->state = own->claimed ? state : IDM_FREE;
-	own->bytes = g_bytes_new(bytes.p, bytes.len);
-	idm_own_send_finish(m, now, own);
+	claim->finishing = true;
+	claim->decided = true;
+	claim->user = NULL;
+	claim->since = now;
+	claim->state = claim->granted ? state : IDM_FREE;
+	claim->bytes = g_bytes_new(bytes.p, bytes.len);
+	idm_claim_send_finish(m, now, claim);
 }
 
-/* Sends again what has no answer: to a new first keeper, or one back again. */
-void idm_own_resend(struct idm *m, int64_t now)
+/*
+ * Sends unanswered claims and finishes again, to a new primary or one that has
+ * reconnected.
+ */
+void idm_claim_resend_all(struct idm *m, int64_t now)
 {
 	GPtrArray *all = g_ptr_array_new();
 	GHashTableIter it;
 	gpointer value;
 	guint i;
 
-	g_hash_table_iter_init(&it, m->own);
+	g_hash_table_iter_init(&it, m->claims);
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		g_ptr_array_add(
-			all, GSIZE_TO_POINTER(((struct idm_own *)value)->ask));
+			all, GSIZE_TO_POINTER(((struct idm_claim *)value)->id));
 	for (i = 0; i < all->len; i++) {
-		uint64_t ask = GPOINTER_TO_SIZE(g_ptr_array_index(all, i));
-		struct idm_own *own = g_hash_table_lookup(m->own, &ask);
+		uint64_t claim_id = GPOINTER_TO_SIZE(g_ptr_array_index(all, i));
+		struct idm_claim *claim =
+			g_hash_table_lookup(m->claims, &claim_id);
 
-		if (!own)
+		if (!claim)
 			continue;
-		if (own->finishing)
-			idm_own_send_finish(m, now, own);
-		else if (!own->told)
-			idm_own_send(m, now, own);
+		if (claim->finishing)
+			idm_claim_send_finish(m, now, claim);
+		else if (!claim->decided)
+			idm_claim_send_request(m, now, claim);
 	}
 	g_ptr_array_free(all, TRUE);
 }
 
-/* The first keeper's verdict on one of our asks. */
-void idm_own_verdict(struct idm *m, int64_t now, uint64_t ask,
-		     enum idm_verdict v, struct lstr bytes)
+/* Handles the primary's verdict on a claim of this daemon. */
+void idm_claim_set_verdict(struct idm *m, int64_t now, uint64_t claim_id,
+			   enum idm_verdict v, struct lstr bytes)
 {
-	struct idm_own *own = g_hash_table_lookup(m->own, &ask);
+	struct idm_claim *claim = g_hash_table_lookup(m->claims, &claim_id);
 	void *user;
 
-	if (!own || own->told)
+	if (!claim || claim->decided)
 		return;
-	if ((int)v == IDM_WAIT) {
-		own->waiting = true;
+	if ((int)v == IDM_QUEUED) {
+		claim->queued = true;
 		return;
 	}
-	own->told = true;
-	own->claimed = v == IDM_GRANTED;
-	user = own->user;
-	own->user = NULL;
+	claim->decided = true;
+	claim->granted = v == IDM_GRANTED;
+	user = claim->user;
+	claim->user = NULL;
 	switch ((int)v) {
 	case IDM_GRANTED:
 		m->stats.granted++;
 		break;
-	case IDM_ANSWER:
+	case IDM_REPLAY:
 		m->stats.replayed++;
 		break;
-	case IDM_LOST:
-		m->stats.lost++;
+	case IDM_INDETERMINATE:
+		m->stats.indeterminate++;
 		break;
 	default:
 		m->stats.refused++;
@@ -131,96 +136,101 @@
 	m->ops->verdict(m->arg, user, v, bytes);
 }
 
-/* The keepers hold the end of an ask: nothing is owed any more. */
-void idm_own_finished(struct idm *m, uint64_t ask)
+/* Drops a finished claim whose outcome all replicas hold. */
+void idm_claim_finish_acked(struct idm *m, uint64_t claim_id)
 {
-	struct idm_own *own = g_hash_table_lookup(m->own, &ask);
+	struct idm_claim *claim = g_hash_table_lookup(m->claims, &claim_id);
 
-	if (own && own->finishing)
-		g_hash_table_remove(m->own, &ask);
+	if (claim && claim->finishing)
+		g_hash_table_remove(m->claims, &claim_id);
 }
 
 /*
- * Gives up asks that got no word. One that waits behind another sending of
- * its key has had a word, and waits for as long as its caller does.
+ * Refuses claims that got no reply in time. A claim queued behind another one
+ * of its key has got a reply, and waits for as long as its caller does.
  */
-void idm_own_tick(struct idm *m, int64_t now)
+void idm_claim_tick(struct idm *m, int64_t now)
 {
-	GArray *late = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	GArray *expired = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	GHashTableIter it;
 	gpointer value;
 	guint i;
 
-	g_hash_table_iter_init(&it, m->own);
+	g_hash_table_iter_init(&it, m->claims);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
-		struct idm_own *own = value;
+		struct idm_claim *claim = value;
 
-		if ((!own->told && !own->waiting &&
-		     now - own->since > IDM_ASK_MS) ||
-		    (own->finishing && now - own->since > IDM_FINISH_MS))
-			g_array_append_val(late, own->ask);
+		if ((!claim->decided && !claim->queued &&
+		     now - claim->since > IDM_CLAIM_TIMEOUT_MS) ||
+		    (claim->finishing &&
+		     now - claim->since > IDM_FINISH_TIMEOUT_MS))
+			g_array_append_val(expired, claim->id);
 	}
-	for (i = 0; i < late->len; i++) {
-		uint64_t ask = g_array_index(late, uint64_t, i);
-		struct idm_own *own = g_hash_table_lookup(m->own, &ask);
+	for (i = 0; i < expired->len; i++) {
+		uint64_t claim_id = g_array_index(expired, uint64_t, i);
+		struct idm_claim *claim =
+			g_hash_table_lookup(m->claims, &claim_id);
 
-		if (own->finishing)
-			g_hash_table_remove(m->own, &ask);
+		if (claim->finishing)
+			g_hash_table_remove(m->claims, &claim_id);
 		else
-			idm_own_verdict(m, now, ask, IDM_REFUSED,
-					lstr_n("", 0));
+			idm_claim_set_verdict(m, now, claim_id, IDM_REFUSED,
+					      lstr_n("", 0));
 	}
-	g_array_free(late, TRUE);
+	g_array_free(expired, TRUE);
 }
 
-static void idm_own_send(struct idm *m, int64_t now, struct idm_own *own)
+static void idm_claim_send_request(struct idm *m, int64_t now,
+				   struct idm_claim *claim)
 {
 	char *freed;
-	const char *first = idm_first_node(m, &freed);
+	const char *primary = idm_primary_node(m, &freed);
 	struct pk_out o;
 
-	own->waiting = false;
-	if (idm_first(m)) {
-		idm_keep_ask(m, now, m->config.node, own->ask,
-			     lstr_from(own->key),
-			     lstr_n(own->digest, IDM_DIGEST));
-	} else if (first) {
+	claim->queued = false;
+	if (idm_is_primary(m)) {
+		idm_replica_claim(m, now, m->config.node, claim->id,
+				  lstr_from(claim->key),
+				  lstr_n(claim->digest, IDM_DIGEST));
+	} else if (primary) {
 		pk_out_init(&o);
 		pk_arr(&o, 4);
-		pk_u(&o, IDM_MSG_ASK);
-		pk_u(&o, own->ask);
-		pk_cstr(&o, own->key);
-		pk_str(&o, lstr_n(own->digest, IDM_DIGEST));
-		idm_send(m, first, &o);
+		pk_u(&o, IDM_MSG_CLAIM);
+		pk_u(&o, claim->id);
+		pk_cstr(&o, claim->key);
+		pk_str(&o, lstr_n(claim->digest, IDM_DIGEST));
+		idm_send(m, primary, &o);
 	}
 	g_free(freed);
 }
 
-static void idm_own_send_finish(struct idm *m, int64_t now, struct idm_own *own)
+static void idm_claim_send_finish(struct idm *m, int64_t now,
+				  struct idm_claim *claim)
 {
 	char *freed;
-	const char *first = idm_first_node(m, &freed);
+	const char *primary = idm_primary_node(m, &freed);
 	gsize len;
-	const void *p = g_bytes_get_data(own->bytes, &len);
+	const void *p = g_bytes_get_data(claim->bytes, &len);
 	struct pk_out o;
 
-	if (idm_first(m)) {
-		GBytes *held = g_bytes_ref(own->bytes);
-		char *key = g_strdup(own->key);
+	if (idm_is_primary(m)) {
+		GBytes *held = g_bytes_ref(claim->bytes);
+		char *key = g_strdup(claim->key);
 
-		idm_keep_finish(m, now, m->config.node, own->ask,
-				lstr_from(key), own->state, lstr_n(p, len));
+		idm_replica_finish(m, now, m->config.node, claim->id,
+				   lstr_from(key), claim->state,
+				   lstr_n(p, len));
 		g_free(key);
 		g_bytes_unref(held);
-	} else if (first) {
+	} else if (primary) {
 		pk_out_init(&o);
 		pk_arr(&o, 5);
 		pk_u(&o, IDM_MSG_FINISH);
-		pk_u(&o, own->ask);
-		pk_cstr(&o, own->key);
-		pk_u(&o, own->state);
+		pk_u(&o, claim->id);
+		pk_cstr(&o, claim->key);
+		pk_u(&o, claim->state);
 		pk_str(&o, lstr_n(p, len));
-		idm_send(m, first, &o);
+		idm_send(m, primary, &o);
 	}
 	g_free(freed);
 }
--- a/tests/prop/idm_prop.cc
+++ b/tests/prop/idm_prop.cc
@@ -13,21 +13,21 @@
 }
 
 /*
- * Entry daemons of one zone keep the memory of keys while connections break
- * and come back, daemons are started anew without memory, views are agreed on
- * by the voters and heard late. Callers send the same key to any of them, as
- * often as they like. Whatever happens, a key runs at most once, and who is
- * told an answer is told the right one.
+ * Entry daemons of one zone replicate the idempotency store while connections
+ * break and are restored, daemons restart without their records, and views
+ * agreed on by the voters arrive late. Callers send the same key to any daemon,
+ * any number of times. In every case a key runs at most once, and a replayed
+ * answer is the right one.
  */
 namespace
 {
 constexpr int kNodes = 4;
 constexpr int kKeys = 3;
-constexpr int64_t kStep = 100;
+constexpr int64_t kTickMs = 100;
 
-struct Bed;
+struct Fixture;
 
-struct Ask {
+struct Claim {
 	uint64_t id;
 	std::string key;
 	bool granted = false;
@@ -35,36 +35,36 @@
 };
 
 struct Node {
-	Bed *bed;
+	Fixture *fixture;
 	int at;
 	std::string name;
 	struct idm *m = nullptr;
 	uint64_t boot = 0;
-	std::vector<std::unique_ptr<Ask>> asks;
-	uint64_t view_heard = 0;
+	std::vector<std::unique_ptr<Claim>> claims;
+	uint64_t view_received = 0;
 };
 
-struct Bed {
+struct Fixture {
 	Node nodes[kNodes];
 	std::map<std::pair<int, int>, std::deque<std::string>> wire;
 	bool up[kNodes][kNodes] = {};
-	bool deaf[kNodes] = {}; /* hears no voter */
+	bool partitioned[kNodes] = {}; /* partitioned from the voters */
 	int64_t now = 1;
 	uint64_t boots = 100;
 	struct idm_view *view = idm_view_new(0, 0);
 	std::map<std::string, int> runs;
 	std::map<std::string, std::string> answers;
-	std::set<std::string> kept; /* keys whose answer all keepers held */
+	std::set<std::string> kept; /* keys whose answer all replicas held */
 
-	Bed();
-	~Bed();
+	Fixture();
+	~Fixture();
 	void start(int i);
 	void link(int i, int j, bool on);
 	void deliver(int i, int j);
-	void hear(int i);
+	void receive_view(int i);
 	void tick();
-	void ask(int i, int k);
-	void finish(int i, int n, int how);
+	void claim(int i, int k);
+	void finish(int i, int n, int outcome);
 	std::string key(int k) const
 	{
 		return "z." + std::to_string(view->epoch) + "." +
@@ -72,9 +72,9 @@
 	}
 };
 
-Node *node_named(Bed *b, const char *name)
+Node *node_named(Fixture *f, const char *name)
 {
-	for (auto &n : b->nodes)
+	for (auto &n : f->nodes)
 		if (n.name == name)
 			return &n;
 	return nullptr;
@@ -83,35 +83,36 @@
 void on_send(void *arg, const char *node, struct lstr bytes)
 {
 	auto *n = static_cast<Node *>(arg);
-	Node *to = node_named(n->bed, node);
+	Node *to = node_named(n->fixture, node);
 
-	if (to && n->bed->up[n->at][to->at])
-		n->bed->wire[{n->at, to->at}].emplace_back(bytes.p, bytes.len);
+	if (to && n->fixture->up[n->at][to->at])
+		n->fixture->wire[{n->at, to->at}].emplace_back(bytes.p,
+							       bytes.len);
 }
 
-/* The voters: one change from each number, nothing else. */
+/* Plays the voters: accepts the first proposal for each number. */
 void on_propose(void *arg, const struct idm_view *want)
 {
-	Bed *b = static_cast<Node *>(arg)->bed;
+	Fixture *f = static_cast<Node *>(arg)->fixture;
 
-	if (want->number != b->view->number + 1)
+	if (want->number != f->view->number + 1)
 		return;
-	idm_view_free(b->view);
-	b->view = idm_view_copy(want);
+	idm_view_free(f->view);
+	f->view = idm_view_copy(want);
 }
 
 void on_verdict(void *arg, void *user, enum idm_verdict v, struct lstr bytes)
 {
-	Bed *b = static_cast<Node *>(arg)->bed;
-	auto *a = static_cast<Ask *>(user);
+	Fixture *f = static_cast<Node *>(arg)->fixture;
+	auto *a = static_cast<Claim *>(user);
 
 	RC_ASSERT(a != nullptr);
 	if (v == IDM_GRANTED) {
 		a->granted = true;
-	} else if (v == IDM_ANSWER) {
-		RC_ASSERT(b->runs[a->key] == 1);
+	} else if (v == IDM_REPLAY) {
+		RC_ASSERT(f->runs[a->key] == 1);
 		RC_ASSERT(std::string(bytes.p, bytes.len) ==
-			  b->answers[a->key]);
+			  f->answers[a->key]);
 	}
 }
 
@@ -121,10 +122,10 @@
 	.verdict = on_verdict,
 };
 
-Bed::Bed()
+Fixture::Fixture()
 {
 	for (int i = 0; i < kNodes; i++) {
-		nodes[i].bed = this;
+		nodes[i].fixture = this;
 		nodes[i].at = i;
 		nodes[i].name = "e" + std::to_string(i);
 		start(i);
@@ -134,15 +135,15 @@
 			link(i, j, true);
 }
 
-Bed::~Bed()
+Fixture::~Fixture()
 {
 	for (auto &n : nodes)
 		idm_free(n.m);
 	idm_view_free(view);
 }
 
-/* Starts a node, or starts it anew: all it knew is lost. */
-void Bed::start(int i)
+/* Starts or restarts a node; a restart loses all its records. */
+void Fixture::start(int i)
 {
 	Node &n = nodes[i];
 
@@ -150,19 +151,19 @@
 		if (j != i && up[i][j])
 			link(i, j, false);
 	idm_free(n.m);
-	n.asks.clear();
+	n.claims.clear();
 	n.boot = ++boots;
-	n.view_heard = 0;
+	n.view_received = 0;
 	struct idm_config config = {
 		.node = n.name.c_str(),
 		.boot = n.boot,
 		.max_bytes = 1 << 20,
-		.keep_ms = IDM_KEEP_MS,
+		.retention_ms = IDM_RETENTION_MS,
 	};
 	n.m = idm_new(&config, &kOps, &n);
 }
 
-void Bed::link(int i, int j, bool on)
+void Fixture::link(int i, int j, bool on)
 {
 	if (up[i][j] == on)
 		return;
@@ -178,7 +179,7 @@
 	}
 }
 
-void Bed::deliver(int i, int j)
+void Fixture::deliver(int i, int j)
 {
 	auto &q = wire[{i, j}];
 
@@ -190,73 +191,75 @@
 		 lstr_n(bytes.data(), bytes.size()));
 }
 
-void Bed::hear(int i)
+void Fixture::receive_view(int i)
 {
-	if (view->number <= nodes[i].view_heard)
+	if (view->number <= nodes[i].view_received)
 		return;
-	nodes[i].view_heard = view->number;
+	nodes[i].view_received = view->number;
 	idm_set_view(nodes[i].m, now, view);
 }
 
-void Bed::tick()
+void Fixture::tick()
 {
-	now += kStep;
+	now += kTickMs;
 	for (auto &n : nodes)
 		idm_tick(n.m, now);
 }
 
-/* As the entry daemon does: only keys of the epoch it knows are asked for. */
-void Bed::ask(int i, int k)
+/* Like the entry daemon, claims only keys of the epoch it knows. */
+void Fixture::claim(int i, int k)
 {
 	Node &n = nodes[i];
 	static const uint8_t digest[IDM_DIGEST] = {1};
-	auto a = std::make_unique<Ask>();
+	auto a = std::make_unique<Claim>();
 
 	if (idm_epoch(n.m) == 0 || idm_epoch(n.m) != view->epoch)
 		return;
 	a->key = key(k);
-	Ask *raw = a.get();
-	n.asks.push_back(std::move(a));
-	raw->id = idm_ask(n.m, now, lstr_from(raw->key.c_str()), digest, raw);
-	idm_go(n.m, now, raw->id);
+	Claim *raw = a.get();
+	n.claims.push_back(std::move(a));
+	raw->id = idm_claim_new(n.m, now, lstr_from(raw->key.c_str()), digest,
+				raw);
+	idm_claim_send(n.m, now, raw->id);
 }
 
-/* The entry daemon has run the request, or not, and says so. */
-void Bed::finish(int i, int at, int how)
+/* Reports whether the entry daemon has run the request. */
+void Fixture::finish(int i, int at, int outcome)
 {
 	Node &n = nodes[i];
 
-	if (n.asks.empty())
+	if (n.claims.empty())
 		return;
-	Ask *a = n.asks[at % n.asks.size()].get();
+	Claim *a = n.claims[at % n.claims.size()].get();
 	if (!a->granted) {
-		idm_finish(n.m, now, a->id, IDM_FREE, lstr_n("", 0));
-	} else if (how == 0) {
-		idm_finish(n.m, now, a->id, IDM_FREE, lstr_n("", 0));
+		idm_claim_finish(n.m, now, a->id, IDM_FREE, lstr_n("", 0));
+	} else if (outcome == 0) {
+		idm_claim_finish(n.m, now, a->id, IDM_FREE, lstr_n("", 0));
 	} else {
 		RC_ASSERT(++runs[a->key] <= 1);
 		answers[a->key] = a->key + " by " + n.name;
-		idm_finish(n.m, now, a->id, how == 1 ? IDM_UNKNOWN : IDM_DONE,
-			   lstr_from(answers[a->key].c_str()));
+		idm_claim_finish(n.m, now, a->id,
+				 outcome == 1 ? IDM_UNKNOWN : IDM_DONE,
+				 lstr_from(answers[a->key].c_str()));
 	}
-	n.asks.erase(n.asks.begin() + at % (int)n.asks.size());
+	n.claims.erase(n.claims.begin() + at % (int)n.claims.size());
 }
 
-void settle(Bed &b, int rounds)
+void settle(Fixture &f, int rounds)
 {
 	for (int r = 0; r < rounds; r++) {
 		for (int i = 0; i < kNodes; i++) {
-			if (!b.deaf[i])
-				b.hear(i);
+			if (!f.partitioned[i])
+				f.receive_view(i);
 			for (int j = 0; j < kNodes; j++)
-				while (!b.wire[{i, j}].empty())
-					b.deliver(i, j);
+				while (!f.wire[{i, j}].empty())
+					f.deliver(i, j);
 		}
-		b.tick();
+		f.tick();
 	}
 }
 
-void act(Bed &b, int op, int x, int y)
+void run_step(Fixture &f, int op, int x, int y)
 {
 	int i = x % kNodes;
 	int j = y % kNodes;
@@ -265,50 +268,50 @@
 	case 0:
 	case 1:
 	case 2:
-		b.ask(i, y % kKeys);
+		f.claim(i, y % kKeys);
 		break;
 	case 3:
 	case 4:
-		b.finish(i, y, y % 4);
+		f.finish(i, y, y % 4);
 		break;
 	case 5:
 		if (i != j)
-			b.link(i, j, false);
+			f.link(i, j, false);
 		break;
 	case 6:
 	case 7:
 		if (i != j)
-			b.link(i, j, true);
+			f.link(i, j, true);
 		break;
 	case 8:
-		b.start(i);
+		f.start(i);
 		break;
 	case 9:
 	case 10:
-		b.hear(i);
+		f.receive_view(i);
 		break;
 	case 11:
-		b.tick();
+		f.tick();
 		break;
 	case 12:
 		for (int n = 0; n < 20; n++)
-			b.tick();
+			f.tick();
 		break;
 	case 13:
-		settle(b, 2);
+		settle(f, 2);
 		break;
 	default:
 		for (int n = 0; n < 1 + y % 3; n++)
-			b.deliver(i, j);
+			f.deliver(i, j);
 		break;
 	}
 }
 
 /*
- * Longer acts, in which rare orders come up more often: a node is cut off for
- * seconds, from the others, from the voters or from both, and comes back.
+ * Longer steps, which produce rare orders more often: a node is partitioned for
+ * seconds from the other nodes, from the voters or from both, and reconnects.
  */
-void long_act(Bed &b, int op, int x, int y)
+void run_long_step(Fixture &f, int op, int x, int y)
 {
 	int i = x % kNodes;
 
@@ -316,121 +319,124 @@
 	case 0:
 	case 1:
 	case 2:
-		b.ask(i, y % 2);
-		settle(b, y % 3);
+		f.claim(i, y % 2);
+		settle(f, y % 3);
 		break;
 	case 3:
-		b.finish(i, y, y % 4);
-		settle(b, y % 3);
+		f.finish(i, y, y % 4);
+		settle(f, y % 3);
 		break;
 	case 4:
 		for (int j = 0; j < kNodes; j++)
 			if (j != i)
-				b.link(i, j, false);
-		b.deaf[i] = y % 2;
+				f.link(i, j, false);
+		f.partitioned[i] = y % 2;
 		break;
 	case 5:
 		for (int j = 0; j < kNodes; j++)
 			if (j != i)
-				b.link(i, j, true);
+				f.link(i, j, true);
 		break;
 	case 6:
-		b.deaf[i] = !b.deaf[i];
+		f.partitioned[i] = !f.partitioned[i];
 		break;
 	case 7:
-		b.start(i);
+		f.start(i);
 		for (int j = 0; j < kNodes; j++)
 			if (j != i && y % 2)
-				b.link(i, j, true);
+				f.link(i, j, true);
 		break;
 	case 8:
 	case 9:
-		settle(b, y % 70);
+		settle(f, y % 70);
 		break;
 	default:
-		act(b, y % 24, x, y / 24);
+		run_step(f, y % 24, x, y / 24);
 		break;
 	}
 }
 
-bool a_key_runs_once_through_long_cuts()
+bool key_runs_once_despite_long_partitions()
 {
-	return rc::check("a key runs once through long cuts", []() {
-		Bed b;
-		settle(b, 80);
+	return rc::check("a key runs once despite long partitions", []() {
+		Fixture f;
+		settle(f, 80);
 		const auto steps = *rc::gen::container<
 			std::vector<std::tuple<int, int, int>>>(
 			100, rc::gen::tuple(rc::gen::inRange(0, 12),
 					    rc::gen::inRange(0, 1000),
 					    rc::gen::inRange(0, 100000)));
 		for (const auto &[op, x, y] : steps)
-			long_act(b, op, x, y);
+			run_long_step(f, op, x, y);
 	});
 }
 
-bool a_key_runs_at_most_once()
+bool key_runs_at_most_once()
 {
 	return rc::check("a key runs at most once", []() {
-		Bed b;
-		settle(b, 80);
-		RC_ASSERT(b.view->epoch != 0);
+		Fixture f;
+		settle(f, 80);
+		RC_ASSERT(f.view->epoch != 0);
 		const auto steps = *rc::gen::container<
 			std::vector<std::tuple<int, int, int>>>(
 			200, rc::gen::tuple(rc::gen::inRange(0, 24),
 					    rc::gen::inRange(0, 1000),
 					    rc::gen::inRange(0, 1000)));
 		for (const auto &[op, x, y] : steps)
-			act(b, op, x, y);
+			run_step(f, op, x, y);
 	});
 }
 
-/* Once all is whole again, a new key is granted and its answer found. */
-bool a_healed_zone_grants_and_remembers()
+/*
+ * Once all partitions have ended, a new key is granted and its answer is
+ * replayed.
+ */
+bool healed_zone_grants_and_replays()
 {
-	return rc::check("a healed zone grants and remembers", []() {
-		Bed b;
-		settle(b, 80);
+	return rc::check("a healed zone grants and replays", []() {
+		Fixture f;
+		settle(f, 80);
 		const auto steps = *rc::gen::container<
 			std::vector<std::tuple<int, int, int>>>(
 			80, rc::gen::tuple(rc::gen::inRange(0, 24),
 					   rc::gen::inRange(0, 1000),
 					   rc::gen::inRange(0, 1000)));
 		for (const auto &[op, x, y] : steps)
-			act(b, op, x, y);
+			run_step(f, op, x, y);
 		for (int i = 0; i < kNodes; i++)
 			for (int j = 0; j < i; j++)
-				b.link(i, j, true);
-		for (bool &deaf : b.deaf)
-			deaf = false;
-		settle(b, 120);
+				f.link(i, j, true);
+		for (bool &partitioned : f.partitioned)
+			partitioned = false;
+		settle(f, 120);
 		int i = *rc::gen::inRange(0, kNodes);
-		b.ask(i, kKeys + 1);
-		settle(b, 3);
-		RC_ASSERT(!b.nodes[i].asks.empty());
-		RC_ASSERT(b.nodes[i].asks.back()->granted);
-		b.finish(i, (int)b.nodes[i].asks.size() - 1, 2);
-		settle(b, 3);
-		/* Its owner is lost; any keeper still knows the answer. */
-		b.start(i);
+		f.claim(i, kKeys + 1);
+		settle(f, 3);
+		RC_ASSERT(!f.nodes[i].claims.empty());
+		RC_ASSERT(f.nodes[i].claims.back()->granted);
+		f.finish(i, (int)f.nodes[i].claims.size() - 1, 2);
+		settle(f, 3);
+		/* The owner restarts; any replica still knows the answer. */
+		f.start(i);
 		for (int j = 0; j < kNodes; j++)
 			if (j != i)
-				b.link(i, j, true);
-		settle(b, 40);
+				f.link(i, j, true);
+		settle(f, 40);
 		int other = (i + 1) % kNodes;
-		uint64_t before = idm_stats(b.nodes[other].m).replayed;
-		b.ask(other, kKeys + 1);
-		settle(b, 3);
-		RC_ASSERT(!b.nodes[other].asks.back()->granted);
-		RC_ASSERT(idm_stats(b.nodes[other].m).replayed == before + 1);
+		uint64_t before = idm_stats(f.nodes[other].m).replayed;
+		f.claim(other, kKeys + 1);
+		settle(f, 3);
+		RC_ASSERT(!f.nodes[other].claims.back()->granted);
+		RC_ASSERT(idm_stats(f.nodes[other].m).replayed == before + 1);
 	});
 }
 } // namespace
 
 int main()
 {
-	bool ok = a_key_runs_at_most_once();
+	bool ok = key_runs_at_most_once();
 
-	ok = a_key_runs_once_through_long_cuts() && ok;
-	ok = a_healed_zone_grants_and_remembers() && ok;
+	ok = key_runs_once_despite_long_partitions() && ok;
+	ok = healed_zone_grants_and_replays() && ok;
 	return ok ? 0 : 1;
 }
--- a/tests/unit/idm_test.c
+++ b/tests/unit/idm_test.c
@@ -10,11 +10,11 @@
 #define MAX_QUEUE 64
 
 /*
- * Orders that random schedules come upon too rarely, played by hand: each is
- * what one safeguard of the memory is for.
+ * Message orders that random schedules rarely produce, played by hand; each
+ * test covers one safeguard of the idempotency store.
  */
 struct node {
-	struct bed *bed;
+	struct fixture *fixture;
 	const char *name;
 	struct idm *m;
 	int verdicts;
@@ -22,41 +22,41 @@
 	void *last_user;
 };
 
-/* Two or three nodes; messages wait until the test lets them through. */
-struct bed {
+/* Three nodes; messages are queued until the test delivers them. */
+struct fixture {
 	struct node nodes[3];
 	struct {
 		struct node *from;
 		struct node *to;
 		GBytes *bytes;
 	} queue[MAX_QUEUE];
-	int queued;
+	int queue_len;
 };
 
-static struct node *named(struct bed *b, const char *name)
+static struct node *node_named(struct fixture *f, const char *name)
 {
 	int i;
 
 	for (i = 0; i < 3; i++)
-		if (strcmp(b->nodes[i].name, name) == 0)
-			return &b->nodes[i];
+		if (strcmp(f->nodes[i].name, name) == 0)
+			return &f->nodes[i];
 	return NULL;
 }
 
 static void on_send(void *arg, const char *to, struct lstr bytes)
 {
 	struct node *n = arg;
-	struct bed *b = n->bed;
+	struct fixture *f = n->fixture;
 
-	assert_true(b->queued < MAX_QUEUE);
-	b->queue[b->queued].from = n;
-	b->queue[b->queued].to = named(b, to);
-	b->queue[b->queued++].bytes = g_bytes_new(bytes.p, bytes.len);
+	assert_true(f->queue_len < MAX_QUEUE);
+	f->queue[f->queue_len].from = n;
+	f->queue[f->queue_len].to = node_named(f, to);
+	f->queue[f->queue_len++].bytes = g_bytes_new(bytes.p, bytes.len);
 }
 
 static void on_propose(void *arg, const struct idm_view *want)
 {
-	/* The test sets every view itself. */
+	/* Every view is set by the test. */
 }
 
 static void on_verdict(void *arg, void *user, enum idm_verdict v,
@@ -75,220 +75,224 @@
 	.verdict = on_verdict,
 };
 
-/* Lets messages through, those from `not_from` are lost. */
-static void flow(struct bed *b, const struct node *not_from)
+/* Delivers the queued messages; those from `not_from` are lost. */
+static void deliver(struct fixture *f, const struct node *not_from)
 {
 	int i;
 
-	for (i = 0; i < b->queued; i++) {
+	for (i = 0; i < f->queue_len; i++) {
 		gsize len;
-		const void *p = g_bytes_get_data(b->queue[i].bytes, &len);
-		struct node *from = b->queue[i].from;
-		struct node *to = b->queue[i].to;
+		const void *p = g_bytes_get_data(f->queue[i].bytes, &len);
+		struct node *from = f->queue[i].from;
+		struct node *to = f->queue[i].to;
 
 		if (from != not_from && to->m)
 			idm_recv(to->m, 100, from->name, lstr_n(p, len));
-		g_bytes_unref(b->queue[i].bytes);
+		g_bytes_unref(f->queue[i].bytes);
 	}
-	b->queued = 0;
+	f->queue_len = 0;
 }
 
-static struct idm *make(struct node *n, uint64_t boot)
+static struct idm *new_store(struct node *n, uint64_t boot)
 {
 	return idm_new(&(struct idm_config){.node = n->name,
 					    .boot = boot,
 					    .max_bytes = 1 << 20,
-					    .keep_ms = IDM_KEEP_MS},
+					    .retention_ms = IDM_RETENTION_MS},
 		       &ops, n);
 }
 
-/* Node i has boot i + 1 and knows all the others. */
+/* Node i has boot i + 1 and is connected to all others. */
 static int setup(void **state)
 {
 	static const char *const names[] = {"a", "b", "c"};
-	struct bed *b = g_new0(struct bed, 1);
+	struct fixture *f = g_new0(struct fixture, 1);
 	int i;
 	int j;
 
 	for (i = 0; i < 3; i++) {
-		b->nodes[i].bed = b;
-		b->nodes[i].name = names[i];
-		b->nodes[i].m = make(&b->nodes[i], (uint64_t)i + 1);
+		f->nodes[i].fixture = f;
+		f->nodes[i].name = names[i];
+		f->nodes[i].m = new_store(&f->nodes[i], (uint64_t)i + 1);
 	}
 	for (i = 0; i < 3; i++)
 		for (j = 0; j < 3; j++)
 			if (i != j)
-				idm_peer_up(b->nodes[i].m, 1, names[j],
+				idm_peer_up(f->nodes[i].m, 1, names[j],
 					    (uint64_t)j + 1);
-	*state = b;
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int i;
 
-	flow(b, NULL);
+	deliver(f, NULL);
 	for (i = 0; i < 3; i++)
-		idm_free(b->nodes[i].m);
-	flow(b, NULL);
-	g_free(b);
+		idm_free(f->nodes[i].m);
+	deliver(f, NULL);
+	g_free(f);
 	return 0;
 }
 
-/* Sets the view of a node: keepers are names of nodes, one letter each. */
-static void view(struct bed *b, int i, uint64_t number, const char *keepers)
+/* Sets the view of a node; replicas are names of nodes, one letter each. */
+static void set_view(struct fixture *f, int i, uint64_t number,
+		     const char *replicas)
 {
 	struct idm_view *v = idm_view_new(1, number);
 
-	for (; *keepers; keepers++)
-		g_ptr_array_add(v->keepers,
-				g_strdup_printf("%c/%x", *keepers,
-						*keepers - 'a' + 1));
-	idm_set_view(b->nodes[i].m, 10, v);
+	for (; *replicas; replicas++)
+		g_ptr_array_add(v->replicas,
+				g_strdup_printf("%c/%x", *replicas,
+						*replicas - 'a' + 1));
+	idm_set_view(f->nodes[i].m, 10, v);
 	idm_view_free(v);
 }
 
-static uint64_t ask(struct bed *b, int i)
+static uint64_t claim(struct fixture *f, int i)
 {
 	static const uint8_t digest[IDM_DIGEST] = {7};
-	struct node *n = &b->nodes[i];
-	uint64_t id = idm_ask(n->m, 20, KEY, digest, n);
+	struct node *n = &f->nodes[i];
+	uint64_t id = idm_claim_new(n->m, 20, KEY, digest, n);
 
-	idm_go(n->m, 20, id);
+	idm_claim_send(n->m, 20, id);
 	return id;
 }
 
-/* The first view is a's; b and c learn and join. */
-static void all_keep(struct bed *b)
+/* Node a is the only replica first; b and c are synchronised and join. */
+static void replicate_to_all(struct fixture *f)
 {
 	int i;
 
 	for (i = 0; i < 3; i++)
-		view(b, i, 1, "a");
-	idm_tick(b->nodes[0].m, 50);
-	flow(b, NULL);
-	flow(b, NULL);
+		set_view(f, i, 1, "a");
+	idm_tick(f->nodes[0].m, 50);
+	deliver(f, NULL);
+	deliver(f, NULL);
 	for (i = 0; i < 3; i++)
-		view(b, i, 2, "abc");
-	flow(b, NULL);
-	flow(b, NULL);
+		set_view(f, i, 2, "abc");
+	deliver(f, NULL);
+	deliver(f, NULL);
 }
 
-static void a_claim_is_granted_when_all_hold_it(void **state)
+static void claim_granted_once_all_replicas_hold_it(void **state)
 {
-	struct bed *b = *state;
-
-	all_keep(b);
-	ask(b, 0);
-	assert_int_equal(b->nodes[0].verdicts, 0);
-	flow(b, &b->nodes[2]);
-	flow(b, &b->nodes[2]);
-	assert_int_equal(b->nodes[0].verdicts, 0);
-	view(b, 0, 3, "ab");
-	flow(b, NULL);
-	flow(b, NULL);
-	assert_int_equal(b->nodes[0].verdicts, 1);
-	assert_int_equal(b->nodes[0].last, IDM_GRANTED);
+	struct fixture *f = *state;
+
+	replicate_to_all(f);
+	claim(f, 0);
+	assert_int_equal(f->nodes[0].verdicts, 0);
+	deliver(f, &f->nodes[2]);
+	deliver(f, &f->nodes[2]);
+	assert_int_equal(f->nodes[0].verdicts, 0);
+	set_view(f, 0, 3, "ab");
+	deliver(f, NULL);
+	deliver(f, NULL);
+	assert_int_equal(f->nodes[0].verdicts, 1);
+	assert_int_equal(f->nodes[0].last, IDM_GRANTED);
 }
 
 /*
- * a leads and is cut off from the voters; the others go on without it. A
- * caller's first sending reaches b and runs; the second reaches a, which does
- * not know it leads no more. b's word is all that keeps it from running again.
+ * The primary is partitioned from the voters and replaced, but does not know
+ * it. A key runs at the new primary and is sent again to the old one, which
+ * must not grant it since the new primary does not acknowledge the claim.
  */
-static void a_replaced_leader_grants_nothing(void **state)
+static void replaced_primary_grants_nothing(void **state)
 {
-	struct bed *b = *state;
-
-	all_keep(b);
-	view(b, 0, 3, "ab");
-	view(b, 1, 3, "ab");
-	flow(b, NULL);
-	flow(b, NULL);
-	/* Only b hears that a is out. */
-	view(b, 1, 4, "b");
-	ask(b, 1);
-	assert_int_equal(b->nodes[1].last, IDM_GRANTED);
-	ask(b, 0);
-	flow(b, NULL);
-	flow(b, NULL);
-	flow(b, NULL);
-	assert_int_equal(b->nodes[0].verdicts, 0);
+	struct fixture *f = *state;
+
+	replicate_to_all(f);
+	set_view(f, 0, 3, "ab");
+	set_view(f, 1, 3, "ab");
+	deliver(f, NULL);
+	deliver(f, NULL);
+	/* Only b receives the view without a. */
+	set_view(f, 1, 4, "b");
+	claim(f, 1);
+	assert_int_equal(f->nodes[1].last, IDM_GRANTED);
+	claim(f, 0);
+	deliver(f, NULL);
+	deliver(f, NULL);
+	deliver(f, NULL);
+	assert_int_equal(f->nodes[0].verdicts, 0);
 }
 
 /*
- * c was a keeper, is asked out, and misses a claim. When it is a keeper again
- * it must learn first: with its old copy it would grant the key a second time.
+ * A replica is removed, misses a claim and becomes a replica again. Its records
+ * must not count before it is synchronised, or it would grant the key a second
+ * time.
  */
-static void a_copy_with_gaps_does_not_count(void **state)
+static void incomplete_replica_grants_nothing(void **state)
 {
-	struct bed *b = *state;
-
-	all_keep(b);
-	view(b, 0, 3, "ab");
-	view(b, 1, 3, "ab");
-	view(b, 2, 3, "ab");
-	flow(b, NULL);
-	ask(b, 0);
-	flow(b, &b->nodes[2]);
-	flow(b, &b->nodes[2]);
-	assert_int_equal(b->nodes[0].last, IDM_GRANTED);
-	assert_false(idm_is_keeper(b->nodes[2].m));
-	/* Straight to a view that c leads, without having learnt anything. */
-	view(b, 2, 4, "cb");
-	assert_false(idm_is_keeper(b->nodes[2].m));
-	ask(b, 2);
-	flow(b, &b->nodes[0]);
-	flow(b, &b->nodes[0]);
-	assert_int_equal(b->nodes[2].verdicts, 0);
+	struct fixture *f = *state;
+
+	replicate_to_all(f);
+	set_view(f, 0, 3, "ab");
+	set_view(f, 1, 3, "ab");
+	set_view(f, 2, 3, "ab");
+	deliver(f, NULL);
+	claim(f, 0);
+	deliver(f, &f->nodes[2]);
+	deliver(f, &f->nodes[2]);
+	assert_int_equal(f->nodes[0].last, IDM_GRANTED);
+	assert_false(idm_is_replica(f->nodes[2].m));
+	/* A view with c as the primary, which has not been synchronised. */
+	set_view(f, 2, 4, "cb");
+	assert_false(idm_is_replica(f->nodes[2].m));
+	claim(f, 2);
+	deliver(f, &f->nodes[0]);
+	deliver(f, &f->nodes[0]);
+	assert_int_equal(f->nodes[2].verdicts, 0);
 }
 
 /*
- * b is made a keeper, but what it should have learnt was lost on the way. Its
- * word must not count: a's memory would be held by nobody else while all
- * believe in a second copy.
+ * A node joins the view, but the records sent to it are lost. It must not
+ * acknowledge claims: the records would have no second copy although the view
+ * says so.
  */
-static void a_keeper_that_has_not_learnt_is_silent(void **state)
+static void unsynchronised_replica_acknowledges_nothing(void **state)
 {
-	struct bed *b = *state;
-
-	view(b, 0, 1, "a");
-	view(b, 1, 1, "a");
-	view(b, 0, 2, "ab");
-	view(b, 1, 2, "ab");
-	flow(b, &b->nodes[0]);
-	ask(b, 0);
-	flow(b, NULL);
-	flow(b, NULL);
-	assert_int_equal(b->nodes[0].verdicts, 0);
+	struct fixture *f = *state;
+
+	set_view(f, 0, 1, "a");
+	set_view(f, 1, 1, "a");
+	set_view(f, 0, 2, "ab");
+	set_view(f, 1, 2, "ab");
+	deliver(f, &f->nodes[0]);
+	claim(f, 0);
+	deliver(f, NULL);
+	deliver(f, NULL);
+	assert_int_equal(f->nodes[0].verdicts, 0);
 }
 
 /*
- * A daemon is started anew while the first keeper still owes it a verdict. It
- * must not take that verdict for one on an ask of its new life: its caller
- * would get somebody else's answer.
+ * A daemon restarts while the primary still has to send it a verdict. The
+ * verdict must not be taken for one on a claim of the new boot: its caller
+ * would get the answer to another request.
  */
-static void verdicts_of_an_earlier_life_are_let_pass(void **state)
+static void verdict_of_previous_boot_ignored(void **state)
 {
-	struct bed *b = *state;
-
-	all_keep(b);
-	ask(b, 1);
-	/* The ask is on its way; b is started anew and asks for the same. */
-	idm_free(b->nodes[1].m);
-	b->nodes[1].m = make(&b->nodes[1], 9);
-	assert_int_not_equal(ask(b, 1), 1);
-	flow(b, NULL);
-	flow(b, NULL);
-	flow(b, NULL);
-	assert_int_equal(b->nodes[1].verdicts, 0);
+	struct fixture *f = *state;
+
+	replicate_to_all(f);
+	claim(f, 1);
+	/*
+	 * b restarts with its claim in flight, and claims the same key again.
+	 */
+	idm_free(f->nodes[1].m);
+	f->nodes[1].m = new_store(&f->nodes[1], 9);
+	assert_int_not_equal(claim(f, 1), 1);
+	deliver(f, NULL);
+	deliver(f, NULL);
+	deliver(f, NULL);
+	assert_int_equal(f->nodes[1].verdicts, 0);
 }
 
-static void keys_are_read_strictly(void **state)
+static void malformed_keys_rejected(void **state)
 {
-	static const char *const bad[] = {
+	static const char *const malformed[] = {
 		"",
 		"a",
 		"a.1",
@@ -312,13 +316,13 @@
 	assert_int_equal(key.minute, 2);
 	assert_true(lstr_eq(key.rest, LSTR("rest.of.it")));
 	assert_int_equal(idm_key_age(&key, 120000), IDM_AGE_OK);
-	assert_int_equal(idm_key_age(&key,
-				     120000 + (IDM_VALID_MIN + 1) * 60000),
-			 IDM_AGE_OLD);
-	key.minute += IDM_SKEW_MIN + 1;
+	assert_int_equal(
+		idm_key_age(&key, 120000 + (IDM_KEY_VALID_MINUTES + 1) * 60000),
+		IDM_AGE_OLD);
+	key.minute += IDM_CLOCK_SKEW_MINUTES + 1;
 	assert_int_equal(idm_key_age(&key, 120000), IDM_AGE_FUTURE);
-	for (i = 0; i < G_N_ELEMENTS(bad); i++)
-		assert_false(idm_key_parse(lstr_from(bad[i]), &key));
+	for (i = 0; i < G_N_ELEMENTS(malformed); i++)
+		assert_false(idm_key_parse(lstr_from(malformed[i]), &key));
 	g_free(text);
 	g_free(prefix);
 }
@@ -327,12 +331,12 @@
 {
 #define T(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
 	const struct CMUnitTest tests[] = {
-		T(a_claim_is_granted_when_all_hold_it),
-		T(a_replaced_leader_grants_nothing),
-		T(a_copy_with_gaps_does_not_count),
-		T(a_keeper_that_has_not_learnt_is_silent),
-		T(verdicts_of_an_earlier_life_are_let_pass),
-		cmocka_unit_test(keys_are_read_strictly),
+		T(claim_granted_once_all_replicas_hold_it),
+		T(replaced_primary_grants_nothing),
+		T(incomplete_replica_grants_nothing),
+		T(unsynchronised_replica_acknowledges_nothing),
+		T(verdict_of_previous_boot_ignored),
+		cmocka_unit_test(malformed_keys_rejected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
