--- a/src/ent_admin.c
+++ b/src/ent_admin.c
@@ -98,7 +98,7 @@
 	GError *err = NULL;
 	char *text;
 
-	if (!tgt_form(form, &info, &err) ||
+	if (!tgt_parse_form(form, &info, &err) ||
 	    !tgt_announce(e->targets, tmr_now(e->tmr), &info, &err)) {
 		e->counts[ENT_ANNOUNCE_REFUSED]++;
 		srv_reply_text(r, err->code == ERR_CONFLICT ? 409 : 400,
@@ -116,7 +116,7 @@
 	 */
 	text = g_strdup_printf("home=%s\ninterval_ms=%d",
 			       e->draining ? "" : e->config.admin,
-			       TGT_INTERVAL_MS);
+			       TGT_ANNOUNCE_INTERVAL_MS);
 	srv_reply_text(r, 200, text);
 	g_free(text);
 	tgt_info_clear(&info);
@@ -184,7 +184,7 @@
 		e->voter_heard ? now - e->voter_heard : -1, e->draining,
 		idm_epoch(e->idm), idm_replica_count(e->idm),
 		idm_is_replica(e->idm), idm_stats(e->idm).records);
-	tgt_each(e->targets, ent_admin_target_line, out);
+	tgt_foreach(e->targets, ent_admin_target_line, out);
 	srv_reply_text(r, 200, out->str);
 	g_string_free(out, TRUE);
 }
--- a/src/ent_int.h
+++ b/src/ent_int.h
@@ -152,7 +152,7 @@
 
 /* ent_peer.c: voters and other entry daemons */
 bool ent_peer_start(struct ent *e, GError **err);
-void ent_peer_send_target(struct ent *e, const struct tgt *t, bool gone);
+void ent_peer_send_target(struct ent *e, const struct tgt *t, bool expired);
 void ent_peer_send_view(struct ent *e);
 void ent_peer_send_capacity(struct ent *e);
 const char *ent_zone_addr(struct ent *e, int zone);
--- a/src/ent_peer.c
+++ b/src/ent_peer.c
@@ -133,7 +133,7 @@
 }
 
 /* Sends a target whose home is this daemon to the zone's entry daemons. */
-void ent_peer_send_target(struct ent *e, const struct tgt *t, bool gone)
+void ent_peer_send_target(struct ent *e, const struct tgt *t, bool expired)
 {
 	struct pk_out o;
 	guint i;
@@ -143,7 +143,7 @@
 	pk_u(&o, PROTO_TARGETS);
 	pk_bool(&o, false);
 	pk_arr(&o, 1);
-	tgt_pack(&o, &t->info, gone);
+	tgt_pack(&o, &t->info, expired);
 	for (i = 0; i < e->peers->len; i++) {
 		const struct ent_peer *p = g_ptr_array_index(e->peers, i);
 
@@ -330,17 +330,17 @@
 	GHashTable *names =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	struct tgt_info info;
-	bool gone;
+	bool expired;
 
 	while (pk_in_ok(&list) && pk_in_left(&list)) {
-		if (!tgt_unpack(&list, &info, &gone))
+		if (!tgt_unpack(&list, &info, &expired))
 			continue;
 		g_hash_table_add(names, g_strdup(info.name));
-		tgt_heard(e->targets, now, p->node, &info, gone);
+		tgt_record_report(e->targets, now, p->node, &info, expired);
 		tgt_info_clear(&info);
 	}
 	if (whole_list && pk_in_ok(in))
-		tgt_home_list_end(e->targets, now, p->node, names);
+		tgt_home_list_done(e->targets, now, p->node, names);
 	g_hash_table_destroy(names);
 	ent_poll_admission(e);
 }
@@ -437,7 +437,7 @@
 	struct pk_out o;
 	guint i;
 
-	tgt_each(e->targets, ent_collect_own_target, own);
+	tgt_foreach(e->targets, ent_collect_own_target, own);
 	pk_out_init(&o);
 	pk_arr(&o, 3);
 	pk_u(&o, PROTO_TARGETS);
--- a/src/ent_target.c
+++ b/src/ent_target.c
@@ -4,7 +4,7 @@
 static void ent_target_stop(void *arg, const struct tgt *t);
 static void ent_target_forget(void *arg, const struct tgt *t);
 static bool ent_target_allowed(void *arg, const struct tgt_info *info);
-static void ent_target_notify(void *arg, const struct tgt *t, bool gone);
+static void ent_target_notify(void *arg, const struct tgt *t, bool expired);
 static void ent_target_set_state(struct ent *e, const struct tgt *t,
 				 enum adm_target_state state);
 
@@ -13,7 +13,7 @@
 	.stop = ent_target_stop,
 	.forget = ent_target_forget,
 	.allowed = ent_target_allowed,
-	.tell = ent_target_notify,
+	.notify = ent_target_notify,
 };
 
 static void ent_target_place(void *arg, const struct tgt *t)
@@ -59,9 +59,9 @@
 	       pool;
 }
 
-static void ent_target_notify(void *arg, const struct tgt *t, bool gone)
+static void ent_target_notify(void *arg, const struct tgt *t, bool expired)
 {
-	ent_peer_send_target(arg, t, gone);
+	ent_peer_send_target(arg, t, expired);
 }
 
 static void ent_target_set_state(struct ent *e, const struct tgt *t,
--- a/src/ent_view.c
+++ b/src/ent_view.c
@@ -31,7 +31,7 @@
 	ent_view_store(e, bytes);
 	e->view_since = tmr_now(e->tmr);
 	ent_view_update_pools(e);
-	tgt_review(e->targets);
+	tgt_check_allowed(e->targets);
 	ent_key_update_view(e);
 	msg(MSG_ENT_CONFIG, "version=%" G_GUINT64_FORMAT " from=%s",
 	    view->version, from);
--- a/src/tgt.c
+++ b/src/tgt.c
@@ -36,18 +36,19 @@
 	uint64_t next_id;
 };
 
-static struct tgt *tgt_get(struct tgt_table *tab, const struct tgt_info *info);
-static bool tgt_take(struct tgt_table *tab, struct tgt *t,
-		     const struct tgt_info *info, bool *changed);
-static void tgt_event(struct tgt_table *tab, struct tgt *t,
-		      enum tgt_event event, bool changed);
-static void tgt_apply(struct tgt_table *tab, struct tgt *t, int action,
-		      bool changed);
-static void tgt_copy(struct tgt_info *dst, const struct tgt_info *src);
+static struct tgt *tgt_find_or_add(struct tgt_table *tab,
+				   const struct tgt_info *info);
+static bool tgt_store_info(struct tgt_table *tab, struct tgt *t,
+			   const struct tgt_info *info, bool *changed);
+static void tgt_handle_event(struct tgt_table *tab, struct tgt *t,
+			     enum tgt_event event, bool changed);
+static void tgt_run_action(struct tgt_table *tab, struct tgt *t, int action,
+			   bool changed);
+static void tgt_info_copy(struct tgt_info *dst, const struct tgt_info *src);
 static void tgt_free(gpointer p);
-static bool tgt_older(const struct tgt *t, const struct tgt_info *info);
+static bool tgt_is_stale(const struct tgt *t, const struct tgt_info *info);
 
-/* An empty table. */
+/* Returns an empty table. */
 struct tgt_table *tgt_table_new(const struct tgt_ops *ops, void *arg)
 {
 	const struct cht_names names = {
@@ -70,7 +71,7 @@
 	return tab;
 }
 
-/* Frees the table without telling anybody. */
+/* Frees the table without calling back. */
 void tgt_table_free(struct tgt_table *tab)
 {
 	if (!tab)
@@ -82,79 +83,80 @@
 }
 
 /*
- * A target announced itself here: this daemon is its home from now on. False
- * with ERR_REFUSED (table full) or ERR_CONFLICT (an older announcement than
- * one already heard; nothing changes).
+ * Records an announcement made to this daemon, which becomes the target's home.
+ * False with ERR_REFUSED (table full) or ERR_CONFLICT (an announcement at least
+ * as new is known; nothing changes).
  */
 bool tgt_announce(struct tgt_table *tab, int64_t now,
 		  const struct tgt_info *info, GError **err)
 {
-	struct tgt *t = tgt_get(tab, info);
+	struct tgt *t = tgt_find_or_add(tab, info);
 	enum tgt_state before;
 	bool restart;
 	bool changed = false;
 
 	if (!t) {
 		err_set(err, ERR_REFUSED, "announce", info->name,
-			"more than %d targets", TGT_MAX);
+			"more than %d targets", TGT_TABLE_MAX);
 		return false;
 	}
-	if (tgt_older(t, info)) {
+	if (tgt_is_stale(t, info)) {
 		err_set(err, ERR_CONFLICT, "announce", info->name,
 			"a newer announcement was heard");
 		return false;
 	}
 	before = t->state;
-	restart = tgt_take(tab, t, info, &changed);
+	restart = tgt_store_info(tab, t, info, &changed);
 	changed |= t->home != NULL || restart;
 	g_clear_pointer(&t->home, g_free);
 	t->lease_until = now + TGT_LEASE_MS;
 	if (restart)
-		tgt_event(tab, t, TGT_EV_RESTART, changed);
-	tgt_event(tab, t, info->leaving ? TGT_EV_LEAVE : TGT_EV_ANNOUNCE,
-		  changed);
+		tgt_handle_event(tab, t, TGT_EV_RESTART, changed);
+	tgt_handle_event(tab, t, info->leaving ? TGT_EV_LEAVE : TGT_EV_ANNOUNCE,
+			 changed);
 	if (changed || t->state != before)
-		tab->ops->tell(tab->arg, t, false);
+		tab->ops->notify(tab->arg, t, false);
 	return true;
 }
 
 /*
- * Another entry daemon says of a target whose home it is: what it announced,
- * or that its lease lapsed (gone). What is older than what we know is let
- * pass: the target has moved to another home meanwhile.
+ * Records what another entry daemon reports of a target whose home it is: its
+ * announcement, or (expired) that its lease expired. A report older than what
+ * is known is ignored: the target has moved to another home since.
  */
-void tgt_heard(struct tgt_table *tab, int64_t now, const char *home,
-	       const struct tgt_info *info, bool gone)
+void tgt_record_report(struct tgt_table *tab, int64_t now, const char *home,
+		       const struct tgt_info *info, bool expired)
 {
 	struct tgt *t;
 	bool changed = false;
 	bool restart;
 
-	if (gone) {
+	if (expired) {
 		t = g_hash_table_lookup(tab->by_name, info->name);
 		if (!t || !t->home || strcmp(t->home, home) != 0)
 			return;
-		tgt_event(tab, t, TGT_EV_LAPSE, false);
-		t->lease_until = now + TGT_FORGET_MS;
+		tgt_handle_event(tab, t, TGT_EV_LAPSE, false);
+		t->lease_until = now + TGT_RETENTION_MS;
 		return;
 	}
-	t = tgt_get(tab, info);
-	if (!t || tgt_older(t, info))
+	t = tgt_find_or_add(tab, info);
+	if (!t || tgt_is_stale(t, info))
 		return;
-	restart = tgt_take(tab, t, info, &changed);
+	restart = tgt_store_info(tab, t, info, &changed);
 	g_free(t->home);
 	t->home = g_strdup(home);
 	t->lease_until = INT64_MAX;
 	if (restart)
-		tgt_event(tab, t, TGT_EV_RESTART, changed);
-	tgt_event(tab, t, info->leaving ? TGT_EV_LEAVE : TGT_EV_ANNOUNCE,
-		  changed);
+		tgt_handle_event(tab, t, TGT_EV_RESTART, changed);
+	tgt_handle_event(tab, t, info->leaving ? TGT_EV_LEAVE : TGT_EV_ANNOUNCE,
+			 changed);
 }
 
 /*
- * An entry daemon is not heard any more: its targets have ORPHAN to find
- * another home. Stopping at once would take a healthy zone down with one
- * entry VM; waiting longer would break the promise to leaving targets.
+ * Records that an entry daemon is down: its targets have TGT_HOME_GRACE_MS to
+ * find another home. Stopping them at once would take a healthy zone down with
+ * one entry VM; waiting longer would exceed the time guaranteed for targets
+ * that stop.
  */
 void tgt_home_down(struct tgt_table *tab, int64_t now, const char *home)
 {
@@ -167,16 +169,16 @@
 
 		if (t->home && strcmp(t->home, home) == 0 &&
 		    t->lease_until == INT64_MAX)
-			t->lease_until = now + TGT_ORPHAN_MS;
+			t->lease_until = now + TGT_HOME_GRACE_MS;
 	}
 }
 
 /*
- * A home has told its whole list: what it had before and is not in names has
- * lapsed while we did not hear it.
+ * Records the end of a home's complete list: its targets that are not in names
+ * have expired while the home was disconnected.
  */
-void tgt_home_list_end(struct tgt_table *tab, int64_t now, const char *home,
-		       GHashTable *names)
+void tgt_home_list_done(struct tgt_table *tab, int64_t now, const char *home,
+			GHashTable *names)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -189,16 +191,16 @@
 		    g_hash_table_contains(names, t->info.name))
 			continue;
 		if (t->state == TGT_SERVING || t->state == TGT_DRAINED) {
-			tgt_event(tab, t, TGT_EV_LAPSE, false);
-			t->lease_until = now + TGT_FORGET_MS;
+			tgt_handle_event(tab, t, TGT_EV_LAPSE, false);
+			t->lease_until = now + TGT_RETENTION_MS;
 		}
 	}
 }
 
-/* Lets leases lapse, and forgets what lapsed long ago. */
+/* Expires leases, and removes targets whose leases expired long ago. */
 void tgt_tick(struct tgt_table *tab, int64_t now)
 {
-	GPtrArray *due = g_ptr_array_new();
+	GPtrArray *expired = g_ptr_array_new();
 	GHashTableIter it;
 	gpointer value;
 	guint i;
@@ -206,23 +208,23 @@
 	g_hash_table_iter_init(&it, tab->by_name);
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		if (((struct tgt *)value)->lease_until <= now)
-			g_ptr_array_add(due, value);
-	for (i = 0; i < due->len; i++) {
-		struct tgt *t = g_ptr_array_index(due, i);
-		bool ours = !t->home;
-
-		t->lease_until = now + TGT_FORGET_MS;
-		if (ours && t->state != TGT_LAPSED)
-			tab->ops->tell(tab->arg, t, true);
+			g_ptr_array_add(expired, value);
+	for (i = 0; i < expired->len; i++) {
+		struct tgt *t = g_ptr_array_index(expired, i);
+		bool own = !t->home;
+
+		t->lease_until = now + TGT_RETENTION_MS;
+		if (own && t->state != TGT_LAPSED)
+			tab->ops->notify(tab->arg, t, true);
 		msg(MSG_TGT_LAPSE, "target=%s state=%s", t->info.name,
 		    tgt_states[t->state]);
-		tgt_event(tab, t, TGT_EV_LAPSE, false);
+		tgt_handle_event(tab, t, TGT_EV_LAPSE, false);
 	}
-	g_ptr_array_free(due, TRUE);
+	g_ptr_array_free(expired, TRUE);
 }
 
-/* The fleet view has changed: asks again who may take work. */
-void tgt_review(struct tgt_table *tab)
+/* Checks again which targets may get work, after a change of the fleet view. */
+void tgt_check_allowed(struct tgt_table *tab)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -232,26 +234,27 @@
 		struct tgt *t = value;
 
 		t->allowed = tab->ops->allowed(tab->arg, &t->info);
-		tgt_event(tab, t, t->allowed ? TGT_EV_UNDRAIN : TGT_EV_DRAIN,
-			  true);
+		tgt_handle_event(tab, t,
+				 t->allowed ? TGT_EV_UNDRAIN : TGT_EV_DRAIN,
+				 true);
 	}
 }
 
-/* The target of that name, or NULL. */
+/* Returns the target of that name, or NULL. */
 const struct tgt *tgt_find(const struct tgt_table *tab, const char *name)
 {
 	return g_hash_table_lookup(tab->by_name, name);
 }
 
-/* The target of that id, or NULL. */
+/* Returns the target of that id, or NULL. */
 const struct tgt *tgt_by_id(const struct tgt_table *tab, uint64_t id)
 {
 	return g_hash_table_lookup(tab->by_id, &id);
 }
 
 /* Calls fn for every target; fn must not change the table. */
-void tgt_each(const struct tgt_table *tab,
-	      void (*fn)(void *arg, const struct tgt *t), void *arg)
+void tgt_foreach(const struct tgt_table *tab,
+		 void (*fn)(void *arg, const struct tgt *t), void *arg)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -261,28 +264,29 @@
 		fn(arg, value);
 }
 
-/* Targets known, whatever their state. */
+/* Returns the number of targets, in any state. */
 guint tgt_count(const struct tgt_table *tab)
 {
 	return g_hash_table_size(tab->by_name);
 }
 
-/* The name of a state as the chart has it. */
+/* Returns the name of a state in the chart. */
 const char *tgt_state_name(enum tgt_state state)
 {
 	return tgt_states[state];
 }
 
-static struct tgt *tgt_get(struct tgt_table *tab, const struct tgt_info *info)
+static struct tgt *tgt_find_or_add(struct tgt_table *tab,
+				   const struct tgt_info *info)
 {
 	struct tgt *t = g_hash_table_lookup(tab->by_name, info->name);
 
-	if (t || g_hash_table_size(tab->by_name) >= TGT_MAX)
+	if (t || g_hash_table_size(tab->by_name) >= TGT_TABLE_MAX)
 		return t;
 	t = g_new0(struct tgt, 1);
 	t->id = tab->next_id++;
 	t->state = TGT_ABSENT;
-	tgt_copy(&t->info, info);
+	tgt_info_copy(&t->info, info);
 	t->info.seq = 0;
 	g_hash_table_insert(tab->by_name, t->info.name, t);
 	g_hash_table_insert(tab->by_id, &t->id, t);
@@ -290,11 +294,11 @@
 }
 
 /*
- * Whether info says less than what is known: of an incarnation that another
- * has followed, or of the same with a smaller number. Such a message was held
- * up on its way; taking it would bring a target back that has left.
+ * Whether info is older than what is known: from an earlier start of the
+ * target, or from the same start with no greater number. Such a message was
+ * delayed; accepting it would bring back a target that has left.
  */
-static bool tgt_older(const struct tgt *t, const struct tgt_info *info)
+static bool tgt_is_stale(const struct tgt *t, const struct tgt_info *info)
 {
 	if (t->state == TGT_ABSENT && t->info.seq == 0)
 		return false;
@@ -303,32 +307,32 @@
 	return info->boot == t->last_boot;
 }
 
-/* Takes over what a target says; true: it is another incarnation. */
-static bool tgt_take(struct tgt_table *tab, struct tgt *t,
-		     const struct tgt_info *info, bool *changed)
+/* Stores what a target announced; true if the target was restarted. */
+static bool tgt_store_info(struct tgt_table *tab, struct tgt *t,
+			   const struct tgt_info *info, bool *changed)
 {
-	bool fresh = t->state == TGT_ABSENT && t->info.seq == 0;
-	bool restart = !fresh && info->boot != t->info.boot;
+	bool added = t->state == TGT_ABSENT && t->info.seq == 0;
+	bool restart = !added && info->boot != t->info.boot;
 	char *name = t->info.name;
 
-	*changed = fresh || strcmp(info->addr, t->info.addr) != 0 ||
+	*changed = added || strcmp(info->addr, t->info.addr) != 0 ||
 		   strcmp(info->service, t->info.service) != 0 ||
 		   strcmp(info->vm, t->info.vm) != 0 ||
 		   info->slots != t->info.slots || info->conns != t->info.conns;
 	if (restart)
 		t->last_boot = t->info.boot;
-	/* The name stays: the table's key points to it. */
+	/* The name must stay: the table's key points to it. */
 	t->info.name = NULL;
 	tgt_info_clear(&t->info);
-	tgt_copy(&t->info, info);
+	tgt_info_copy(&t->info, info);
 	g_free(t->info.name);
 	t->info.name = name;
 	t->allowed = tab->ops->allowed(tab->arg, &t->info);
 	return restart;
 }
 
-static void tgt_event(struct tgt_table *tab, struct tgt *t,
-		      enum tgt_event event, bool changed)
+static void tgt_handle_event(struct tgt_table *tab, struct tgt *t,
+			     enum tgt_event event, bool changed)
 {
 	struct cht_step step;
 
@@ -336,11 +340,11 @@
 		g_error("target: event %s in state %s", tgt_events[event],
 			tgt_states[t->state]);
 	t->state = (enum tgt_state)step.next;
-	tgt_apply(tab, t, step.action, changed);
+	tgt_run_action(tab, t, step.action, changed);
 }
 
-static void tgt_apply(struct tgt_table *tab, struct tgt *t, int action,
-		      bool changed)
+static void tgt_run_action(struct tgt_table *tab, struct tgt *t, int action,
+			   bool changed)
 {
 	switch (action) {
 	case TGT_DO_JOIN:
@@ -349,7 +353,7 @@
 		if (t->allowed)
 			tab->ops->place(tab->arg, t);
 		else
-			tgt_event(tab, t, TGT_EV_DRAIN, false);
+			tgt_handle_event(tab, t, TGT_EV_DRAIN, false);
 		break;
 	case TGT_DO_RENEW:
 		if (changed && t->state == TGT_SERVING)
@@ -370,7 +374,7 @@
 	}
 }
 
-static void tgt_copy(struct tgt_info *dst, const struct tgt_info *src)
+static void tgt_info_copy(struct tgt_info *dst, const struct tgt_info *src)
 {
 	*dst = *src;
 	dst->name = g_strdup(src->name);
--- a/src/tgt_info.c
+++ b/src/tgt_info.c
@@ -12,12 +12,12 @@
 #define TGT_FORM_MAX 4096
 #define TGT_SLOTS_MAX 1000000
 
-static bool tgt_name_ok(const char *s);
-static bool tgt_addr_ok(const char *s);
-static bool tgt_form_field(struct tgt_info *info, const char *key,
-			   const char *value);
+static bool tgt_name_valid(const char *s);
+static bool tgt_addr_valid(const char *s);
+static bool tgt_parse_field(struct tgt_info *info, const char *key,
+			    const char *value);
 
-/* Frees the strings of info. */
+/* Frees the strings of info and clears it. */
 void tgt_info_clear(struct tgt_info *info)
 {
 	g_free(info->name);
@@ -28,7 +28,7 @@
 	*info = (struct tgt_info){0};
 }
 
-/* Checks every field; false with ERR_INPUT that names the first bad one. */
+/* Checks every field; false with ERR_INPUT that names the first invalid one. */
 bool tgt_info_check(const struct tgt_info *info, GError **err)
 {
 	const struct {
@@ -36,14 +36,15 @@
 		bool ok;
 		const char *allowed;
 	} checks[] = {
-		{"name", tgt_name_ok(info->name),
+		{"name", tgt_name_valid(info->name),
 		 "1 to 63 of A-Z a-z 0-9 . _ -"},
-		{"service", tgt_name_ok(info->service),
+		{"service", tgt_name_valid(info->service),
 		 "1 to 63 of A-Z a-z 0-9 . _ -"},
-		{"addr", tgt_addr_ok(info->addr), "IP:PORT"},
-		{"zone", tgt_name_ok(info->zone),
+		{"addr", tgt_addr_valid(info->addr), "IP:PORT"},
+		{"zone", tgt_name_valid(info->zone),
+		 "1 to 63 of A-Z a-z 0-9 . _ -"},
+		{"vm", tgt_name_valid(info->vm),
 		 "1 to 63 of A-Z a-z 0-9 . _ -"},
-		{"vm", tgt_name_ok(info->vm), "1 to 63 of A-Z a-z 0-9 . _ -"},
 		{"slots", info->slots > 0 && info->slots <= TGT_SLOTS_MAX,
 		 "1 to 1000000"},
 		{"conns", info->conns > 0 && info->conns <= TGT_SLOTS_MAX,
@@ -64,11 +65,11 @@
 }
 
 /*
- * Reads an announcement as a target posts it, a form. False with ERR_INPUT;
- * info is then empty. Fields that are not known are let pass, so that newer
- * targets can announce themselves to older daemons.
+ * Parses an announcement, a form that a target posts. False with ERR_INPUT;
+ * info is then empty. Unknown fields are ignored, so that newer targets can
+ * announce themselves to older daemons.
  */
-bool tgt_form(struct lstr form, struct tgt_info *info, GError **err)
+bool tgt_parse_form(struct lstr form, struct tgt_info *info, GError **err)
 {
 	struct evkeyvalq fields;
 	struct evkeyval *kv;
@@ -90,7 +91,7 @@
 		return false;
 	}
 	TAILQ_FOREACH(kv, &fields, next)
-		if (!tgt_form_field(info, kv->key, kv->value))
+		if (!tgt_parse_field(info, kv->key, kv->value))
 			ok = false;
 	evhttp_clear_headers(&fields);
 	if (!ok)
@@ -103,8 +104,8 @@
 	return false;
 }
 
-/* Packs what a home tells the others of a target. */
-void tgt_pack(struct pk_out *o, const struct tgt_info *info, bool gone)
+/* Packs the report of a target that its home sends to other entry daemons. */
+void tgt_pack(struct pk_out *o, const struct tgt_info *info, bool expired)
 {
 	pk_arr(o, 12);
 	pk_cstr(o, info->name);
@@ -118,19 +119,21 @@
 	pk_bool(o, info->leaving);
 	pk_u(o, info->boot);
 	pk_u(o, info->seq);
-	pk_bool(o, gone);
+	pk_bool(o, expired);
 }
 
-static int tgt_get_count(struct pk_in *in)
+static int tgt_unpack_count(struct pk_in *in)
 {
-	/* Read once: MIN evaluates the smaller of its arguments twice. */
+	/*
+	 * Read into a variable, since MIN evaluates the smaller argument twice.
+	 */
 	uint64_t n = pk_get_u(in);
 
 	return (int)MIN(n, G_MAXINT);
 }
 
-/* Reads what tgt_pack wrote; false leaves info empty. */
-bool tgt_unpack(struct pk_in *in, struct tgt_info *info, bool *gone)
+/* Unpacks what tgt_pack wrote; false leaves info empty. */
+bool tgt_unpack(struct pk_in *in, struct tgt_info *info, bool *expired)
 {
 	struct pk_in rec = pk_get_arr(in);
 
@@ -140,20 +143,20 @@
 	info->addr = lstr_dup(pk_get_str(&rec));
 	info->zone = lstr_dup(pk_get_str(&rec));
 	info->vm = lstr_dup(pk_get_str(&rec));
-	info->slots = tgt_get_count(&rec);
-	info->conns = tgt_get_count(&rec);
-	info->busy = tgt_get_count(&rec);
+	info->slots = tgt_unpack_count(&rec);
+	info->conns = tgt_unpack_count(&rec);
+	info->busy = tgt_unpack_count(&rec);
 	info->leaving = pk_get_bool(&rec);
 	info->boot = pk_get_u(&rec);
 	info->seq = pk_get_u(&rec);
-	*gone = pk_get_bool(&rec);
+	*expired = pk_get_bool(&rec);
 	if (pk_in_ok(&rec) && tgt_info_check(info, NULL))
 		return true;
 	tgt_info_clear(info);
 	return false;
 }
 
-static bool tgt_name_ok(const char *s)
+static bool tgt_name_valid(const char *s)
 {
 	const char *p;
 
@@ -165,7 +168,7 @@
 	return true;
 }
 
-static bool tgt_addr_ok(const char *s)
+static bool tgt_addr_valid(const char *s)
 {
 	struct sockaddr_storage ss;
 	int len = sizeof(ss);
@@ -174,14 +177,14 @@
 	       evutil_parse_sockaddr_port(s, (struct sockaddr *)&ss, &len) == 0;
 }
 
-static bool tgt_form_number(const char *value, unsigned long long max,
-			    unsigned long long *out)
+static bool tgt_parse_number(const char *value, unsigned long long max,
+			     unsigned long long *out)
 {
 	return lstr_u64(lstr_from(value), out) && *out <= max;
 }
 
-static bool tgt_form_field(struct tgt_info *info, const char *key,
-			   const char *value)
+static bool tgt_parse_field(struct tgt_info *info, const char *key,
+			    const char *value)
 {
 	const struct {
 		const char *key;
@@ -202,7 +205,7 @@
 	const struct {
 		const char *key;
 		uint64_t *dest;
-	} longs[] = {
+	} wide_numbers[] = {
 		{"boot", &info->boot},
 		{"seq", &info->seq},
 	};
@@ -219,17 +222,17 @@
 	for (i = 0; i < G_N_ELEMENTS(numbers); i++) {
 		if (strcmp(key, numbers[i].key) != 0)
 			continue;
-		if (!tgt_form_number(value, G_MAXINT, &v))
+		if (!tgt_parse_number(value, G_MAXINT, &v))
 			return false;
 		*numbers[i].dest = (int)v;
 		return true;
 	}
-	for (i = 0; i < G_N_ELEMENTS(longs); i++) {
-		if (strcmp(key, longs[i].key) != 0)
+	for (i = 0; i < G_N_ELEMENTS(wide_numbers); i++) {
+		if (strcmp(key, wide_numbers[i].key) != 0)
 			continue;
-		if (!tgt_form_number(value, G_MAXUINT64, &v))
+		if (!tgt_parse_number(value, G_MAXUINT64, &v))
 			return false;
-		*longs[i].dest = v;
+		*wide_numbers[i].dest = v;
 		return true;
 	}
 	if (strcmp(key, "state") == 0) {
--- a/tests/system/failure_test.sh
+++ b/tests/system/failure_test.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Real processes under failure: what callers see when entry daemons, voters and
-# targets are killed, frozen, cut off and stopped under load. The load tool
-# judges each answer and counts runs at the targets.
+# Failures of real processes under load: what callers see when entry daemons,
+# voters and targets are killed, suspended and shut down. The load tool checks
+# each answer and counts runs at the targets.
 set -u
 cd "$(dirname "$0")/../.." || exit 2
 BIN=build/san/bin
@@ -11,7 +11,8 @@
 trap fleet_end EXIT
 bad=0
 
-# load NAME COLUMN-LIMITS... -- ARGS...: COLUMN=MAX for each outcome.
+# load NAME COLUMN=MAX... -- ARGS...: runs endive-load; fails where a column of
+# its table exceeds its limit.
 load() {
 	name=$1
 	shift
@@ -28,13 +29,13 @@
 			for (i = 1; i <= NF; i++) if ($i == want) c = i }
 			{ v = $c } END { print v }' "$tmp/$name.tsv")
 		[ -n "$got" ] && [ "$got" -le "${l#*=}" ] && continue
-		echo "$name: $l broken: $got"
+		echo "$name: limit $l exceeded: $got"
 		cat "$tmp/$name.table"
 		bad=1
 	done
 }
 
-promises="cut=0 swapped=0 short=0 lost=0 doubled=0 run_though_not_run=0"
+guarantees="cut=0 swapped=0 short=0 lost=0 doubled=0 run_though_not_run=0"
 entries="--entry $(list entry_addr 1 2 3 4 5 6) --admin $(list admin_addr 1 2 3 4 5 6)"
 valuations="--targets $(list target_control 7 8 9 10 11 12) --path /valuation/work --method POST"
 
@@ -43,10 +44,10 @@
 	wait_for 10 keepers $i 2 || exit 1
 done
 
-# A caller sends a valuation; the entry VM that carries it is killed. The
-# caller sees its connection break and sends the same key to another entry VM,
-# of this zone or another. It runs at most once, and mostly it gets its answer;
-# who can't be told hears "unknown", never a wrong "not run".
+# An entry VM is killed while it forwards requests. Callers whose connections
+# break send the same key to another entry VM, of this zone or another. Each
+# request runs at most once, and most get their answer; where the outcome can't
+# be determined the caller gets "unknown", never a wrong "not run".
 prefix=$(curl -s "http://$(entry_addr 1)/endive/key" | cut -d . -f 1-3)
 (sleep 1; kill -9 "$(pid_of entry1)") &
 pids="$pids $!"
@@ -54,43 +55,43 @@
 load killed doubled=0 swapped=0 run_though_not_run=0 unknown=25 -- $entries $valuations \
 	--key --key-prefix "$prefix" --resend 3 --schedule 3s@40 --ms 60
 
-# The killed entry VM comes back without memory and learns it again.
+# The killed entry daemon restarts without records and is synchronised again.
 start_entry 1
 wait_for 10 healthy 1 || bad=1
 wait_for 10 keepers 1 2 || bad=1
 prefix=$(curl -s "http://$(entry_addr 1)/endive/key" | cut -d . -f 1-3)
 
-# An entry VM is frozen for longer than every time-out and goes on. Callers'
-# requests there wait for their own time-out; nothing runs twice, and no answer
-# comes to another request.
+# An entry daemon is suspended for longer than every timeout and resumes.
+# Callers' requests there wait for their own timeout; nothing runs twice, and no
+# request gets the answer to another.
 (sleep 1; kill -STOP "$(pid_of entry3)"; sleep 4; kill -CONT "$(pid_of entry3)") &
 pids="$pids $!"
 # shellcheck disable=SC2086
-load frozen doubled=0 swapped=0 run_though_not_run=0 unknown=40 -- $entries $valuations \
+load suspended doubled=0 swapped=0 run_though_not_run=0 unknown=40 -- $entries $valuations \
 	--key --key-prefix "$prefix" --resend 2 --timeout-ms 3000 \
 	--schedule 6s@30 --ms 30
 
-# The leading voter is killed, then a second one: no majority is left. Callers
-# notice nothing: entry daemons go on with what they know.
+# Two voters are killed one after the other, so that no quorum is left. Callers
+# see no errors: entry daemons keep working by the view they have.
 (sleep 1; kill -9 "$(pid_of voter1)"; sleep 1; kill -9 "$(pid_of voter2)") &
 pids="$pids $!"
 # shellcheck disable=SC2086
-load voters $promises not_run=0 unknown=0 error=0 -- $entries $valuations \
+load voters $guarantees not_run=0 unknown=0 error=0 -- $entries $valuations \
 	--schedule 4s@40 --ms 10
 start_voter 1
 start_voter 2
 wait_for 10 ctl drain hw02 --yes || bad=1
 
-# A target's VM dies without a word while it runs requests. Those there end as
-# unknown (POST, may have run); all others are whole.
+# A target is killed while it runs requests. Those requests end as unknown
+# (POST, may have run); all others get complete answers.
 (sleep 1; kill -9 "$(pid_of valuation-3)") &
 pids="$pids $!"
 # shellcheck disable=SC2086
 load target doubled=0 swapped=0 run_though_not_run=0 cut=0 not_run=0 -- \
 	$entries $valuations --schedule 4s@60 --ms 40
 
-# Every daemon gets a planned stop, one after the other, under load: no caller
-# notices.
+# An entry daemon of each zone is shut down gracefully, one after the other,
+# under load: callers see no errors.
 (
 	for d in entry2 entry4 entry6; do
 		sleep 1
@@ -99,6 +100,6 @@
 ) &
 pids="$pids $!"
 # shellcheck disable=SC2086
-load stopped $promises not_run=0 unknown=0 error=0 -- $entries $valuations \
+load stopped $guarantees not_run=0 unknown=0 error=0 -- $entries $valuations \
 	--schedule 6s@60 --ms 40
 exit $bad
--- a/tests/system/fleet.sh
+++ b/tests/system/fleet.sh
@@ -1,6 +1,6 @@
-# Sourced: a fleet on loopback, as plain processes. Three zones with two entry
-# daemons and one voter each, and stand-in targets. Set BIN and PORT before.
-# Every process started is in $pids and ended, by id, by fleet_end.
+# To be sourced: functions that run a fleet on loopback, as plain processes,
+# with two entry daemons and one voter in each of three zones, and simulated
+# targets. Set BIN and PORT first. fleet_end ends every process in $pids, by id.
 #
 # Ports from PORT on: entry daemon I of 1..6 has PORT+10*I for callers, +1
 # admin, +2 wire; voter J of 1..3 PORT+100+10*J wire, +1 http; targets from
@@ -33,7 +33,7 @@
 	echo "127.0.0.1:$((PORT + 100 + 10 * $1))"
 }
 
-# list FN N...: FN of each N, with commas between.
+# list FN N...: prints FN of each N, separated by commas.
 list() {
 	fn=$1
 	shift
@@ -44,7 +44,8 @@
 	echo "$out"
 }
 
-# start NAME PROGRAM ARGS...: pid in $last and in the file NAME.pid.
+# start NAME PROGRAM ARGS...: starts a process; its pid is in $last and in the
+# file NAME.pid.
 start() {
 	name=$1
 	shift
@@ -91,7 +92,8 @@
 		--drain-ms "${DRAIN_MS:-1000}" --log-level "$LOG"
 }
 
-# start_target NAME SERVICE ZONE-NUMBER VM N: announces itself to its zone.
+# start_target NAME SERVICE ZONE-NUMBER VM N: starts a target that announces
+# itself to the entry daemons of its zone.
 start_target() {
 	z=$3
 	start "$1" "$BIN/endive-target" --name "$1" --service "$2" \
@@ -106,7 +108,7 @@
 	echo "127.0.0.1:$((PORT + 201 + 2 * $1))"
 }
 
-# wait_for SECONDS COMMAND...: until it succeeds.
+# wait_for SECONDS COMMAND...: repeats a command until it succeeds.
 wait_for() {
 	until=$(($(date +%s) + $1))
 	shift
@@ -114,7 +116,7 @@
 		"$@" >/dev/null 2>&1 && return 0
 		sleep 0.05
 	done
-	echo "waited in vain: $*" >&2
+	echo "timed out waiting for: $*" >&2
 	return 1
 }
 
@@ -128,24 +130,25 @@
 		"http://$(admin_addr "$1")/health")" = 200 ]
 }
 
-# serves ENTRY STATE-COUNT: the daemon knows so many serving targets.
+# serves ENTRY COUNT: whether the daemon knows at least COUNT serving targets.
 serves() {
 	[ "$(curl -s "http://$(admin_addr "$1")/status" |
 		grep -c 'state=serving')" -ge "$2" ]
 }
 
-# keepers ENTRY COUNT: its zone's memory of keys has so many copies.
+# keepers ENTRY COUNT: whether its zone's idempotency store has COUNT replicas.
 keepers() {
 	curl -s "http://$(admin_addr "$1")/status" | grep -q "key_keepers=$2"
 }
 
-# metric ENTRY NAME: the value of a counter.
+# metric ENTRY NAME: prints the value of a metric.
 metric() {
 	curl -s "http://$(admin_addr "$1")/metrics" |
 		awk -v n="$2" '$1 == n { print $2 }'
 }
 
-# One check and one valuation target a zone and VM: six check, six valuation.
+# Starts six check and six valuation targets, two of each in a zone, each on a
+# VM of its own.
 start_targets() {
 	start_target check-1 check 1 hw01 1
 	start_target check-2 check 1 hw02 2
--- a/tests/unit/tgt_test.c
+++ b/tests/unit/tgt_test.c
@@ -6,38 +6,38 @@
 
 #include "tgt.h"
 
-/* What the table has said to do for its only target. */
-struct seen {
+/* Counts the table's callbacks for its only target. */
+struct callbacks {
 	int places;
 	int stops;
 	int forgets;
-	int told;
+	int notified;
 	bool allowed;
 };
 
 static void on_place(void *arg, const struct tgt *t)
 {
-	((struct seen *)arg)->places++;
+	((struct callbacks *)arg)->places++;
 }
 
 static void on_stop(void *arg, const struct tgt *t)
 {
-	((struct seen *)arg)->stops++;
+	((struct callbacks *)arg)->stops++;
 }
 
 static void on_forget(void *arg, const struct tgt *t)
 {
-	((struct seen *)arg)->forgets++;
+	((struct callbacks *)arg)->forgets++;
 }
 
 static bool on_allowed(void *arg, const struct tgt_info *info)
 {
-	return ((struct seen *)arg)->allowed;
+	return ((struct callbacks *)arg)->allowed;
 }
 
-static void on_tell(void *arg, const struct tgt *t, bool gone)
+static void on_notify(void *arg, const struct tgt *t, bool expired)
 {
-	((struct seen *)arg)->told++;
+	((struct callbacks *)arg)->notified++;
 }
 
 static const struct tgt_ops ops = {
@@ -45,10 +45,10 @@
 	.stop = on_stop,
 	.forget = on_forget,
 	.allowed = on_allowed,
-	.tell = on_tell,
+	.notify = on_notify,
 };
 
-static struct tgt_info says(uint64_t boot, uint64_t seq, bool leaving)
+static struct tgt_info make_info(uint64_t boot, uint64_t seq, bool leaving)
 {
 	return (struct tgt_info){
 		.name = (char *)"t",
@@ -67,7 +67,7 @@
 static bool announce(struct tgt_table *tab, int64_t now, uint64_t boot,
 		     uint64_t seq, bool leaving)
 {
-	struct tgt_info info = says(boot, seq, leaving);
+	struct tgt_info info = make_info(boot, seq, leaving);
 
 	return tgt_announce(tab, now, &info, NULL);
 }
@@ -78,14 +78,14 @@
 }
 
 /*
- * A target leaves, is started anew and leaves again. An announcement of its
- * first life, held up on its way, comes last: taken, it would bring back a
- * target that is gone, and callers' requests with it.
+ * A target restarts and leaves, then an announcement of its first start arrives
+ * late. Accepting it would bring back a target that has left, and send callers'
+ * requests to it.
  */
-static void an_earlier_life_does_not_come_back(void **state)
+static void announcement_of_earlier_start_ignored(void **state)
 {
-	struct seen seen = {.allowed = true};
-	struct tgt_table *tab = tgt_table_new(&ops, &seen);
+	struct callbacks callbacks = {.allowed = true};
+	struct tgt_table *tab = tgt_table_new(&ops, &callbacks);
 
 	assert_true(announce(tab, 0, 1, 5, false));
 	assert_false(announce(tab, 10, 1, 5, false));
@@ -99,60 +99,66 @@
 }
 
 /*
- * A target and the entry daemon that is its home fail at the same time, so
- * that nobody tells of the lapse. The others stop by themselves: with the 1 s
- * of silence before, within the 3 s promised.
+ * A target and its home fail at the same time, so that no daemon reports the
+ * expiry of the lease. The others must stop the target themselves: with 1 s of
+ * silence before, within the 3 s guaranteed.
  */
-static void a_target_that_lost_its_home_is_stopped(void **state)
+static void target_without_home_stopped_in_time(void **state)
 {
-	struct seen seen = {.allowed = true};
-	struct tgt_table *tab = tgt_table_new(&ops, &seen);
-	struct tgt_info info = says(1, 1, false);
+	struct callbacks callbacks = {.allowed = true};
+	struct tgt_table *tab = tgt_table_new(&ops, &callbacks);
+	struct tgt_info info = make_info(1, 1, false);
 
-	tgt_heard(tab, 0, "home", &info, false);
+	tgt_record_report(tab, 0, "home", &info, false);
 	tgt_tick(tab, 1000000);
-	assert_int_equal(seen.stops, 0);
+	assert_int_equal(callbacks.stops, 0);
 	tgt_home_down(tab, 1000000, "other");
 	tgt_home_down(tab, 1000000, "home");
-	tgt_tick(tab, 1000000 + TGT_ORPHAN_MS - 1);
-	assert_int_equal(seen.stops, 0);
-	tgt_tick(tab, 1000000 + TGT_ORPHAN_MS);
-	assert_int_equal(seen.stops, 1);
+	tgt_tick(tab, 1000000 + TGT_HOME_GRACE_MS - 1);
+	assert_int_equal(callbacks.stops, 0);
+	tgt_tick(tab, 1000000 + TGT_HOME_GRACE_MS);
+	assert_int_equal(callbacks.stops, 1);
 	assert_int_equal(state_of(tab), TGT_LAPSED);
-	assert_true(1000 + TGT_ORPHAN_MS <= 3000);
+	assert_true(1000 + TGT_HOME_GRACE_MS <= 3000);
 	tgt_table_free(tab);
 }
 
-/* The same, but the target lives: it finds another home and goes on. */
-static void a_target_that_finds_a_home_goes_on(void **state)
+/*
+ * A target's home fails, but the target runs on: it finds another home and gets
+ * work without interruption.
+ */
+static void target_with_new_home_keeps_serving(void **state)
 {
-	struct seen seen = {.allowed = true};
-	struct tgt_table *tab = tgt_table_new(&ops, &seen);
-	struct tgt_info info = says(1, 1, false);
+	struct callbacks callbacks = {.allowed = true};
+	struct tgt_table *tab = tgt_table_new(&ops, &callbacks);
+	struct tgt_info info = make_info(1, 1, false);
 
-	tgt_heard(tab, 0, "home", &info, false);
+	tgt_record_report(tab, 0, "home", &info, false);
 	tgt_home_down(tab, 100, "home");
-	info = says(1, 2, false);
-	tgt_heard(tab, 900, "new", &info, false);
-	/* The old home comes back and says that the lease lapsed there. */
-	tgt_heard(tab, 950, "home", &info, true);
+	info = make_info(1, 2, false);
+	tgt_record_report(tab, 900, "new", &info, false);
+	/* The old home reconnects and reports that the lease expired there. */
+	tgt_record_report(tab, 950, "home", &info, true);
 	tgt_tick(tab, 60000);
-	assert_int_equal(seen.stops, 0);
+	assert_int_equal(callbacks.stops, 0);
 	assert_int_equal(state_of(tab), TGT_SERVING);
 	tgt_table_free(tab);
 }
 
-/* A home's list after a cut: what is not on it has lapsed unheard. */
-static void what_a_home_no_longer_lists_has_lapsed(void **state)
+/*
+ * A home's list after a partition: a target that is missing from it has expired
+ * without a report.
+ */
+static void target_missing_from_home_list_expires(void **state)
 {
-	struct seen seen = {.allowed = true};
-	struct tgt_table *tab = tgt_table_new(&ops, &seen);
-	struct tgt_info info = says(1, 1, false);
+	struct callbacks callbacks = {.allowed = true};
+	struct tgt_table *tab = tgt_table_new(&ops, &callbacks);
+	struct tgt_info info = make_info(1, 1, false);
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 
-	tgt_heard(tab, 0, "home", &info, false);
-	tgt_home_list_end(tab, 10, "home", names);
-	assert_int_equal(seen.stops, 1);
+	tgt_record_report(tab, 0, "home", &info, false);
+	tgt_home_list_done(tab, 10, "home", names);
+	assert_int_equal(callbacks.stops, 1);
 	g_hash_table_destroy(names);
 	tgt_table_free(tab);
 }
@@ -160,10 +166,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(an_earlier_life_does_not_come_back),
-		cmocka_unit_test(a_target_that_lost_its_home_is_stopped),
-		cmocka_unit_test(a_target_that_finds_a_home_goes_on),
-		cmocka_unit_test(what_a_home_no_longer_lists_has_lapsed),
+		cmocka_unit_test(announcement_of_earlier_start_ignored),
+		cmocka_unit_test(target_without_home_stopped_in_time),
+		cmocka_unit_test(target_with_new_home_keeps_serving),
+		cmocka_unit_test(target_missing_from_home_list_expires),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
