--- a/src/ent_key.c
+++ b/src/ent_key.c
@@ -315,8 +315,8 @@
 }
 
 /*
- * Sends the proposal to every voter: only the leader accepts it, and its
- * identity keeps it from being applied twice.
+ * Sends the proposal to every voter: only the leader accepts it, and the
+ * command's id keeps it from being applied twice.
  */
 static void ent_key_propose(void *arg, const struct idm_view *next_view)
 {
--- a/src/idm.c
+++ b/src/idm.c
@@ -257,6 +257,7 @@
 	return m->view ? m->view->replicas->len : 0;
 }
 
+/* Returns a replica's name, NODE/BOOT, to be freed with g_free. */
 char *idm_replica_name(const char *node, uint64_t boot)
 {
 	return g_strdup_printf("%s/%" G_GINT64_MODIFIER "x", node, boot);
@@ -283,6 +284,10 @@
 	return *freed;
 }
 
+/*
+ * Returns the peer that is a replica; NULL: unknown, or restarted since it
+ * became one.
+ */
 struct idm_peer *idm_peer_of_replica(const struct idm *m, const char *replica)
 {
 	const char *slash = strrchr(replica, '/');
@@ -311,6 +316,7 @@
 	return p && p->up;
 }
 
+/* Sends a packed message to a node and frees the message. */
 void idm_send(struct idm *m, const char *node, struct pk_out *o)
 {
 	m->ops->send(m->arg, node, pk_out_view(o));
@@ -356,7 +362,7 @@
 	idm_view_free(next_view);
 }
 
-/* Returns the ms at which contact to a replica was lost; 0: connected. */
+/* Returns the time at which contact to a replica was lost, ms; 0: connected. */
 static int64_t idm_replica_down_since(const struct idm *m, const char *replica)
 {
 	const struct idm_peer *p;
--- a/src/idm_keep.c
+++ b/src/idm_keep.c
@@ -60,7 +60,7 @@
 /*
  * Handles a claim that a node sent to this daemon as the primary. If this
  * daemon is not the primary, it does not reply: the node learns of the right
- * one, or refuses the claim with "not run".
+ * one, or refuses the claim itself after its timeout.
  */
 void idm_replica_claim(struct idm *m, int64_t now, const char *from,
 		       uint64_t claim_id, struct lstr key, struct lstr digest)
@@ -125,8 +125,8 @@
 /*
  * Handles the outcome that the owner of a claim reports; from another node, it
  * only withdraws that node's queued claim. The owner gets an acknowledgement
- * once all replicas hold the outcome, and until then sends it again to the next
- * primary.
+ * once all replicas hold the outcome; until then it sends the outcome again to
+ * each new primary.
  */
 void idm_replica_finish(struct idm *m, int64_t now, const char *from,
 			uint64_t claim_id, struct lstr key,
@@ -237,8 +237,8 @@
 	if (!pk_in_ok(in) || !m->view || number < m->view->number)
 		return;
 	/*
-	 * Records are only added to a complete replica: the sender may fail
-	 * before the last message.
+	 * A complete replica keeps its records and only adds to them, since the
+	 * sender may fail before the last message.
 	 */
 	if (first && !m->complete) {
 		g_hash_table_remove_all(m->by_seq);
@@ -544,7 +544,9 @@
 	idm_set_bytes(m, r, bytes);
 }
 
-/* Takes the effects of a record that every replica of the view now holds. */
+/*
+ * Carries out the effects of a record that all replicas of the view now hold.
+ */
 static void idm_replicated(struct idm *m, int64_t now, struct idm_record *r)
 {
 	if (r->state != IDM_CLAIMED && r->ack_finish)
--- a/src/tgt.c
+++ b/src/tgt.c
@@ -154,8 +154,8 @@
 
 /*
  * Records that an entry daemon is down: its targets have TGT_HOME_GRACE_MS to
- * find another home. Stopping them at once would take a healthy zone down with
- * one entry VM; waiting longer would exceed the time guaranteed for targets
+ * find another home. Stopping them at once would stop a healthy zone when one
+ * entry VM fails; waiting longer would exceed the time guaranteed for targets
  * that stop.
  */
 void tgt_home_down(struct tgt_table *tab, int64_t now, const char *home)
--- a/tests/prop/idm_prop.cc
+++ b/tests/prop/idm_prop.cc
@@ -91,14 +91,14 @@
 }
 
 /* Plays the voters: accepts the first proposal for each number. */
-void on_propose(void *arg, const struct idm_view *want)
+void on_propose(void *arg, const struct idm_view *next_view)
 {
 	Fixture *f = static_cast<Node *>(arg)->fixture;
 
-	if (want->number != f->view->number + 1)
+	if (next_view->number != f->view->number + 1)
 		return;
 	idm_view_free(f->view);
-	f->view = idm_view_copy(want);
+	f->view = idm_view_copy(next_view);
 }
 
 void on_verdict(void *arg, void *user, enum idm_verdict v, struct lstr bytes)
--- a/tests/unit/ent_test.c
+++ b/tests/unit/ent_test.c
@@ -42,7 +42,7 @@
 	unsigned int moved_vms; /* bit i: VM i is in the other pool */
 	uint64_t
 		message_version; /* version in the message; 0: that of the view */
-	struct fvw_keepers *keepers; /* as proposed; sent with the next view */
+	struct fvw_keepers *replicas; /* as proposed; sent with the next view */
 };
 
 static void voter_up(void *arg, struct wire_conn *c)
@@ -58,10 +58,10 @@
 
 	assert_true(fcm_decode(&cmd, &in, bytes));
 	assert_int_equal(cmd.kind, FCM_KEEPERS);
-	if (!f->keepers && cmd.keepers.number == 1) {
-		f->keepers =
+	if (!f->replicas && cmd.keepers.number == 1) {
+		f->replicas =
 			fvw_keepers_new(cmd.keepers.zone, cmd.keepers.epoch, 1);
-		g_ptr_array_add(f->keepers->names,
+		g_ptr_array_add(f->replicas->names,
 				lstr_dup(cmd.keepers.names[0]));
 	}
 	pk_in_done(&in);
@@ -150,8 +150,8 @@
 
 		g_array_append_val(v->vms, vm);
 	}
-	if (f->keepers)
-		g_ptr_array_add(v->keepers, fvw_keepers_copy(f->keepers));
+	if (f->replicas)
+		g_ptr_array_add(v->keepers, fvw_keepers_copy(f->replicas));
 	fvw_index(v);
 	pk_out_init(&view);
 	fvw_pack(v, &view);
@@ -281,7 +281,7 @@
 	for (i = 0; i < TARGETS; i++)
 		if (f->listener[i] >= 0)
 			close(f->listener[i]);
-	fvw_keepers_free(f->keepers);
+	fvw_keepers_free(f->replicas);
 	g_free(f->voters[0]);
 	g_free(f->cfg.listen);
 	g_free(f->cfg.admin);
@@ -311,9 +311,9 @@
 	char *key;
 	int i;
 
-	for (i = 0; i < WAIT_MS && !f->keepers; i++)
+	for (i = 0; i < WAIT_MS && !f->replicas; i++)
 		net_run(f->base, 1);
-	assert_non_null(f->keepers);
+	assert_non_null(f->replicas);
 	apply_view(f, version, 0);
 	got = http_request(f, f->listen_port,
 			   "GET /endive/key HTTP/1.1\r\nHost: x\r\n"
--- a/tests/unit/idm_test.c
+++ b/tests/unit/idm_test.c
@@ -10,7 +10,7 @@
 #define MAX_QUEUE 64
 
 /*
- * Message orders that random schedules rarely produce, played by hand; each
+ * Message orders that random schedules rarely produce, set up explicitly; each
  * test covers one safeguard of the idempotency store.
  */
 struct node {
@@ -54,7 +54,7 @@
 	f->queue[f->queue_len++].bytes = g_bytes_new(bytes.p, bytes.len);
 }
 
-static void on_propose(void *arg, const struct idm_view *want)
+static void on_propose(void *arg, const struct idm_view *next_view)
 {
 	/* Every view is set by the test. */
 }
