--- a/tests/unit/ent_test.c
+++ b/tests/unit/ent_test.c
@@ -40,8 +40,7 @@
 	uint64_t reported_version; /* version the daemon has reported */
 	uint64_t seq;
 	unsigned int moved_vms; /* bit i: VM i is in the other pool */
-	uint64_t
-		message_version; /* version in the message; 0: that of the view */
+	uint64_t message_version; /* sent in the message; 0: the view's */
 	struct fvw_keepers *replicas; /* as proposed; sent with the next view */
 };
 
--- a/tests/unit/idm_test.c
+++ b/tests/unit/idm_test.c
@@ -290,7 +290,7 @@
 	assert_int_equal(f->nodes[1].verdicts, 0);
 }
 
-static void malformed_keys_rejected(void **state)
+static void key_format_and_age_checked(void **state)
 {
 	static const char *const malformed[] = {
 		"",
@@ -336,7 +336,7 @@
 		T(incomplete_replica_grants_nothing),
 		T(unsynchronised_replica_acknowledges_nothing),
 		T(verdict_of_previous_boot_ignored),
-		cmocka_unit_test(malformed_keys_rejected),
+		cmocka_unit_test(key_format_and_age_checked),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
