--- a/src/idm_int.h
+++ b/src/idm_int.h
@@ -53,8 +53,8 @@
 #define IDM_SYNC_BATCH_BYTES (256u << 10)
 
 /*
- * Sent to the owner of a claim only: the claim is queued behind another one of
- * the same key.
+ * Verdict used in messages only, never reported to ops->verdict: the claim is
+ * queued behind another one of the same key.
  */
 #define IDM_QUEUED (IDM_REFUSED + 1)
 
