--- a/src/gat.c
+++ b/src/gat.c
@@ -1,34 +1,37 @@
 #include "gat_int.h"
 
-/* Nothing heard on a connection for so long: it has gone silent. */
+/* A connection is closed after this time without any message. */
 #define GAT_SILENCE_MS 800
-/* A planned stop: the balancer looks once a second and wants two misses. */
-#define GAT_LEAVE_MS 2600
-/* Kept of the grace so that the last answers are out before the end. */
-#define GAT_GRACE_REST_MS 700
-#define GAT_SLOW_MS 15000
+/*
+ * Time between the failing readiness check and the close of the callers'
+ * listener. The load balancer checks once a second and needs two failed checks.
+ */
+#define GAT_DRAIN_NOTICE_MS 2600
+/* Part of the grace period reserved for sending the last answers. */
+#define GAT_GRACE_RESERVE_MS 700
+#define GAT_CLIENT_TIMEOUT_MS 15000
 
 static bool gat_open_http(struct gat *g, GError **err);
 static void gat_on_ready(void *arg, struct srv_req *r);
 static void gat_on_metrics(void *arg, struct srv_req *r);
-static void gat_tell_descriptors(const struct gat *g, GString *out);
-static void gat_no_gone(void *arg, struct srv_req *r);
+static void gat_append_descriptors(const struct gat *g, GString *out);
+static void gat_ignore_disconnect(void *arg, struct srv_req *r);
 static void gat_tick(void *arg, int64_t now);
-static void gat_tick_drain(struct gat *g, int64_t now);
+static void gat_drain_tick(struct gat *g, int64_t now);
 
 static const struct srv_ops gat_srv_ops = {
 	.request = gat_on_request,
-	.gone = gat_on_gone,
+	.gone = gat_on_disconnect,
 };
 
 static const struct srv_ops gat_ready_ops = {
 	.request = gat_on_ready,
-	.gone = gat_no_gone,
+	.gone = gat_ignore_disconnect,
 };
 
 static const struct srv_ops gat_metrics_ops = {
 	.request = gat_on_metrics,
-	.gone = gat_no_gone,
+	.gone = gat_ignore_disconnect,
 };
 
 static const struct cnt_def gat_counters[GAT_COUNTS] = {
@@ -40,9 +43,9 @@
 			 "Requests refused that were sent nowhere"},
 	[GAT_UNKNOWN] = {"endive_entry_unknown_total", "counter",
 			 "Requests whose outcome can't be told"},
-	[GAT_AGAIN] = {"endive_entry_again_total", "counter",
-		       "Requests sent to a second leader"},
-	[GAT_TURNED_AWAY] = {"endive_entry_turned_away_total", "counter",
+	[GAT_RESENT] = {"endive_entry_again_total", "counter",
+			"Requests sent to a second leader"},
+	[GAT_RETRY_LATER] = {"endive_entry_turned_away_total", "counter",
 			     "Answers of a leader that say when to come again"},
 };
 
@@ -52,8 +55,9 @@
 };
 
 /*
- * Starts an entry daemon on config's loop; config's parts must outlive it.
- * NULL with the step that failed.
+ * Starts an entry daemon on config's event loop. What config points to must
+ * outlive it. Returns NULL, with err naming the step that failed, if an address
+ * cannot be opened.
  */
 struct gat *gat_new(const struct gat_config *config, GError **err)
 {
@@ -61,11 +65,11 @@
 	char **p;
 
 	g->config = *config;
-	g->next_no = 1;
+	g->next_id = 1;
 	g->tmr = tmr_new(config->base);
-	g->leaderless_ms = tmr_now(g->tmr);
-	g->cores = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					 gat_core_free);
+	g->leaderless_since_ms = tmr_now(g->tmr);
+	g->replicas = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+					    gat_replica_free);
 	g->calls = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					 gat_call_free);
 	g->wire = wire_new(&(struct wire_config){
@@ -82,14 +86,14 @@
 		return NULL;
 	}
 	for (p = config->seeds; *p; p++)
-		gat_core_add(g, *p);
+		gat_replica_add(g, *p);
 	g->tick = tmr_every(g->tmr, GAT_TICK_MS, gat_tick, g);
 	msg(MSG_START, "node=%s zone=%s callers=%s", config->node, config->zone,
 	    config->callers);
 	return g;
 }
 
-/* Ends it at once; callers that wait see their connections end. */
+/* Frees the daemon at once; connections of waiting callers are closed. */
 void gat_free(struct gat *g)
 {
 	if (!g)
@@ -100,34 +104,34 @@
 	srv_free(g->metrics);
 	wire_free(g->wire);
 	g_hash_table_destroy(g->calls);
-	g_hash_table_destroy(g->cores);
+	g_hash_table_destroy(g->replicas);
 	tmr_free(g->tmr);
 	g_free(g);
 }
 
 /*
- * Planned stop: the balancer is told first; what is open is answered, and the
- * loop ends once nothing is.
+ * Begins a planned stop: readiness checks fail first, requests that are open
+ * are answered, and the event loop ends once no request is left.
  */
 void gat_drain(struct gat *g)
 {
-	if (g->drain_from)
+	if (g->drain_since_ms)
 		return;
-	g->drain_from = tmr_now(g->tmr);
+	g->drain_since_ms = tmr_now(g->tmr);
 	msg(MSG_GAT_DRAIN, "node=%s open=%" PRIu64 " calls=%u", g->config.node,
 	    srv_stats(g->srv).open, g_hash_table_size(g->calls));
 }
 
-/* Other replicas to ask, from changed settings. */
+/* Adds the replicas of changed settings to those that are contacted. */
 void gat_set_seeds(struct gat *g, char **seeds)
 {
 	char **p;
 
 	for (p = seeds; *p; p++)
-		gat_core_add(g, *p);
+		gat_replica_add(g, *p);
 }
 
-/* Opens the addresses for callers, readiness and metrics. */
+/* Opens the listeners for callers, readiness checks and metrics. */
 static bool gat_open_http(struct gat *g, GError **err)
 {
 	struct srv_config c = {
@@ -136,14 +140,14 @@
 		.addr = g->config.callers,
 		.max_body = (uint64_t)g->config.body_max,
 		.max_bytes = (uint64_t)g->config.bodies_max,
-		.slow_ms = GAT_SLOW_MS,
+		.slow_ms = GAT_CLIENT_TIMEOUT_MS,
 		.max_conns = g->config.descriptors->share[FDB_CALLERS],
 	};
 
 	g->srv = srv_new(&c, &gat_srv_ops, g, err);
 	if (!g->srv)
 		return false;
-	/* the balancer and whoever reads metrics, half each */
+	/* half each for readiness checks and metrics */
 	c.max_conns = g->config.descriptors->share[FDB_OPERATORS] / 2;
 	if (g->config.ready) {
 		c.addr = g->config.ready;
@@ -160,15 +164,16 @@
 	return true;
 }
 
-/* Answers whether this daemon takes requests. */
+/* Answers a readiness check: 200 if this daemon accepts requests, else 503. */
 static void gat_on_ready(void *arg, struct srv_req *r)
 {
 	const struct gat *g = arg;
 
-	srv_reply(r, g->leader && !g->drain_from ? 200 : 503, NULL, 0, NULL);
+	srv_reply(r, g->leader && !g->drain_since_ms ? 200 : 503, NULL, 0,
+		  NULL);
 }
 
-/* Answers with the metrics. */
+/* Answers a request for the metrics. */
 static void gat_on_metrics(void *arg, struct srv_req *r)
 {
 	const struct gat *g = arg;
@@ -186,7 +191,7 @@
 		       "Requests, until they were refused", &g->refusals);
 	cnt_times_text(text, "endive_entry_leaderless_seconds",
 		       "Times without a leader", &g->leaderless);
-	gat_tell_descriptors(g, text);
+	gat_append_descriptors(g, text);
 	cnt_process(text);
 	evbuffer_add(body, text->str, text->len);
 	srv_reply(r, 200, &type, 1, body);
@@ -194,8 +199,8 @@
 	g_string_free(text, TRUE);
 }
 
-/* Appends how many descriptors each part has in use, and may have. */
-static void gat_tell_descriptors(const struct gat *g, GString *out)
+/* Appends, for each kind of connection, descriptors in use and their limit. */
+static void gat_append_descriptors(const struct gat *g, GString *out)
 {
 	struct srv_stats callers = srv_stats(g->srv);
 	struct srv_stats metrics = srv_stats(g->metrics);
@@ -212,34 +217,37 @@
 	fdb_text(g->config.descriptors, use, out);
 }
 
-/* For answers that are whole before a caller can leave. */
-static void gat_no_gone(void *arg, struct srv_req *r)
+/* Ignores a disconnect: these requests are answered before one can happen. */
+static void gat_ignore_disconnect(void *arg, struct srv_req *r)
 {
-	/* answered at once */
+	/* nothing is kept for the request */
 }
 
-/* What is looked after from time to time. */
+/* Runs the periodic checks: call timeouts and the progress of a drain. */
 static void gat_tick(void *arg, int64_t now)
 {
 	struct gat *g = arg;
 
 	gat_calls_tick(g, now);
-	if (g->drain_from)
-		gat_tick_drain(g, now);
+	if (g->drain_since_ms)
+		gat_drain_tick(g, now);
 }
 
-/* Ends once no request waits any more. */
-static void gat_tick_drain(struct gat *g, int64_t now)
+/*
+ * Closes the callers' listener once the load balancer has been notified, and
+ * ends the event loop once no connection is open or the grace period ends.
+ */
+static void gat_drain_tick(struct gat *g, int64_t now)
 {
-	int64_t passed = now - g->drain_from;
+	int64_t elapsed_ms = now - g->drain_since_ms;
 
-	if (passed > GAT_LEAVE_MS && !g->closing) {
+	if (elapsed_ms > GAT_DRAIN_NOTICE_MS && !g->closing) {
 		g->closing = true;
 		srv_stop_accepting(g->srv);
 		srv_drain(g->srv);
 	}
 	if ((g->closing && srv_stats(g->srv).open == 0) ||
-	    passed > g->config.grace_ms - GAT_GRACE_REST_MS) {
+	    elapsed_ms > g->config.grace_ms - GAT_GRACE_RESERVE_MS) {
 		msg(MSG_STOP, "node=%s open=%" PRIu64, g->config.node,
 		    srv_stats(g->srv).open);
 		event_base_loopbreak(g->config.base);
--- a/src/gat.h
+++ b/src/gat.h
@@ -1,6 +1,8 @@
 #ifndef GAT_H
 #define GAT_H
 
+/* Entry daemon for job fleets: an HTTP proxy in front of the leading replica. */
+
 #include <event2/event.h>
 #include <glib.h>
 #include <stdbool.h>
@@ -10,9 +12,9 @@
 #include "key.h"
 
 /*
- * The entry daemon of a fleet that runs jobs: takes callers' requests, passes
- * each on to the replica that leads, and gives its answer back. It keeps no
- * state of its own, so that any of them can be lost.
+ * Entry daemon of a fleet that runs jobs: accepts callers' requests, forwards
+ * each to the replica that leads and returns its answer. It keeps no state of
+ * its own, so any entry daemon may be lost.
  */
 struct gat;
 
@@ -22,13 +24,16 @@
 	char *node;
 	char *zone;
 	char *callers; /* IP:PORT */
-	char *ready; /* IP:PORT; the balancer asks there; or NULL */
+	char *ready; /* IP:PORT of the load balancer's readiness check; or NULL */
 	char *metrics; /* IP:PORT; or NULL */
-	char **seeds; /* IP:PORT of replicas to ask first */
-	const char *patience_header; /* how long a caller waits, ms; or NULL */
-	long long body_max; /* bytes */
-	long long grace_ms; /* from a stop until we are killed */
-	long long bodies_max; /* bytes of all at once; 0: no bound */
+	char **seeds; /* IP:PORT of the replicas to contact first */
+	const char *
+		patience_header; /* header with a caller's timeout, ms; or NULL */
+	long long body_max; /* largest request body, bytes */
+	long long
+		grace_ms; /* from a planned stop until this process is killed */
+	long long
+		bodies_max; /* bytes of all request bodies held at once; 0: no limit */
 	const struct fdb *descriptors;
 };
 
--- a/src/gat_call.c
+++ b/src/gat_call.c
@@ -1,25 +1,25 @@
 #include "gat_int.h"
 
 /*
- * How long a call that may have reached a leader that is lost waits for the
- * next one, ms. A change of leader mostly takes longer; the caller then asks
- * again under the same id, which is safe at any entry daemon.
+ * How long a call that may have reached a lost leader waits for the next
+ * leader, ms. A change of leader usually takes longer; the caller then retries
+ * with the same id, which is safe at any entry daemon.
  */
-#define GAT_LEADERLESS_MS 400
-/* A leader answers within some 20 ms; one that doesn't stands still. */
-#define GAT_ANSWER_MS 1500
+#define GAT_LEADER_WAIT_MS 400
+/* A leader answers within about 20 ms; one that takes this long is stalled. */
+#define GAT_ANSWER_TIMEOUT_MS 1500
 /*
- * When callers are told to come back while no leader is known: an election
- * takes about a second; where it has taken longer already, it will about as
- * long again. Callers who come too early use up their tries.
+ * Bounds of Retry-After while no leader is known. An election takes about a
+ * second; one that has lasted longer is expected to last about as long again.
+ * Callers that retry too early use up their retries.
  */
 #define GAT_RETRY_MIN_S 1
 #define GAT_RETRY_MAX_S 4
 
 static struct gat_call *gat_call_new(struct gat *g, struct srv_req *r);
-static void gat_give_up(struct gat *g, struct gat_call *c);
+static void gat_call_refuse(struct gat *g, struct gat_call *c);
 
-/* A caller's request: sent on, or refused at once. */
+/* Forwards a caller's request to the leader, or refuses it if there is none. */
 void gat_on_request(void *arg, struct srv_req *r)
 {
 	struct gat *g = arg;
@@ -29,27 +29,27 @@
 	if (g->leader)
 		gat_call_send(g, c);
 	else
-		gat_give_up(g, c);
+		gat_call_refuse(g, c);
 }
 
-/* Begins to keep a request until its answer. */
+/* Records a request until it is answered. Returns its call. */
 static struct gat_call *gat_call_new(struct gat *g, struct srv_req *r)
 {
 	struct gat_call *c = g_new0(struct gat_call, 1);
 	struct srv_req_info info = srv_info(r);
 	const char *host = srv_header(r, "Host");
-	const char *patience = NULL;
+	const char *timeout = NULL;
 	struct evbuffer *body = srv_body(r);
 	size_t len = evbuffer_get_length(body);
 	char *colon;
 
 	if (g->config.patience_header)
-		patience = srv_header(r, g->config.patience_header);
-	c->no = g->next_no++;
+		timeout = srv_header(r, g->config.patience_header);
+	c->id = g->next_id++;
 	c->req = r;
-	c->came_ms = tmr_now(g->tmr);
-	c->since_ms = c->came_ms;
-	c->patience_ms = patience ? strtoll(patience, NULL, 10) : 0;
+	c->received_ms = tmr_now(g->tmr);
+	c->routed_ms = c->received_ms;
+	c->timeout_ms = timeout ? strtoll(timeout, NULL, 10) : 0;
 	c->host = g_strdup(host ? host : "");
 	colon = strrchr(c->host, ':');
 	if (colon)
@@ -58,11 +58,11 @@
 	c->method = g_strdup(info.method);
 	c->body = g_bytes_new(evbuffer_pullup(body, -1), len);
 	srv_set_user(r, c);
-	g_hash_table_insert(g->calls, &c->no, c);
+	g_hash_table_insert(g->calls, &c->id, c);
 	return c;
 }
 
-/* Forgets a request. */
+/* Frees a call. */
 void gat_call_free(gpointer p)
 {
 	struct gat_call *c = p;
@@ -74,7 +74,7 @@
 	g_free(c);
 }
 
-/* Sends a request to the control daemon that leads, by all we know. */
+/* Sends a call to the replica that leads as far as is known. */
 void gat_call_send(struct gat *g, struct gat_call *c)
 {
 	struct pk_out o;
@@ -84,40 +84,40 @@
 	pk_out_init(&o);
 	pk_arr(&o, 6);
 	pk_u(&o, PROTO_CALL);
-	pk_u(&o, c->no);
+	pk_u(&o, c->id);
 	pk_cstr(&o, c->method);
 	pk_cstr(&o, c->host);
 	pk_cstr(&o, c->path);
 	pk_str(&o, lstr_n(p ? p : "", len));
-	c->since_ms = tmr_now(g->tmr);
+	c->routed_ms = tmr_now(g->tmr);
 	if (wire_send(g->leader->conn, pk_out_view(&o))) {
-		c->core = g->leader;
+		c->replica = g->leader;
 		c->sent = true;
 	}
 	pk_out_done(&o);
 }
 
-/* An answer goes back to its caller. */
+/* Returns a replica's answer to the caller of its request. */
 void gat_call_answer(struct gat *g, struct pk_in *in)
 {
-	uint64_t no = pk_get_u(in);
+	uint64_t id = pk_get_u(in);
 	int status = (int)pk_get_u(in);
 	uint64_t after = pk_get_u(in);
 	struct lstr type = pk_get_str(in);
 	struct lstr body = pk_get_str(in);
-	struct gat_call *c = g_hash_table_lookup(g->calls, &no);
+	struct gat_call *c = g_hash_table_lookup(g->calls, &id);
 	struct ups_header h[2];
 	char type_text[64];
-	char after_text[24];
+	char retry_after_text[24];
 	struct evbuffer *buf;
 	size_t n = 0;
 
 	if (!pk_in_ok(in) || !c)
 		return;
 	if (status == 421) {
-		/* it doesn't lead, and did nothing */
-		c->core = NULL;
-		c->since_ms = tmr_now(g->tmr);
+		/* the replica does not lead and has not run the call */
+		c->replica = NULL;
+		c->routed_ms = tmr_now(g->tmr);
 		return;
 	}
 	if (body.len) {
@@ -126,20 +126,22 @@
 		h[n++] = (struct ups_header){(char *)"Content-Type", type_text};
 	}
 	if (after) {
-		g_snprintf(after_text, sizeof(after_text), "%" PRIu64, after);
-		h[n++] = (struct ups_header){(char *)"Retry-After", after_text};
+		g_snprintf(retry_after_text, sizeof(retry_after_text),
+			   "%" PRIu64, after);
+		h[n++] = (struct ups_header){(char *)"Retry-After",
+					     retry_after_text};
 	}
 	buf = evbuffer_new();
 	evbuffer_add(buf, body.p, body.len);
 	g->counts[GAT_ANSWERS]++;
-	g->counts[GAT_TURNED_AWAY] += after > 0;
-	cnt_time_ms(&g->answers, tmr_now(g->tmr) - c->came_ms);
+	g->counts[GAT_RETRY_LATER] += after > 0;
+	cnt_time_ms(&g->answers, tmr_now(g->tmr) - c->received_ms);
 	srv_reply(c->req, status, h, n, buf);
 	evbuffer_free(buf);
-	g_hash_table_remove(g->calls, &no);
+	g_hash_table_remove(g->calls, &id);
 }
 
-/* Refuses requests that got no answer in time. */
+/* Resends calls that have no replica, and refuses those that have timed out. */
 void gat_calls_tick(struct gat *g, int64_t now)
 {
 	GList *all = g_hash_table_get_values(g->calls);
@@ -147,44 +149,47 @@
 
 	for (i = all; i; i = i->next) {
 		struct gat_call *c = i->data;
-		int64_t held = now - c->since_ms;
+		int64_t waited_ms = now - c->routed_ms;
 
-		if (!c->core && g->leader && held > GAT_TICK_MS)
+		if (!c->replica && g->leader && waited_ms > GAT_TICK_MS)
 			gat_call_send(g, c);
-		else if (held > (c->core ? GAT_ANSWER_MS : GAT_LEADERLESS_MS))
-			gat_give_up(g, c);
+		else if (waited_ms > (c->replica ? GAT_ANSWER_TIMEOUT_MS
+						 : GAT_LEADER_WAIT_MS))
+			gat_call_refuse(g, c);
 	}
 	g_list_free(all);
 }
 
-/* A caller left: nobody waits for the answer. */
-void gat_on_gone(void *arg, struct srv_req *r)
+/* Discards the call of a caller that has disconnected. */
+void gat_on_disconnect(void *arg, struct srv_req *r)
 {
 	struct gat *g = arg;
 	struct gat_call *c = srv_user(r);
 
 	if (c)
-		g_hash_table_remove(g->calls, &c->no);
+		g_hash_table_remove(g->calls, &c->id);
 }
 
 /*
- * The final answer, at once: what was sent nowhere has not run and may come
- * again; of the rest nobody can say, and the caller asks again under its id.
+ * Refuses a call with its final answer. A call that was never sent has not run
+ * and may be retried (503). The outcome of any other call is unknown, and the
+ * caller retries it with its id (504).
  */
-static void gat_give_up(struct gat *g, struct gat_call *c)
+static void gat_call_refuse(struct gat *g, struct gat_call *c)
 {
 	char text[16];
 	struct ups_header after = {(char *)"Retry-After", text};
-	int64_t gone_s = (tmr_now(g->tmr) - g->leaderless_ms) / 1000;
+	int64_t leaderless_s =
+		(tmr_now(g->tmr) - g->leaderless_since_ms) / 1000;
 
 	g_snprintf(text, sizeof(text), "%d",
-		   (int)CLAMP(gone_s, GAT_RETRY_MIN_S, GAT_RETRY_MAX_S));
+		   (int)CLAMP(leaderless_s, GAT_RETRY_MIN_S, GAT_RETRY_MAX_S));
 
 	g->counts[c->sent ? GAT_UNKNOWN : GAT_REFUSED]++;
-	cnt_time_ms(&g->refusals, tmr_now(g->tmr) - c->came_ms);
+	cnt_time_ms(&g->refusals, tmr_now(g->tmr) - c->received_ms);
 	msg_job_fails(c->sent ? MSG_GAT_UNKNOWN : MSG_GAT_REFUSED, c->path,
 		      "method=%s path=%s why=\"no leader\" held_ms=%" PRId64,
-		      c->method, c->path, tmr_now(g->tmr) - c->came_ms);
+		      c->method, c->path, tmr_now(g->tmr) - c->received_ms);
 	srv_reply(c->req, c->sent ? 504 : 503, &after, 1, NULL);
-	g_hash_table_remove(g->calls, &c->no);
+	g_hash_table_remove(g->calls, &c->id);
 }
--- a/src/gat_int.h
+++ b/src/gat_int.h
@@ -19,26 +19,27 @@
  * leads), gat (the daemon itself).
  */
 
-/* How often calls on their way are looked after. */
+/* Interval at which pending calls are checked for timeouts. */
 #define GAT_TICK_MS 50
 
-/* A replica. */
-struct gat_core {
+/* A replica (control daemon) and the connection to it. */
+struct gat_replica {
 	struct gat *g;
 	char *addr;
 	struct wire_conn *conn;
-	uint64_t term; /* in which it says that it leads; 0: it doesn't */
+	uint64_t term; /* in which the replica claims to lead; 0: it does not */
 };
 
-/* A caller's request whose answer is due. */
+/* A caller's request that is not answered yet. */
 struct gat_call {
-	uint64_t no;
+	uint64_t id;
 	struct srv_req *req;
-	struct gat_core *core; /* it was sent to; NULL: waits for a leader */
-	bool sent; /* it may have been carried out */
-	int64_t came_ms;
-	int64_t since_ms; /* of the last change of core */
-	int64_t patience_ms;
+	struct gat_replica
+		*replica; /* the call was sent to; NULL: waits for a leader */
+	bool sent; /* the call may have been carried out */
+	int64_t received_ms;
+	int64_t routed_ms; /* time of the last change of replica */
+	int64_t timeout_ms;
 	char *host;
 	char *path;
 	char *method;
@@ -50,8 +51,8 @@
 	GAT_ANSWERS,
 	GAT_REFUSED,
 	GAT_UNKNOWN,
-	GAT_AGAIN,
-	GAT_TURNED_AWAY,
+	GAT_RESENT,
+	GAT_RETRY_LATER,
 	GAT_COUNTS
 };
 
@@ -62,18 +63,20 @@
 	struct srv *srv;
 	struct srv *ready;
 	struct srv *metrics;
-	GHashTable *cores; /* address: struct gat_core */
-	GHashTable *calls; /* no: struct gat_call */
-	struct gat_core *leader;
-	int64_t leaderless_ms; /* since; while there is no leader */
-	uint64_t next_no;
+	GHashTable *replicas; /* address: struct gat_replica */
+	GHashTable *calls; /* id: struct gat_call */
+	struct gat_replica *leader;
+	int64_t leaderless_since_ms; /* start of the time without a leader; while there is none */
+	uint64_t next_id;
 	uint64_t tick;
-	int64_t drain_from; /* 0: not draining */
+	int64_t drain_since_ms; /* start of the planned stop; 0: not draining */
 	bool closing;
 	uint64_t counts[GAT_COUNTS];
-	struct cnt_times answers; /* a request's, until its answer */
-	struct cnt_times refusals; /* the same of refused and unknown ones */
-	struct cnt_times leaderless; /* how long no leader was known */
+	struct cnt_times answers; /* time from a request to its answer */
+	struct cnt_times
+		refusals; /* the same for refused requests and unknown outcomes */
+	struct cnt_times
+		leaderless; /* lengths of the times without a known leader */
 };
 
 /* gat_call */
@@ -82,10 +85,10 @@
 void gat_call_send(struct gat *g, struct gat_call *c);
 void gat_call_answer(struct gat *g, struct pk_in *in);
 void gat_calls_tick(struct gat *g, int64_t now);
-void gat_on_gone(void *arg, struct srv_req *r);
+void gat_on_disconnect(void *arg, struct srv_req *r);
 /* gat_core */
 extern const struct wire_ops gat_wire_ops;
-void gat_core_add(struct gat *g, const char *addr);
-void gat_core_free(gpointer p);
+void gat_replica_add(struct gat *g, const char *addr);
+void gat_replica_free(gpointer p);
 
 #endif
--- a/tests/unit/gat_test.c
+++ b/tests/unit/gat_test.c
@@ -14,38 +14,38 @@
 
 #define REPLICAS 2
 #define WAIT_MS 10000
-/* For what must not happen, or happens in one turn of the loop. */
+/* Time in which an unwanted event would show; it takes one loop iteration. */
 #define SETTLE_MS 200
 
-struct bed;
+struct fixture;
 
-/* A stand-in replica that answers as it is told. */
+/* A replica that answers as the test demands. */
 struct replica {
-	struct bed *bed;
+	struct fixture *fixture;
 	struct wire *wire;
-	struct wire_conn *conn; /* of the entry daemon */
+	struct wire_conn *conn; /* to the entry daemon */
 	char addr[32];
-	bool leads;
+	bool is_leader;
 	uint64_t term;
 	int calls;
-	uint64_t no; /* of the newest call */
+	uint64_t call_id; /* of the newest call */
 	GString *path; /* of the newest call */
 };
 
-struct bed {
+struct fixture {
 	struct event_base *base;
 	struct tmr *tmr;
 	struct keyring *keys;
 	char *seeds[REPLICAS + 1];
 	struct replica replicas[REPLICAS];
 	struct gat *gat;
-	int callers;
+	int callers_port;
 	char callers_addr[32];
 	char wire_addr[32];
 };
 
-/* Tells the entry daemon whether this replica leads. */
-static void tell(struct replica *r)
+/* Sends the entry daemon whether this replica leads. */
+static void send_leader(struct replica *r)
 {
 	struct pk_out o;
 
@@ -55,39 +55,39 @@
 	pk_arr(&o, 4);
 	pk_u(&o, PROTO_LEADER);
 	pk_u(&o, r->term);
-	pk_cstr(&o, r->leads ? r->addr : "");
+	pk_cstr(&o, r->is_leader ? r->addr : "");
 	pk_arr(&o, 0);
 	wire_send(r->conn, pk_out_view(&o));
 	pk_out_done(&o);
 }
 
-static void lead(struct replica *r, uint64_t term)
+static void become_leader(struct replica *r, uint64_t term)
 {
-	r->leads = true;
+	r->is_leader = true;
 	r->term = term;
-	tell(r);
-	net_run(r->bed->base, SETTLE_MS);
+	send_leader(r);
+	net_run(r->fixture->base, SETTLE_MS);
 }
 
-/* Runs the loop until so many calls have come to a replica. */
-static void wait_calls(struct replica *r, int calls)
+/* Runs the loop until a replica has received this many calls. */
+static void wait_for_calls(struct replica *r, int calls)
 {
 	int i;
 
 	for (i = 0; i < WAIT_MS && r->calls < calls; i++)
-		net_run(r->bed->base, 1);
+		net_run(r->fixture->base, 1);
 	assert_int_equal(r->calls, calls);
 }
 
-static void answer(struct replica *r, uint64_t status, uint64_t after_s,
-		   const char *body)
+static void send_answer(struct replica *r, uint64_t status, uint64_t after_s,
+			const char *body)
 {
 	struct pk_out o;
 
 	pk_out_init(&o);
 	pk_arr(&o, 6);
 	pk_u(&o, PROTO_ANSWER);
-	pk_u(&o, r->no);
+	pk_u(&o, r->call_id);
 	pk_u(&o, status);
 	pk_u(&o, after_s);
 	pk_cstr(&o, "text/plain");
@@ -101,7 +101,7 @@
 	struct replica *r = arg;
 
 	r->conn = conn;
-	tell(r);
+	send_leader(r);
 }
 
 static void replica_recv(void *arg, struct wire_conn *conn, struct lstr payload)
@@ -113,7 +113,7 @@
 	assert_true(pk_in_init(&in, payload));
 	if (pk_get_u(&in) == PROTO_CALL) {
 		r->calls++;
-		r->no = pk_get_u(&in);
+		r->call_id = pk_get_u(&in);
 		pk_get_str(&in); /* method */
 		pk_get_str(&in); /* host */
 		path = pk_get_str(&in);
@@ -142,9 +142,9 @@
 	GError *err = NULL;
 
 	r->wire = wire_new(&(struct wire_config){
-		.base = r->bed->base,
-		.tmr = r->bed->tmr,
-		.keys = r->bed->keys,
+		.base = r->fixture->base,
+		.tmr = r->fixture->tmr,
+		.keys = r->fixture->keys,
 		.node = "replica",
 		.zone = "z",
 		.silence_ms = 5000,
@@ -153,8 +153,8 @@
 			 0);
 }
 
-/* A replica's process ends. */
-static void replica_die(struct replica *r)
+/* Ends a replica's process: its connections close. */
+static void replica_stop(struct replica *r)
 {
 	wire_free(r->wire);
 	r->wire = NULL;
@@ -171,69 +171,69 @@
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
+	struct fixture *f = g_new0(struct fixture, 1);
 	char node[] = "e";
 	char zone[] = "z";
 	GError *err = NULL;
 	int port;
 	int i;
 
-	b->base = event_base_new();
-	b->tmr = tmr_new(b->base);
-	b->keys = keyring_open_network();
+	f->base = event_base_new();
+	f->tmr = tmr_new(f->base);
+	f->keys = keyring_open_network();
 	for (i = 0; i < REPLICAS; i++) {
-		struct replica *r = &b->replicas[i];
+		struct replica *r = &f->replicas[i];
 
-		r->bed = b;
+		r->fixture = f;
 		r->path = g_string_new(NULL);
 		addr_of_free_port(r->addr, sizeof(r->addr), &port);
-		b->seeds[i] = r->addr;
+		f->seeds[i] = r->addr;
 		replica_start(r);
 	}
-	addr_of_free_port(b->callers_addr, sizeof(b->callers_addr),
-			  &b->callers);
-	b->gat = gat_new(
+	addr_of_free_port(f->callers_addr, sizeof(f->callers_addr),
+			  &f->callers_port);
+	f->gat = gat_new(
 		&(struct gat_config){
-			.base = b->base,
-			.keys = b->keys,
+			.base = f->base,
+			.keys = f->keys,
 			.node = node,
 			.zone = zone,
-			.callers = b->callers_addr,
-			.seeds = b->seeds,
+			.callers = f->callers_addr,
+			.seeds = f->seeds,
 			.body_max = 1000,
 			.grace_ms = 5000,
 			.descriptors = &net_descriptors,
 		},
 		&err);
-	assert_non_null(b->gat);
+	assert_non_null(f->gat);
 	for (i = 0;
-	     i < WAIT_MS && !(b->replicas[0].conn && b->replicas[1].conn); i++)
-		net_run(b->base, 1);
-	*state = b;
+	     i < WAIT_MS && !(f->replicas[0].conn && f->replicas[1].conn); i++)
+		net_run(f->base, 1);
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int i;
 
-	gat_free(b->gat);
+	gat_free(f->gat);
 	for (i = 0; i < REPLICAS; i++) {
-		wire_free(b->replicas[i].wire);
-		g_string_free(b->replicas[i].path, TRUE);
+		wire_free(f->replicas[i].wire);
+		g_string_free(f->replicas[i].path, TRUE);
 	}
-	keyring_free(b->keys);
-	tmr_free(b->tmr);
-	event_base_free(b->base);
-	g_free(b);
+	keyring_free(f->keys);
+	tmr_free(f->tmr);
+	event_base_free(f->base);
+	g_free(f);
 	return 0;
 }
 
-/* A caller hands a job in. */
-static int ask(struct bed *b)
+/* Submits a job as a caller. Returns the caller's socket. */
+static int submit_job(struct fixture *f)
 {
-	int fd = net_dial(b->callers);
+	int fd = net_dial(f->callers_port);
 
 	net_send(fd,
 		 "POST /q/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}",
@@ -241,22 +241,23 @@
 	return fd;
 }
 
-/* A caller hands a job in, and it has come to the first replica, which leads. */
-static int ask_leader(struct bed *b)
+/* Submits a job that reaches the first replica, which leads. */
+static int submit_job_to_leader(struct fixture *f)
 {
 	int fd;
 
-	lead(&b->replicas[0], 1);
-	fd = ask(b);
-	wait_calls(&b->replicas[0], 1);
+	become_leader(&f->replicas[0], 1);
+	fd = submit_job(f);
+	wait_for_calls(&f->replicas[0], 1);
 	return fd;
 }
 
-/* The whole answer; the test fails if none comes. */
-static void expect(struct bed *b, int fd, const char *first, const char *part)
+/* Reads a whole answer and checks its start and a part of it. */
+static void expect_answer(struct fixture *f, int fd, const char *first,
+			  const char *part)
 {
 	bool closed = false;
-	GString *got = net_read(b->base, fd, "\r\n\r\n", WAIT_MS, &closed);
+	GString *got = net_read(f->base, fd, "\r\n\r\n", WAIT_MS, &closed);
 
 	assert_true(g_str_has_prefix(got->str, first));
 	if (part)
@@ -265,115 +266,118 @@
 	close(fd);
 }
 
-static void the_leader_answers(void **state)
+static void forwards_answer_of_leader(void **state)
 {
-	struct bed *b = *state;
-	struct replica *r = &b->replicas[0];
-	int fd = ask_leader(b);
+	struct fixture *f = *state;
+	struct replica *r = &f->replicas[0];
+	int fd = submit_job_to_leader(f);
 
 	assert_string_equal(r->path->str, "/q/1");
-	answer(r, 429, 7, "later");
-	expect(b, fd, "HTTP/1.1 429", "Retry-After: 7");
+	send_answer(r, 429, 7, "later");
+	expect_answer(f, fd, "HTTP/1.1 429", "Retry-After: 7");
 }
 
 /*
- * Callers wait for nothing. No leader is known; a request is refused at once,
- * as not run, and is told when an election will be over.
+ * Guards against requests that wait while no leader is known. Such a request is
+ * refused at once as not run, and Retry-After covers an election.
  */
-static void without_a_leader_a_request_is_refused_at_once(void **state)
+static void refuses_request_without_leader(void **state)
 {
-	struct bed *b = *state;
-	int fd = ask(b);
+	struct fixture *f = *state;
+	int fd = submit_job(f);
 
-	expect(b, fd, "HTTP/1.1 503", "Retry-After: 1");
-	assert_int_equal(b->replicas[0].calls + b->replicas[1].calls, 0);
+	expect_answer(f, fd, "HTTP/1.1 503", "Retry-After: 1");
+	assert_int_equal(f->replicas[0].calls + f->replicas[1].calls, 0);
 }
 
 /*
- * The leader is killed with a request on its way to it, and another leads soon
- * after: the request goes there, and its caller sees nothing of it.
+ * Guards against errors at callers when the leader is killed with a request
+ * under way: the request is sent to the next leader.
  */
-static void a_request_goes_on_to_the_next_leader(void **state)
+static void resends_request_to_next_leader(void **state)
 {
-	struct bed *b = *state;
-	int fd = ask_leader(b);
-
-	replica_die(&b->replicas[0]);
-	lead(&b->replicas[1], 2);
-	wait_calls(&b->replicas[1], 1);
-	answer(&b->replicas[1], 201, 0, "ok");
-	expect(b, fd, "HTTP/1.1 201", NULL);
+	struct fixture *f = *state;
+	int fd = submit_job_to_leader(f);
+
+	replica_stop(&f->replicas[0]);
+	become_leader(&f->replicas[1], 2);
+	wait_for_calls(&f->replicas[1], 1);
+	send_answer(&f->replicas[1], 201, 0, "ok");
+	expect_answer(f, fd, "HTTP/1.1 201", NULL);
 }
 
 /*
- * The leader is killed with a request on its way and nobody follows. Whether it
- * was carried out isn't known: the caller must not be told that it was not.
+ * Guards against a request reported as not run although a leader that was
+ * killed may have run it. No other leader follows, so the outcome is unknown.
  */
-static void a_sent_request_without_an_answer_is_unknown(void **state)
+static void unanswered_request_has_unknown_outcome(void **state)
 {
-	struct bed *b = *state;
-	int fd = ask_leader(b);
+	struct fixture *f = *state;
+	int fd = submit_job_to_leader(f);
 
-	replica_die(&b->replicas[0]);
-	expect(b, fd, "HTTP/1.1 504", "Retry-After:");
+	replica_stop(&f->replicas[0]);
+	expect_answer(f, fd, "HTTP/1.1 504", "Retry-After:");
 }
 
-/* Two replicas say that they lead: which of them gets a request. */
-static void expect_leader(struct bed *b, uint64_t first, uint64_t second,
-			  int leader)
+/* Checks which of two replicas that claim to lead receives a request. */
+static void expect_request_sent_to(struct fixture *f, uint64_t first,
+				   uint64_t second, int leader)
 {
-	struct replica *r = &b->replicas[leader];
+	struct replica *r = &f->replicas[leader];
 	int fd;
 
-	lead(&b->replicas[0], first);
-	lead(&b->replicas[1], second);
-	fd = ask(b);
-	wait_calls(r, 1);
-	assert_int_equal(b->replicas[1 - leader].calls, 0);
-	answer(r, 200, 0, "");
-	expect(b, fd, "HTTP/1.1 200", NULL);
+	become_leader(&f->replicas[0], first);
+	become_leader(&f->replicas[1], second);
+	fd = submit_job(f);
+	wait_for_calls(r, 1);
+	assert_int_equal(f->replicas[1 - leader].calls, 0);
+	send_answer(r, 200, 0, "");
+	expect_answer(f, fd, "HTTP/1.1 200", NULL);
 }
 
 /*
- * A replica that was frozen while another took its place still says that it
- * leads. What is sent there waits for an answer that doesn't come.
+ * Guards against requests sent to a replaced leader. After a process pause it
+ * still claims to lead, and requests sent to it get no answer.
  */
-static void the_newer_leader_counts(void **state)
+static void chooses_leader_of_higher_term(void **state)
 {
-	expect_leader(*state, 1, 2, 1);
+	expect_request_sent_to(*state, 1, 2, 1);
 }
 
-static void an_older_leader_that_speaks_later_does_not(void **state)
+static void ignores_later_claim_of_lower_term(void **state)
 {
-	expect_leader(*state, 2, 1, 0);
+	expect_request_sent_to(*state, 2, 1, 0);
 }
 
-/* One that says that it doesn't lead did nothing: the request is sent again. */
-static void a_replica_that_does_not_lead_is_left(void **state)
+/*
+ * Guards against a request lost at a replica that does not lead: such a replica
+ * has not run it, so it is sent again.
+ */
+static void resends_request_answered_by_nonleader(void **state)
 {
-	struct bed *b = *state;
-	int fd = ask_leader(b);
-
-	answer(&b->replicas[0], 421, 0, "");
-	lead(&b->replicas[1], 2);
-	wait_calls(&b->replicas[1], 1);
-	answer(&b->replicas[1], 202, 0, "");
-	expect(b, fd, "HTTP/1.1 202", NULL);
+	struct fixture *f = *state;
+	int fd = submit_job_to_leader(f);
+
+	send_answer(&f->replicas[0], 421, 0, "");
+	become_leader(&f->replicas[1], 2);
+	wait_for_calls(&f->replicas[1], 1);
+	send_answer(&f->replicas[1], 202, 0, "");
+	expect_answer(f, fd, "HTTP/1.1 202", NULL);
 }
 
-/* An answer to a caller who has left is let go. */
-static void a_caller_may_leave(void **state)
+/* Guards against a late answer that is sent to another caller's request. */
+static void discards_answer_after_caller_disconnects(void **state)
 {
-	struct bed *b = *state;
-	int fd = ask_leader(b);
+	struct fixture *f = *state;
+	int fd = submit_job_to_leader(f);
 
 	close(fd);
-	net_run(b->base, SETTLE_MS);
-	answer(&b->replicas[0], 200, 0, "late");
-	fd = ask(b);
-	wait_calls(&b->replicas[0], 2);
-	answer(&b->replicas[0], 200, 0, "");
-	expect(b, fd, "HTTP/1.1 200", NULL);
+	net_run(f->base, SETTLE_MS);
+	send_answer(&f->replicas[0], 200, 0, "late");
+	fd = submit_job(f);
+	wait_for_calls(&f->replicas[0], 2);
+	send_answer(&f->replicas[0], 200, 0, "");
+	expect_answer(f, fd, "HTTP/1.1 200", NULL);
 }
 
 #define T(fn) cmocka_unit_test_setup_teardown(fn, setup, teardown)
@@ -381,14 +385,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		T(the_leader_answers),
-		T(without_a_leader_a_request_is_refused_at_once),
-		T(a_request_goes_on_to_the_next_leader),
-		T(a_sent_request_without_an_answer_is_unknown),
-		T(the_newer_leader_counts),
-		T(an_older_leader_that_speaks_later_does_not),
-		T(a_replica_that_does_not_lead_is_left),
-		T(a_caller_may_leave),
+		T(forwards_answer_of_leader),
+		T(refuses_request_without_leader),
+		T(resends_request_to_next_leader),
+		T(unanswered_request_has_unknown_outcome),
+		T(chooses_leader_of_higher_term),
+		T(ignores_later_claim_of_lower_term),
+		T(resends_request_answered_by_nonleader),
+		T(discards_answer_after_caller_disconnects),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
