--- a/src/rly.c
+++ b/src/rly.c
@@ -2,37 +2,42 @@
 
 #include "proto.h"
 
-/* How often calls without a word of their carrier are looked for, ms. */
+/* Interval at which calls are checked for a missing report, ms. */
 #define RLY_TICK_MS 50
-/* What the way to a carrier and back may take beyond a call's limit, ms. */
-#define RLY_WAY_MS 250
-/* Bytes of a batch that goes at once. */
-#define RLY_BATCH_MAX (128u << 10)
+/*
+ * Time allowed for the messages to and from a relay beyond a call's own time
+ * limit, ms.
+ */
+#define RLY_ROUND_TRIP_MS 250
+/* Size from which a batch is sent at once, bytes. */
+#define RLY_BATCH_FLUSH_BYTES (128u << 10)
+
+/*
+ * A relay that has sent nothing for this time gets no calls, ms: three times
+ * the interval between two requests for its clock.
+ */
+#define RLY_PEER_TIMEOUT_MS 600
 
 /*
- * A carrier that has told nothing for so long isn't given calls, ms: three times
- * as long as between two questions.
+ * A relay as the leader knows it: its clock, and the calls not sent to it yet.
  */
-#define RLY_HEARD_MS 600
-
-/* A carrier: its clock, and calls for it that are not sent yet. */
-struct rly_way {
-	int64_t clock_ms; /* as it told last, */
-	int64_t heard_ms; /* and when; 0: never */
-	int64_t ahead_ms; /* its clock less ours, as far as is known */
-	struct pk_out calls; /* one after another */
-	GArray *nos; /* their numbers, uint64_t */
+struct rly_peer {
+	int64_t clock_ms; /* the relay's clock in its newest message */
+	int64_t heard_ms; /* time of that message; 0: none yet */
+	int64_t offset_ms; /* estimate of the relay's clock minus ours */
+	struct pk_out calls; /* packed one after another */
+	GArray *ids; /* their ids, uint64_t */
 };
 
 struct rly {
 	struct tmr *tmr;
 	const struct rly_ops *ops;
 	void *arg;
-	GHashTable *calls; /* number: struct rly_call */
-	GHashTable *ways; /* address: struct rly_way */
-	uint64_t term; /* in which we lead */
-	struct evbuffer *body; /* of the answer that is being told */
-	uint64_t next_no;
+	GHashTable *calls; /* id: struct rly_call */
+	GHashTable *peers; /* address: struct rly_peer */
+	uint64_t term; /* in which this replica leads */
+	struct evbuffer *body; /* of the answer that is being delivered */
+	uint64_t next_id;
 	uint64_t flush_timer;
 	uint64_t tick;
 	struct rly_stats stats;
@@ -40,25 +45,27 @@
 
 struct rly_call {
 	struct rly *r;
-	uint64_t no;
+	uint64_t id;
 	const struct ups_ops *ops;
 	void *arg;
-	int64_t until_ms; /* it is lost then */
+	int64_t deadline_ms; /* the call counts as lost from then on */
 };
 
-static struct rly_way *rly_way_of(struct rly *r, const char *carrier);
-static void rly_way_free(gpointer arg);
-static void rly_heard(struct rly_way *w, int64_t clock_ms, int64_t now);
-static void rly_put(struct rly_way *w, uint64_t no,
-		    const struct ups_request *q);
+static struct rly_peer *rly_peer_get(struct rly *r, const char *relay);
+static void rly_peer_free(gpointer arg);
+static void rly_peer_update_clock(struct rly_peer *p, int64_t clock_ms,
+				  int64_t now);
+static void rly_peer_queue_call(struct rly_peer *p, uint64_t id,
+				const struct ups_request *q);
 static void rly_flush(void *arg, int64_t now);
-static void rly_send(struct rly *r, const char *carrier, struct rly_way *w);
-static void rly_clear(struct rly_way *w);
+static void rly_send_batch(struct rly *r, const char *relay,
+			   struct rly_peer *p);
+static void rly_peer_clear(struct rly_peer *p);
 static void rly_tick(void *arg, int64_t now);
-static void rly_end(struct rly *r, uint64_t no, enum ups_end end,
-		    const struct ups_answer *a);
+static void rly_call_end(struct rly *r, uint64_t id, enum ups_end end,
+			 const struct ups_answer *a);
 
-/* Calls by way of carriers that ops reaches. */
+/* Returns the leader's side of relaying; ops reaches the relays. */
 struct rly *rly_new(struct tmr *tmr, const struct rly_ops *ops, void *arg)
 {
 	struct rly *r = g_new0(struct rly, 1);
@@ -66,17 +73,17 @@
 	r->tmr = tmr;
 	r->ops = ops;
 	r->arg = arg;
-	r->next_no = 1;
+	r->next_id = 1;
 	r->calls = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					 g_free);
-	r->ways = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					rly_way_free);
+	r->peers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					 rly_peer_free);
 	r->body = evbuffer_new();
 	r->tick = tmr_every(tmr, RLY_TICK_MS, rly_tick, r);
 	return r;
 }
 
-/* Frees it; calls that are open end without being told. */
+/* Frees the leader's side. Open calls end without a callback. */
 void rly_free(struct rly *r)
 {
 	if (!r)
@@ -84,40 +91,40 @@
 	tmr_cancel(r->tmr, r->tick);
 	tmr_cancel(r->tmr, r->flush_timer);
 	evbuffer_free(r->body);
-	g_hash_table_destroy(r->ways);
+	g_hash_table_destroy(r->peers);
 	g_hash_table_destroy(r->calls);
 	g_free(r);
 }
 
 /*
- * Has a carrier make a call. Its end is told once by ops->end, as by ups_start,
- * unless rly_cancel comes first; UPS_LOST where the carrier told none, and the
- * call may or may not have been made.
+ * Has a relay make a call. ops->end is called once with its end, as by
+ * ups_start, unless rly_cancel comes first. The end is UPS_LOST if the relay
+ * reported none; the call may or may not have been made then.
  */
-struct rly_call *rly_start(struct rly *r, const char *carrier,
+struct rly_call *rly_start(struct rly *r, const char *relay,
 			   const struct ups_request *q,
 			   const struct ups_ops *ops, void *arg)
 {
-	struct rly_way *w = rly_way_of(r, carrier);
+	struct rly_peer *p = rly_peer_get(r, relay);
 	struct rly_call *c = g_new0(struct rly_call, 1);
 
 	c->r = r;
-	c->no = r->next_no++;
+	c->id = r->next_id++;
 	c->ops = ops;
 	c->arg = arg;
-	c->until_ms = tmr_now(r->tmr) + q->timeout_ms + RLY_WAY_MS;
-	g_hash_table_insert(r->calls, &c->no, c);
-	rly_put(w, c->no, q);
-	g_array_append_val(w->nos, c->no);
+	c->deadline_ms = tmr_now(r->tmr) + q->timeout_ms + RLY_ROUND_TRIP_MS;
+	g_hash_table_insert(r->calls, &c->id, c);
+	rly_peer_queue_call(p, c->id, q);
+	g_array_append_val(p->ids, c->id);
 	r->stats.calls++;
 	if (!r->flush_timer)
 		r->flush_timer = tmr_once(r->tmr, 0, rly_flush, r);
-	if (w->calls.buf.size > RLY_BATCH_MAX)
-		rly_send(r, carrier, w);
+	if (p->calls.buf.size > RLY_BATCH_FLUSH_BYTES)
+		rly_send_batch(r, relay, p);
 	return c;
 }
 
-/* We lead in a term: calls go out under it. */
+/* Sets the term in which this replica leads and sends calls. */
 void rly_lead(struct rly *r, uint64_t term)
 {
 	rly_rest(r);
@@ -125,59 +132,60 @@
 }
 
 /*
- * We don't lead any more: what waits to be sent isn't. Under the term that we
- * know by then a carrier would take it for another leader's.
+ * Drops the calls that are not sent yet when this replica loses the leadership.
+ * Sent with the term known by then, a relay would take them for another
+ * leader's.
  */
 void rly_rest(struct rly *r)
 {
 	GHashTableIter it;
-	struct rly_way *w;
+	struct rly_peer *p;
 
-	g_hash_table_iter_init(&it, r->ways);
-	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&w))
-		rly_clear(w);
+	g_hash_table_iter_init(&it, r->peers);
+	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&p))
+		rly_peer_clear(p);
 }
 
 /*
- * Asks a replica for its clock, with which calls to it are marked. It is to be
- * asked often: one that tells nothing is given no calls.
+ * Requests a relay's clock, by which calls to it are timestamped. To be called
+ * often: a relay that answers nothing gets no calls.
  */
-void rly_ask(struct rly *r, const char *carrier)
+void rly_ask(struct rly *r, const char *relay)
 {
-	rly_send(r, carrier, rly_way_of(r, carrier));
+	rly_send_batch(r, relay, rly_peer_get(r, relay));
 }
 
-/* Whether a replica that was asked has answered of late. */
-bool rly_ready(const struct rly *r, const char *carrier)
+/* Whether a relay has answered a recent request. */
+bool rly_ready(const struct rly *r, const char *relay)
 {
-	const struct rly_way *w = g_hash_table_lookup(r->ways, carrier);
+	const struct rly_peer *p = g_hash_table_lookup(r->peers, relay);
 
-	return w && w->heard_ms &&
-	       tmr_now(r->tmr) - w->heard_ms <= RLY_HEARD_MS;
+	return p && p->heard_ms &&
+	       tmr_now(r->tmr) - p->heard_ms <= RLY_PEER_TIMEOUT_MS;
 }
 
-/* Forgets a call: its end is not told. */
+/* Cancels a call: its end is not reported. */
 void rly_cancel(struct rly_call *c)
 {
-	g_hash_table_remove(c->r->calls, &c->no);
+	g_hash_table_remove(c->r->calls, &c->id);
 }
 
 /*
- * A carrier tells its clock, and what became of calls:
- * [clock, [[number, end, status, body]...]]
+ * Handles a relay's message with its clock and the ends of calls: [clock, [[id,
+ * end, status, body]...]]
  */
-void rly_answers(struct rly *r, const char *carrier, struct pk_in *in)
+void rly_answers(struct rly *r, const char *relay, struct pk_in *in)
 {
 	int64_t clock_ms = pk_get_i(in);
 	struct pk_in rows = pk_get_arr(in);
-	struct rly_way *w = g_hash_table_lookup(r->ways, carrier);
+	struct rly_peer *p = g_hash_table_lookup(r->peers, relay);
 
-	if (!pk_in_ok(in) || !w)
+	if (!pk_in_ok(in) || !p)
 		return;
-	rly_heard(w, clock_ms, tmr_now(r->tmr));
+	rly_peer_update_clock(p, clock_ms, tmr_now(r->tmr));
 	while (pk_in_ok(&rows) && pk_in_left(&rows)) {
 		struct pk_in row = pk_get_arr(&rows);
-		uint64_t no = pk_get_u(&row);
+		uint64_t id = pk_get_u(&row);
 		uint64_t end = pk_get_u(&row);
 		struct ups_answer a = {.status = (int)pk_get_u(&row)};
 		struct lstr body = pk_get_str(&row);
@@ -186,139 +194,145 @@
 			return;
 		evbuffer_add(r->body, body.p, body.len);
 		a.body = r->body;
-		rly_end(r, no, (enum ups_end)end, &a);
+		rly_call_end(r, id, (enum ups_end)end, &a);
 		evbuffer_drain(r->body, evbuffer_get_length(r->body));
 	}
 }
 
 /*
- * A carrier told its clock. What an answer takes to be read makes the clock look
- * behind, never ahead: the largest difference is the best, so that answers which
- * lie in the sockets of a busy leader make no call look old. Clocks may differ
- * by 1 in 50 in how fast they go; one that goes back began anew.
+ * Updates the estimate of a relay's clock. A delay in reading its message makes
+ * the clock look behind, never ahead, so the largest difference is the best
+ * estimate: answers that wait in the sockets of a busy leader make no call look
+ * old. The rates of two clocks may differ by 1 in 50; a clock that went
+ * backwards has been restarted.
  */
-static void rly_heard(struct rly_way *w, int64_t clock_ms, int64_t now)
+static void rly_peer_update_clock(struct rly_peer *p, int64_t clock_ms,
+				  int64_t now)
 {
-	int64_t ahead = clock_ms - now;
-
-	if (w->heard_ms && clock_ms >= w->clock_ms)
-		ahead = MAX(ahead, w->ahead_ms - (now - w->heard_ms) / 50);
-	w->ahead_ms = ahead;
-	w->clock_ms = clock_ms;
-	w->heard_ms = now;
+	int64_t offset_ms = clock_ms - now;
+
+	if (p->heard_ms && clock_ms >= p->clock_ms)
+		offset_ms =
+			MAX(offset_ms, p->offset_ms - (now - p->heard_ms) / 50);
+	p->offset_ms = offset_ms;
+	p->clock_ms = clock_ms;
+	p->heard_ms = now;
 }
 
-/* Counters since the start. */
+/* Returns the counters since the start. */
 struct rly_stats rly_stats(const struct rly *r)
 {
 	return r->stats;
 }
 
-/* What is kept of a carrier, begun here if it is new. */
-static struct rly_way *rly_way_of(struct rly *r, const char *carrier)
+/* Returns a relay's record, which is created if there is none. */
+static struct rly_peer *rly_peer_get(struct rly *r, const char *relay)
 {
-	struct rly_way *w = g_hash_table_lookup(r->ways, carrier);
-
-	if (w)
-		return w;
-	w = g_new0(struct rly_way, 1);
-	pk_out_init(&w->calls);
-	w->nos = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	g_hash_table_insert(r->ways, g_strdup(carrier), w);
-	return w;
+	struct rly_peer *p = g_hash_table_lookup(r->peers, relay);
+
+	if (p)
+		return p;
+	p = g_new0(struct rly_peer, 1);
+	pk_out_init(&p->calls);
+	p->ids = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	g_hash_table_insert(r->peers, g_strdup(relay), p);
+	return p;
 }
 
-/* Frees what is kept of a carrier. */
-static void rly_way_free(gpointer arg)
+/* Frees a relay's record. */
+static void rly_peer_free(gpointer arg)
 {
-	struct rly_way *w = arg;
+	struct rly_peer *p = arg;
 
-	pk_out_done(&w->calls);
-	g_array_free(w->nos, TRUE);
-	g_free(w);
+	pk_out_done(&p->calls);
+	g_array_free(p->ids, TRUE);
+	g_free(p);
 }
 
-/* [number, address, path, limit, limit to connect, urgent, most, headers, body] */
-static void rly_put(struct rly_way *w, uint64_t no, const struct ups_request *q)
+/*
+ * Queues a call for a relay: [id, address, path, time limit, connect limit,
+ * urgent, largest answer, headers, body]
+ */
+static void rly_peer_queue_call(struct rly_peer *p, uint64_t id,
+				const struct ups_request *q)
 {
 	size_t len = q->body ? evbuffer_get_length(q->body) : 0;
 	size_t i;
 
-	pk_arr(&w->calls, 9);
-	pk_u(&w->calls, no);
-	pk_cstr(&w->calls, q->addr);
-	pk_cstr(&w->calls, q->uri);
-	pk_i(&w->calls, q->timeout_ms);
-	pk_i(&w->calls, q->connect_ms);
-	pk_bool(&w->calls, q->urgent);
-	pk_i(&w->calls, q->max_answer);
-	pk_arr(&w->calls, 2 * q->n_headers);
+	pk_arr(&p->calls, 9);
+	pk_u(&p->calls, id);
+	pk_cstr(&p->calls, q->addr);
+	pk_cstr(&p->calls, q->uri);
+	pk_i(&p->calls, q->timeout_ms);
+	pk_i(&p->calls, q->connect_ms);
+	pk_bool(&p->calls, q->urgent);
+	pk_i(&p->calls, q->max_answer);
+	pk_arr(&p->calls, 2 * q->n_headers);
 	for (i = 0; i < q->n_headers; i++) {
-		pk_cstr(&w->calls, q->headers[i].name);
-		pk_cstr(&w->calls, q->headers[i].value);
+		pk_cstr(&p->calls, q->headers[i].name);
+		pk_cstr(&p->calls, q->headers[i].value);
 	}
-	pk_str(&w->calls,
+	pk_str(&p->calls,
 	       lstr_n(len ? (char *)evbuffer_pullup(q->body, -1) : "", len));
 }
 
-/* Sends what this turn of the loop has gathered. */
+/* Sends the calls queued in this iteration of the event loop. */
 static void rly_flush(void *arg, int64_t now)
 {
 	struct rly *r = arg;
 	GHashTableIter it;
-	char *carrier;
-	struct rly_way *w;
+	char *relay;
+	struct rly_peer *p;
 
 	r->flush_timer = 0;
-	g_hash_table_iter_init(&it, r->ways);
-	while (g_hash_table_iter_next(&it, (gpointer *)&carrier,
-				      (gpointer *)&w))
-		if (w->nos->len)
-			rly_send(r, carrier, w);
+	g_hash_table_iter_init(&it, r->peers);
+	while (g_hash_table_iter_next(&it, (gpointer *)&relay, (gpointer *)&p))
+		if (p->ids->len)
+			rly_send_batch(r, relay, p);
 }
 
 /*
- * Sends what there is for a carrier: [kind, term, its clock, calls]. Its clock is
- * as far as it is known, never ahead of what it shows; 0: not at all.
+ * Sends a relay its queued calls: [kind, term, relay's clock, calls]. The clock
+ * is the leader's estimate, which is never ahead of the real one; 0: not known.
  */
-static void rly_send(struct rly *r, const char *carrier, struct rly_way *w)
+static void rly_send_batch(struct rly *r, const char *relay, struct rly_peer *p)
 {
-	int64_t by_ms = 0;
+	int64_t relay_clock_ms = 0;
 	struct pk_out o;
 	guint i;
 
-	if (w->heard_ms)
-		by_ms = tmr_now(r->tmr) + w->ahead_ms;
+	if (p->heard_ms)
+		relay_clock_ms = tmr_now(r->tmr) + p->offset_ms;
 
 	pk_out_init(&o);
 	pk_arr(&o, 4);
 	pk_u(&o, PROTO_CARRY);
 	pk_u(&o, r->term);
-	pk_i(&o, by_ms);
-	pk_arr(&o, w->nos->len);
-	msgpack_sbuffer_write(&o.buf, w->calls.buf.data, w->calls.buf.size);
-	if (!r->ops->send(r->arg, carrier, pk_out_view(&o))) {
-		/* told as lost with the next tick: never from within a start */
-		for (i = 0; i < w->nos->len; i++) {
+	pk_i(&o, relay_clock_ms);
+	pk_arr(&o, p->ids->len);
+	msgpack_sbuffer_write(&o.buf, p->calls.buf.data, p->calls.buf.size);
+	if (!r->ops->send(r->arg, relay, pk_out_view(&o))) {
+		/* reported as lost by the next tick, never within rly_start */
+		for (i = 0; i < p->ids->len; i++) {
 			struct rly_call *c = g_hash_table_lookup(
-				r->calls, &g_array_index(w->nos, uint64_t, i));
+				r->calls, &g_array_index(p->ids, uint64_t, i));
 
 			if (c)
-				c->until_ms = 0;
+				c->deadline_ms = 0;
 		}
 	}
 	pk_out_done(&o);
-	rly_clear(w);
+	rly_peer_clear(p);
 }
 
-/* Forgets what was to be sent. */
-static void rly_clear(struct rly_way *w)
+/* Discards the queued calls. */
+static void rly_peer_clear(struct rly_peer *p)
 {
-	msgpack_sbuffer_clear(&w->calls.buf);
-	g_array_set_size(w->nos, 0);
+	msgpack_sbuffer_clear(&p->calls.buf);
+	g_array_set_size(p->ids, 0);
 }
 
-/* Ends calls of which no carrier has told anything in time. */
+/* Ends calls whose relay has not reported in time. */
 static void rly_tick(void *arg, int64_t now)
 {
 	struct rly *r = arg;
@@ -329,25 +343,25 @@
 
 	g_hash_table_iter_init(&it, r->calls);
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&c))
-		if (now >= c->until_ms)
-			g_array_append_val(lost, c->no);
+		if (now >= c->deadline_ms)
+			g_array_append_val(lost, c->id);
 	r->stats.lost += lost->len;
 	for (i = 0; i < lost->len; i++)
-		rly_end(r, g_array_index(lost, uint64_t, i), UPS_LOST,
-			&(struct ups_answer){0});
+		rly_call_end(r, g_array_index(lost, uint64_t, i), UPS_LOST,
+			     &(struct ups_answer){0});
 	g_array_free(lost, TRUE);
 }
 
-/* Tells the end of a call, unless it is over for its owner. */
-static void rly_end(struct rly *r, uint64_t no, enum ups_end end,
-		    const struct ups_answer *a)
+/* Reports the end of a call, unless the call was cancelled or has ended. */
+static void rly_call_end(struct rly *r, uint64_t id, enum ups_end end,
+			 const struct ups_answer *a)
 {
-	struct rly_call *c = g_hash_table_lookup(r->calls, &no);
+	struct rly_call *c = g_hash_table_lookup(r->calls, &id);
 	struct rly_call copy;
 
 	if (!c)
 		return;
 	copy = *c;
-	g_hash_table_remove(r->calls, &no);
+	g_hash_table_remove(r->calls, &id);
 	copy.ops->end(copy.arg, end, a);
 }
--- a/src/rly.h
+++ b/src/rly.h
@@ -1,6 +1,8 @@
 #ifndef RLY_H
 #define RLY_H
 
+/* Relaying of a leader's calls to workers through other replicas. */
+
 #include <stdbool.h>
 #include <stdint.h>
 
@@ -11,53 +13,54 @@
 #include "wire.h"
 
 /*
- * Calls to workers that other replicas make for the leader. The leader decides
- * what is ordered and what an answer means, as for calls of its own; another
- * replica, the carrier, only speaks HTTP. Calls and answers go in batches, so
- * that a call costs the leader a small part of what one of its own does.
+ * The leader decides which orders are given and what an answer means, as for
+ * calls that it makes itself; the relay, a replica that does not lead, only
+ * speaks HTTP. Calls and answers travel in batches, so that a relayed call
+ * costs the leader a small part of what its own calls do.
+ *
  *
- * An order that a carrier writes late is as one that the network held up: it
- * has the leader's fence and the end of its lease on it, and means nothing to
- * a worker after either. A carrier also drops what reached it late by its own
- * clock, what it can't write within the call's limit, and what was given out
- * under a term that is over.
+ * An order that a relay writes late is like one delayed by the network: it
+ * carries the leader's fence and the end of its lease, and a worker ignores it
+ * after either has passed. A relay also drops calls that reach it late by its
+ * own clock, that it cannot write within the call's time limit, or that were
+ * issued in an earlier term.
  */
 struct rly; /* the leader's side */
 struct rly_call;
-struct rly_carry; /* the carrier's side */
+struct rly_carry; /* the relay's side */
 
-/* How the leader's side reaches carriers. */
+/* Callbacks of the leader's side. */
 struct rly_ops {
-	/* sends a message to the replica at an address; false: it can't be */
+	/* sends a message to the replica at addr; false: not possible */
 	bool (*send)(void *arg, const char *addr, struct lstr payload);
 };
 
-/* Sends answers back over the connection that calls came in on. */
-typedef bool (*rly_tell)(struct wire_conn *conn, struct lstr payload);
+/* Sends answers back over the connection on which the calls arrived. */
+typedef bool (*rly_send_fn)(struct wire_conn *conn, struct lstr payload);
 
 /* Counters since the start. */
 struct rly_stats {
 	uint64_t calls;
-	uint64_t lost; /* no carrier told what became of them */
-	uint64_t carried; /* for others */
-	uint64_t dropped; /* of these, that came too late */
+	uint64_t lost; /* no relay reported their end */
+	uint64_t carried; /* relayed for other replicas */
+	uint64_t dropped; /* of these, arrived too late to be made */
 };
 
 struct rly *rly_new(struct tmr *tmr, const struct rly_ops *ops, void *arg);
 void rly_free(struct rly *r);
 void rly_lead(struct rly *r, uint64_t term);
 void rly_rest(struct rly *r);
-void rly_ask(struct rly *r, const char *carrier);
-bool rly_ready(const struct rly *r, const char *carrier);
-struct rly_call *rly_start(struct rly *r, const char *carrier,
+void rly_ask(struct rly *r, const char *relay);
+bool rly_ready(const struct rly *r, const char *relay);
+struct rly_call *rly_start(struct rly *r, const char *relay,
 			   const struct ups_request *q,
 			   const struct ups_ops *ops, void *arg);
 void rly_cancel(struct rly_call *c);
-void rly_answers(struct rly *r, const char *carrier, struct pk_in *in);
+void rly_answers(struct rly *r, const char *relay, struct pk_in *in);
 struct rly_stats rly_stats(const struct rly *r);
 
 struct rly_carry *rly_carry_new(struct tmr *tmr, struct ups *ups,
-				rly_tell tell);
+				rly_send_fn send);
 void rly_carry_free(struct rly_carry *r);
 void rly_carry_calls(struct rly_carry *r, struct wire_conn *conn,
 		     uint64_t own_term, struct pk_in *in);
--- a/tests/unit/net.c
+++ b/tests/unit/net.c
@@ -9,9 +9,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define NET_TURN_US 2000
-/* Open files of a process that has no more. */
-#define NET_FEW_FILES 128
+#define NET_POLL_US 2000
+/* Limit of open files while the descriptors are exhausted. */
+#define NET_LOW_FILE_LIMIT 128
 
 const struct fdb net_descriptors = {
 	.limit = 500,
@@ -19,15 +19,15 @@
 };
 
 /*
- * As each daemon does at its start: a peer that is gone is an error to the code
- * under test, and must not end the test.
+ * Ignores SIGPIPE, as each daemon does at its start: a closed peer is an error
+ * for the code under test to handle and must not end the test.
  */
 __attribute__((constructor)) static void net_ignore_sigpipe(void)
 {
 	signal(SIGPIPE, SIG_IGN);
 }
 
-/* A listening socket on a free port. */
+/* Returns a listening socket on a free port, which is stored in port. */
 int net_listen(int *port)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET};
@@ -42,7 +42,7 @@
 	return fd;
 }
 
-/* A connected socket. */
+/* Returns a socket that is connected to a loopback port. */
 int net_dial(int port)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET,
@@ -55,7 +55,7 @@
 	return fd;
 }
 
-/* Sends bytes; len -1: a string. A peer that is gone is no fault here. */
+/* Sends len bytes, or a string if len is -1. A closed peer is not an error. */
 void net_send(int fd, const char *bytes, gssize len)
 {
 	ssize_t n = send(fd, bytes, len < 0 ? strlen(bytes) : (size_t)len,
@@ -64,17 +64,21 @@
 	(void)n;
 }
 
-/* Runs the loop for ms. */
+/* Runs the loop for ms milliseconds. */
 void net_run(struct event_base *base, int ms)
 {
 	gint64 end = g_get_monotonic_time() + (gint64)ms * 1000;
 
 	while (g_get_monotonic_time() < end) {
 		event_base_loop(base, EVLOOP_NONBLOCK);
-		g_usleep(NET_TURN_US / 4);
+		g_usleep(NET_POLL_US / 4);
 	}
 }
 
+/*
+ * Runs the loop until the peer has closed fd, `until` has arrived or ms have
+ * passed. Returns the bytes read; closed: whether the peer has closed fd.
+ */
 GString *net_read(struct event_base *base, int fd, const char *until, int ms,
 		  bool *closed)
 {
@@ -92,14 +96,14 @@
 		else if (n == 0 || (errno != EAGAIN && errno != EWOULDBLOCK))
 			*closed = true;
 		else
-			g_usleep(NET_TURN_US / 4);
+			g_usleep(NET_POLL_US / 4);
 		if (until && strstr(got->str, until))
 			break;
 	}
 	return got;
 }
 
-/* The next connection to a listening socket, -1 if none comes. */
+/* Returns the next connection to a listening socket, or -1 after ms. */
 int net_accept(struct event_base *base, int fd, int ms)
 {
 	gint64 end = g_get_monotonic_time() + (gint64)ms * 1000;
@@ -109,12 +113,16 @@
 		event_base_loop(base, EVLOOP_NONBLOCK);
 		got = accept4(fd, NULL, NULL, SOCK_NONBLOCK);
 		if (got < 0)
-			g_usleep(NET_TURN_US / 4);
+			g_usleep(NET_POLL_US / 4);
 	}
 	return got;
 }
 
-struct net_taken net_take_descriptors(unsigned int spare)
+/*
+ * Lowers the limit of open files and opens all descriptors below it but
+ * n_spare, so that the code under test runs out of them.
+ */
+struct net_taken net_take_descriptors(unsigned int n_spare)
 {
 	struct net_taken t = {.fds = g_array_new(FALSE, FALSE, sizeof(int))};
 	struct rlimit r;
@@ -122,18 +130,19 @@
 
 	g_assert(getrlimit(RLIMIT_NOFILE, &r) == 0);
 	t.limit = r.rlim_cur;
-	r.rlim_cur = NET_FEW_FILES;
+	r.rlim_cur = NET_LOW_FILE_LIMIT;
 	g_assert(setrlimit(RLIMIT_NOFILE, &r) == 0);
 	while ((fd = dup(STDERR_FILENO)) >= 0)
 		g_array_append_val(t.fds, fd);
-	g_assert(errno == EMFILE && t.fds->len >= spare);
-	for (; spare; spare--) {
+	g_assert(errno == EMFILE && t.fds->len >= n_spare);
+	for (; n_spare; n_spare--) {
 		close(g_array_index(t.fds, int, t.fds->len - 1));
 		g_array_set_size(t.fds, t.fds->len - 1);
 	}
 	return t;
 }
 
+/* Closes the held descriptors and restores the limit of open files. */
 void net_give_back(struct net_taken *t)
 {
 	struct rlimit r;
--- a/tests/unit/net.h
+++ b/tests/unit/net.h
@@ -7,29 +7,26 @@
 
 #include "fdb.h"
 
-/* Raw loopback sockets beside a loop of the code under test. */
+/* Raw loopback sockets, served beside the event loop of the code under test. */
 
 int net_listen(int *port);
 int net_dial(int port);
 void net_send(int fd, const char *bytes, gssize len);
-/* Runs the loop until the peer closed fd, or `until` bytes or ms are there. */
 GString *net_read(struct event_base *base, int fd, const char *until, int ms,
 		  bool *closed);
 int net_accept(struct event_base *base, int fd, int ms);
 void net_run(struct event_base *base, int ms);
 
-/* All descriptors that a process may have, taken away from the code under
- * test; spare ones are left to it.
- */
+/* Descriptors held by net_take_descriptors, and the limit to restore. */
 struct net_taken {
 	GArray *fds;
 	unsigned long limit;
 };
 
-/* More than a test uses of each. */
+/* Limits larger than a test's use of each kind of connection. */
 extern const struct fdb net_descriptors;
 
-struct net_taken net_take_descriptors(unsigned int spare);
+struct net_taken net_take_descriptors(unsigned int n_spare);
 void net_give_back(struct net_taken *t);
 
 #endif
--- a/tests/unit/rly_test.c
+++ b/tests/unit/rly_test.c
@@ -17,135 +17,141 @@
 #define TERM 7
 #define LIMIT_MS 300
 #define WAIT_MS 5000
-/* How long a replica stands still, ms. */
-#define FREEZE_MS 12000
-#define CARRIER "carrier:1"
+/* Length of a process pause, ms. */
+#define PAUSE_MS 12000
+#define RELAY "carrier:1"
 
-/* A leader, a carrier and a worker; messages between the two as a test says. */
-struct bed {
+/*
+ * A leader, a relay and a worker; the test controls the messages between leader
+ * and relay.
+ */
+struct fixture {
 	struct event_base *base;
 	struct tmr *tmr;
 	struct ups *ups;
 	struct rly *rly;
-	struct rly_carry *carry;
+	struct rly_carry *relay;
 	struct evhttp *http;
 	char addr[32]; /* the worker's */
-	uint64_t carrier_term;
-	bool cut; /* messages to the carrier can't be sent */
-	bool mute; /* the carrier's answers get lost, */
-	bool delay; /* or are held up */
-	GBytes *answer;
-	bool hold; /* messages to the carrier are held up */
-	GBytes *held;
-	bool silent; /* the worker keeps calls without an answer */
-	int made; /* calls that reached the worker */
+	uint64_t relay_term;
+	bool unreachable; /* messages to the relay cannot be sent */
+	bool drop_answers; /* the relay's answers are lost */
+	bool delay_answers; /* the relay's answers are delayed */
+	GBytes *delayed_answer;
+	bool hold_messages; /* messages to the relay are delayed */
+	GBytes *held_message;
+	bool worker_unresponsive; /* the worker does not answer calls */
+	int received_calls; /* calls that reached the worker */
 	int ends;
 	enum ups_end end;
 	int status;
 	char body[32];
 };
 
-static struct bed *the_bed;
-static int64_t frozen_ms;
+static struct fixture *the_fixture;
+static int64_t paused_ms;
 
-/* The machines' clocks, as if all had stood still for that long. */
+/*
+ * Replaces clock_gettime: the boot-time clock of all processes is ahead by the
+ * pause, as after a stall.
+ */
 int clock_gettime(clockid_t clock, struct timespec *ts)
 {
 	int rc = (int)syscall(SYS_clock_gettime, clock, ts);
 
 	if (clock == CLOCK_BOOTTIME)
-		ts->tv_sec += frozen_ms / 1000;
+		ts->tv_sec += paused_ms / 1000;
 	return rc;
 }
 
-/* Has the carrier take a message, as rep and hub do. */
-static void deliver(struct bed *b, struct lstr payload)
+/* Delivers a message to the relay, as rep and hub do. */
+static void deliver_to_relay(struct fixture *f, struct lstr payload)
 {
 	struct pk_in in;
 
 	assert_true(pk_in_init(&in, payload));
 	assert_int_equal(pk_get_u(&in), PROTO_CARRY);
-	rly_carry_calls(b->carry, (struct wire_conn *)b, b->carrier_term, &in);
+	rly_carry_calls(f->relay, (struct wire_conn *)f, f->relay_term, &in);
 	pk_in_done(&in);
 }
 
-static bool bed_send(void *arg, const char *addr, struct lstr payload)
+static bool send_to_relay(void *arg, const char *addr, struct lstr payload)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	assert_string_equal(addr, CARRIER);
-	if (b->hold)
-		b->held = g_bytes_new(payload.p, payload.len);
-	else if (!b->cut)
-		deliver(b, payload);
-	return !b->cut;
+	assert_string_equal(addr, RELAY);
+	if (f->hold_messages)
+		f->held_message = g_bytes_new(payload.p, payload.len);
+	else if (!f->unreachable)
+		deliver_to_relay(f, payload);
+	return !f->unreachable;
 }
 
-static const struct rly_ops bed_ops = {.send = bed_send};
+static const struct rly_ops fixture_ops = {.send = send_to_relay};
 
-/* Has the leader take a message of the carrier. */
-static void take_answer(struct bed *b, struct lstr payload)
+/* Delivers a message to the leader. */
+static void deliver_to_leader(struct fixture *f, struct lstr payload)
 {
 	struct pk_in in;
 
 	assert_true(pk_in_init(&in, payload));
 	assert_int_equal(pk_get_u(&in), PROTO_CARRIED);
-	rly_answers(b->rly, CARRIER, &in);
+	rly_answers(f->rly, RELAY, &in);
 	pk_in_done(&in);
 }
 
-/* The leader gets the carrier's answers. */
-static bool bed_tell(struct wire_conn *conn, struct lstr payload)
+/* Sends the relay's answers to the leader, as the test demands. */
+static bool send_to_leader(struct wire_conn *conn, struct lstr payload)
 {
-	struct bed *b = (struct bed *)conn;
+	struct fixture *f = (struct fixture *)conn;
 
-	if (b->delay)
-		b->answer = g_bytes_new(payload.p, payload.len);
-	else if (!b->mute)
-		take_answer(b, payload);
+	if (f->delay_answers)
+		f->delayed_answer = g_bytes_new(payload.p, payload.len);
+	else if (!f->drop_answers)
+		deliver_to_leader(f, payload);
 	return true;
 }
 
-/* The worker answers with what it was sent. */
+/* Answers a call to the worker with the call's body. */
 static void on_request(struct evhttp_request *req, void *arg)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 	struct evbuffer *out = evbuffer_new();
 
-	b->made++;
+	f->received_calls++;
 	assert_string_equal(
 		evhttp_find_header(evhttp_request_get_input_headers(req),
 				   "Life"),
 		"w1");
 	evbuffer_add_buffer(out, evhttp_request_get_input_buffer(req));
-	if (!b->silent)
+	if (!f->worker_unresponsive)
 		evhttp_send_reply(req, 409, "Conflict", out);
 	evbuffer_free(out);
 }
 
 static void on_end(void *arg, enum ups_end end, const struct ups_answer *a)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->ends++;
-	b->end = end;
-	b->status = a->status;
+	f->ends++;
+	f->end = end;
+	f->status = a->status;
 	if (a->body && end == UPS_WHOLE)
-		evbuffer_remove(a->body, b->body, sizeof(b->body) - 1);
+		evbuffer_remove(a->body, f->body, sizeof(f->body) - 1);
 }
 
 static const struct ups_ops call_ops = {.end = on_end};
 
-/* Has the carrier make a call. */
-static struct rly_call *call(struct bed *b)
+/* Starts a call by way of the relay. */
+static struct rly_call *start_call(struct fixture *f)
 {
 	struct ups_header life = {(char *)"Life", (char *)"w1"};
 	struct evbuffer *body = evbuffer_new();
 	struct rly_call *c;
 
 	evbuffer_add_printf(body, "order");
-	c = rly_start(b->rly, CARRIER,
-		      &(struct ups_request){.addr = b->addr,
+	c = rly_start(f->rly, RELAY,
+		      &(struct ups_request){.addr = f->addr,
 					    .method = EVHTTP_REQ_POST,
 					    .uri = "/start",
 					    .headers = &life,
@@ -154,101 +160,101 @@
 					    .timeout_ms = LIMIT_MS,
 					    .connect_ms = LIMIT_MS,
 					    .max_answer = 1000},
-		      &call_ops, b);
+		      &call_ops, f);
 	evbuffer_free(body);
 	return c;
 }
 
-/* Runs until a call has ended. */
-static void wait_end(struct bed *b)
+/* Runs the loop until a call has ended. */
+static void wait_end(struct fixture *f)
 {
-	int before = b->ends;
+	int before = f->ends;
 	int waited = 0;
 
-	while (b->ends == before && waited < WAIT_MS) {
-		net_run(b->base, 10);
+	while (f->ends == before && waited < WAIT_MS) {
+		net_run(f->base, 10);
 		waited += 10;
 	}
-	assert_int_equal(b->ends, before + 1);
+	assert_int_equal(f->ends, before + 1);
 }
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
+	struct fixture *f = g_new0(struct fixture, 1);
 	struct evhttp_bound_socket *s;
 	struct sockaddr_in sin = {0};
 	socklen_t len = sizeof(sin);
 
-	the_bed = b;
-	frozen_ms = 0;
-	b->base = event_base_new();
-	b->tmr = tmr_new(b->base);
-	b->ups = ups_new(b->base, b->tmr);
-	b->carrier_term = TERM;
-	b->rly = rly_new(b->tmr, &bed_ops, b);
-	b->carry = rly_carry_new(b->tmr, b->ups, bed_tell);
-	b->http = evhttp_new(b->base);
-	evhttp_set_gencb(b->http, on_request, b);
-	s = evhttp_bind_socket_with_handle(b->http, "127.0.0.1", 0);
+	the_fixture = f;
+	paused_ms = 0;
+	f->base = event_base_new();
+	f->tmr = tmr_new(f->base);
+	f->ups = ups_new(f->base, f->tmr);
+	f->relay_term = TERM;
+	f->rly = rly_new(f->tmr, &fixture_ops, f);
+	f->relay = rly_carry_new(f->tmr, f->ups, send_to_leader);
+	f->http = evhttp_new(f->base);
+	evhttp_set_gencb(f->http, on_request, f);
+	s = evhttp_bind_socket_with_handle(f->http, "127.0.0.1", 0);
 	getsockname(evhttp_bound_socket_get_fd(s), (struct sockaddr *)&sin,
 		    &len);
-	g_snprintf(b->addr, sizeof(b->addr), "127.0.0.1:%d",
+	g_snprintf(f->addr, sizeof(f->addr), "127.0.0.1:%d",
 		   ntohs(sin.sin_port));
-	rly_lead(b->rly, TERM);
-	rly_ask(b->rly, CARRIER);
-	net_run(b->base, 20);
-	assert_true(rly_ready(b->rly, CARRIER));
-	*state = b;
+	rly_lead(f->rly, TERM);
+	rly_ask(f->rly, RELAY);
+	net_run(f->base, 20);
+	assert_true(rly_ready(f->rly, RELAY));
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
-
-	rly_carry_free(b->carry);
-	rly_free(b->rly);
-	ups_free(b->ups);
-	evhttp_free(b->http);
-	tmr_free(b->tmr);
-	event_base_free(b->base);
-	if (b->held)
-		g_bytes_unref(b->held);
-	if (b->answer)
-		g_bytes_unref(b->answer);
-	g_free(b);
+	struct fixture *f = *state;
+
+	rly_carry_free(f->relay);
+	rly_free(f->rly);
+	ups_free(f->ups);
+	evhttp_free(f->http);
+	tmr_free(f->tmr);
+	event_base_free(f->base);
+	if (f->held_message)
+		g_bytes_unref(f->held_message);
+	if (f->delayed_answer)
+		g_bytes_unref(f->delayed_answer);
+	g_free(f);
 	return 0;
 }
 
-/* Guards against a call that changes on its way through a carrier. */
-static void a_call_and_its_answer_arrive_as_they_were(void **state)
+/* Guards against a call or an answer that is changed on its way. */
+static void relays_call_and_answer_unchanged(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	call(b);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_WHOLE);
-	assert_int_equal(b->status, 409);
-	assert_string_equal(b->body, "order");
-	assert_int_equal(b->made, 1);
-	assert_int_equal(rly_stats(b->rly).lost, 0);
-	assert_int_equal(rly_carry_stats(b->carry).carried, 1);
+	start_call(f);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_WHOLE);
+	assert_int_equal(f->status, 409);
+	assert_string_equal(f->body, "order");
+	assert_int_equal(f->received_calls, 1);
+	assert_int_equal(rly_stats(f->rly).lost, 0);
+	assert_int_equal(rly_carry_stats(f->relay).carried, 1);
 }
 
-/* Guards against a message for each of many calls. */
-static void calls_of_a_turn_go_together(void **state)
+/* Guards against one message for each of many calls. */
+static void batches_calls_of_one_loop_iteration(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct pk_in in;
 	gsize len;
 	const char *p;
 
-	b->hold = true;
-	call(b);
-	call(b);
-	call(b);
-	net_run(b->base, 20);
-	p = g_bytes_get_data(b->held, &len);
+	f->hold_messages = true;
+	start_call(f);
+	start_call(f);
+	start_call(f);
+	net_run(f->base, 20);
+	p = g_bytes_get_data(f->held_message, &len);
 	assert_true(pk_in_init(&in, lstr_n(p, len)));
 	pk_skip(&in);
 	pk_skip(&in);
@@ -258,124 +264,135 @@
 	pk_in_done(&in);
 }
 
-/* Guards against a worker taken for silent since its carrier is lost. */
-static void what_no_carrier_tells_is_lost(void **state)
+/* Guards against a worker taken for unreachable because its relay is lost. */
+static void call_without_report_is_lost(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->mute = true;
-	call(b);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_LOST);
-	assert_int_equal(rly_stats(b->rly).lost, 1);
-	b->mute = false;
-	b->cut = true;
-	call(b);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_LOST);
+	f->drop_answers = true;
+	start_call(f);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_LOST);
+	assert_int_equal(rly_stats(f->rly).lost, 1);
+	f->drop_answers = false;
+	f->unreachable = true;
+	start_call(f);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_LOST);
 }
 
-/* Guards against a worker's silence that its carrier hides. */
-static void a_silent_worker_is_told_as_such(void **state)
+/* Guards against a relay that hides that a worker does not answer. */
+static void reports_timeout_of_unreachable_worker(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->silent = true;
-	call(b);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_TIMEOUT);
+	f->worker_unresponsive = true;
+	start_call(f);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_TIMEOUT);
 }
 
-/* Hands on what was held up. */
-static void let_go(struct bed *b)
+/* Delivers the message that was delayed. */
+static void deliver_held_message(struct fixture *f)
 {
 	gsize len;
-	const char *p = g_bytes_get_data(b->held, &len);
+	const char *p = g_bytes_get_data(f->held_message, &len);
 
-	b->hold = false;
-	deliver(b, lstr_n(p, len));
+	f->hold_messages = false;
+	deliver_to_relay(f, lstr_n(p, len));
 }
 
-/* Guards against orders that a replica gives after it has stood still. */
-static void what_a_carrier_gets_late_is_not_made(void **state)
+/*
+ * Guards against stale orders: a relay receives a batch after a process pause.
+ */
+static void drops_batch_delayed_by_pause(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->hold = true;
-	call(b);
-	net_run(b->base, 20);
-	frozen_ms = FREEZE_MS;
-	let_go(b);
-	wait_end(b);
-	assert_int_equal(b->made, 0);
-	assert_true(b->end == UPS_LOST || b->end == UPS_NO_ROOM);
-	assert_int_equal(rly_carry_stats(b->carry).dropped, 1);
+	f->hold_messages = true;
+	start_call(f);
+	net_run(f->base, 20);
+	paused_ms = PAUSE_MS;
+	deliver_held_message(f);
+	wait_end(f);
+	assert_int_equal(f->received_calls, 0);
+	assert_true(f->end == UPS_LOST || f->end == UPS_NO_ROOM);
+	assert_int_equal(rly_carry_stats(f->relay).dropped, 1);
 }
 
-/* Guards against the same on a connection over which nothing has come before. */
-static void the_first_calls_after_a_standstill_are_late(void **state)
+/* Guards against stale orders on a connection without an earlier message. */
+static void drops_first_batch_of_connection_after_pause(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	rly_carry_gone(b->carry, (struct wire_conn *)b);
-	what_a_carrier_gets_late_is_not_made(state);
+	rly_carry_gone(f->relay, (struct wire_conn *)f);
+	drops_batch_delayed_by_pause(state);
 }
 
-/* Guards against calls by way of a replica whose clock isn't known. */
-static void a_call_without_a_mark_is_not_made(void **state)
+/* Guards against calls sent to a relay whose clock is not known. */
+static void drops_batch_without_timestamp(void **state)
 {
-	struct bed *b = *state;
-	struct rly *other = rly_new(b->tmr, &bed_ops, b);
+	struct fixture *f = *state;
+	struct rly *other = rly_new(f->tmr, &fixture_ops, f);
 
-	rly_free(b->rly);
-	b->rly = other;
-	rly_lead(b->rly, TERM);
-	assert_false(rly_ready(b->rly, CARRIER));
-	call(b);
-	wait_end(b);
-	assert_int_equal(b->made, 0);
-	assert_int_equal(b->end, UPS_NO_ROOM);
+	rly_free(f->rly);
+	f->rly = other;
+	rly_lead(f->rly, TERM);
+	assert_false(rly_ready(f->rly, RELAY));
+	start_call(f);
+	wait_end(f);
+	assert_int_equal(f->received_calls, 0);
+	assert_int_equal(f->end, UPS_NO_ROOM);
 }
 
-/* Guards against a carrier that began anew and takes old marks for young. */
-static void a_mark_that_is_ahead_is_late(void **state)
+/*
+ * Guards against a relay that accepts old batches after its clock restarted:
+ * their timestamps are in the future.
+ */
+static void drops_batch_with_future_timestamp(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->hold = true;
-	frozen_ms = FREEZE_MS;
-	call(b);
-	net_run(b->base, 100);
-	frozen_ms = 0;
-	let_go(b);
-	wait_end(b);
-	assert_int_equal(b->made, 0);
+	f->hold_messages = true;
+	paused_ms = PAUSE_MS;
+	start_call(f);
+	net_run(f->base, 100);
+	paused_ms = 0;
+	deliver_held_message(f);
+	wait_end(f);
+	assert_int_equal(f->received_calls, 0);
 }
 
-/* Guards against calls dropped since the leader reads its answers late. */
-static void an_answer_that_is_read_late_makes_no_call_late(void **state)
+/*
+ * Guards against calls dropped as late because the leader was slow to read the
+ * relay's answers.
+ */
+static void answer_read_late_does_not_expire_calls(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	gsize len;
 	const char *p;
 
-	b->delay = true;
-	rly_ask(b->rly, CARRIER);
-	net_run(b->base, 800);
-	b->delay = false;
-	p = g_bytes_get_data(b->answer, &len);
-	take_answer(b, lstr_n(p, len));
-	call(b);
-	wait_end(b);
-	assert_int_equal(b->made, 1);
+	f->delay_answers = true;
+	rly_ask(f->rly, RELAY);
+	net_run(f->base, 800);
+	f->delay_answers = false;
+	p = g_bytes_get_data(f->delayed_answer, &len);
+	deliver_to_leader(f, lstr_n(p, len));
+	start_call(f);
+	wait_end(f);
+	assert_int_equal(f->received_calls, 1);
 }
 
-/* The leader hears a clock; returns the mark of its next calls. */
-static int64_t mark_after(struct bed *b, int64_t clock_ms)
+/*
+ * Reports a relay's clock to the leader. Returns the timestamp of the leader's
+ * next batch.
+ */
+static int64_t stamp_after_clock(struct fixture *f, int64_t clock_ms)
 {
 	struct pk_out o;
 	struct pk_in in;
-	int64_t mark;
+	int64_t stamp_ms;
 	gsize len;
 	const char *p;
 
@@ -384,134 +401,134 @@
 	pk_u(&o, PROTO_CARRIED);
 	pk_i(&o, clock_ms);
 	pk_arr(&o, 0);
-	take_answer(b, pk_out_view(&o));
+	deliver_to_leader(f, pk_out_view(&o));
 	pk_out_done(&o);
-	b->hold = true;
-	rly_ask(b->rly, CARRIER);
-	p = g_bytes_get_data(b->held, &len);
+	f->hold_messages = true;
+	rly_ask(f->rly, RELAY);
+	p = g_bytes_get_data(f->held_message, &len);
 	assert_true(pk_in_init(&in, lstr_n(p, len)));
 	pk_skip(&in);
 	pk_skip(&in);
-	mark = pk_get_i(&in);
+	stamp_ms = pk_get_i(&in);
 	pk_in_done(&in);
-	g_bytes_unref(b->held);
-	b->held = NULL;
-	return mark;
+	g_bytes_unref(f->held_message);
+	f->held_message = NULL;
+	return stamp_ms;
 }
 
-/* Guards against marks by the clock that a carrier had before it began anew. */
-static void a_clock_that_began_anew_counts_at_once(void **state)
+/* Guards against timestamps by a clock that has restarted since. */
+static void adopts_restarted_relay_clock(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int64_t high = 1000000000000;
 
-	assert_in_range(mark_after(b, high), high, high + 1000);
-	assert_in_range(mark_after(b, 5000), 5000, 6000);
+	assert_in_range(stamp_after_clock(f, high), high, high + 1000);
+	assert_in_range(stamp_after_clock(f, 5000), 5000, 6000);
 }
 
-/* Guards against calls by way of a replica that tells nothing any more. */
-static void a_carrier_that_is_not_heard_is_not_ready(void **state)
+/* Guards against calls sent to a relay that no longer answers. */
+static void unheard_relay_is_not_ready(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->mute = true;
-	rly_ask(b->rly, CARRIER);
-	net_run(b->base, 700);
-	assert_false(rly_ready(b->rly, CARRIER));
-	b->mute = false;
-	rly_ask(b->rly, CARRIER);
-	net_run(b->base, 20);
-	assert_true(rly_ready(b->rly, CARRIER));
+	f->drop_answers = true;
+	rly_ask(f->rly, RELAY);
+	net_run(f->base, 700);
+	assert_false(rly_ready(f->rly, RELAY));
+	f->drop_answers = false;
+	rly_ask(f->rly, RELAY);
+	net_run(f->base, 20);
+	assert_true(rly_ready(f->rly, RELAY));
 }
 
 /*
- * Guards against an order that a carrier writes as it wakes: it stood still
- * after it had begun to connect, and the loop looks at sockets before timers.
+ * Guards against an order written after a process pause: the relay was paused
+ * while it connected, and the event loop handles sockets before timers.
  */
-static void what_cannot_be_written_in_time_is_not_made(void **state)
+static void writes_no_call_past_deadline(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int turns = 0;
 
-	call(b);
-	while (!ups_stats(b->ups).connects && turns++ < 100)
-		event_base_loop(b->base, EVLOOP_ONCE);
-	assert_int_equal(ups_stats(b->ups).connects, 1);
-	frozen_ms = FREEZE_MS;
-	wait_end(b);
-	net_run(b->base, 50);
-	assert_int_equal(b->made, 0);
+	start_call(f);
+	while (!ups_stats(f->ups).connects && turns++ < 100)
+		event_base_loop(f->base, EVLOOP_ONCE);
+	assert_int_equal(ups_stats(f->ups).connects, 1);
+	paused_ms = PAUSE_MS;
+	wait_end(f);
+	net_run(f->base, 50);
+	assert_int_equal(f->received_calls, 0);
 }
 
-/* Guards against orders that go out after the lead is lost, in the next term. */
-static void what_waits_to_be_sent_goes_with_the_lead(void **state)
+/* Guards against orders of a lost leadership that are sent in the next term. */
+static void drops_unsent_calls_when_leadership_ends(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	rly_cancel(call(b));
-	rly_rest(b->rly);
-	net_run(b->base, 50);
-	assert_int_equal(b->made, 0);
-	/* a later lead begins with nothing of it */
-	call(b);
-	rly_lead(b->rly, TERM + 1);
-	net_run(b->base, 50);
-	assert_int_equal(b->made, 0);
+	rly_cancel(start_call(f));
+	rly_rest(f->rly);
+	net_run(f->base, 50);
+	assert_int_equal(f->received_calls, 0);
+	/* a later leadership starts without unsent calls */
+	start_call(f);
+	rly_lead(f->rly, TERM + 1);
+	net_run(f->base, 50);
+	assert_int_equal(f->received_calls, 0);
 }
 
 /* Guards against orders of a leader that has been replaced. */
-static void a_carrier_knows_a_later_term(void **state)
+static void drops_batch_of_earlier_term(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->carrier_term = TERM + 1;
-	call(b);
-	wait_end(b);
-	assert_int_equal(b->made, 0);
-	assert_int_equal(b->end, UPS_NO_ROOM);
+	f->relay_term = TERM + 1;
+	start_call(f);
+	wait_end(f);
+	assert_int_equal(f->received_calls, 0);
+	assert_int_equal(f->end, UPS_NO_ROOM);
 }
 
-/* Guards against a new leader that goes on with its predecessor's orders. */
-static void a_new_leader_breaks_off_what_it_carried(void **state)
+/* Guards against a new leader that continues its predecessor's orders. */
+static void new_leader_cancels_relayed_calls(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->silent = true;
-	call(b);
-	net_run(b->base, 50);
-	assert_int_equal(b->made, 1);
-	rly_carry_drop(b->carry);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_LOST);
+	f->worker_unresponsive = true;
+	start_call(f);
+	net_run(f->base, 50);
+	assert_int_equal(f->received_calls, 1);
+	rly_carry_drop(f->relay);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_LOST);
 }
 
-/* Guards against answers over a connection that is gone. */
-static void a_connection_that_is_gone_gets_no_answer(void **state)
+/* Guards against answers sent over a closed connection. */
+static void closed_connection_gets_no_answer(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	b->silent = true;
-	call(b);
-	net_run(b->base, 50);
-	rly_carry_gone(b->carry, (struct wire_conn *)b);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_LOST);
+	f->worker_unresponsive = true;
+	start_call(f);
+	net_run(f->base, 50);
+	rly_carry_gone(f->relay, (struct wire_conn *)f);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_LOST);
 }
 
-/* Guards against the end of a call whose owner has given it up. */
-static void a_call_that_is_given_up_is_not_told(void **state)
+/* Guards against an end reported for a cancelled call. */
+static void cancelled_call_reports_no_end(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	rly_cancel(call(b));
-	net_run(b->base, LIMIT_MS);
-	assert_int_equal(b->ends, 0);
+	rly_cancel(start_call(f));
+	net_run(f->base, LIMIT_MS);
+	assert_int_equal(f->ends, 0);
 }
 
-/* Guards against bytes that are no message of ours. */
-static void what_cannot_be_read_is_left(void **state)
+/* Guards against malformed messages. */
+static void ignores_malformed_batch(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct pk_out o;
 	struct pk_in in;
 
@@ -523,34 +540,34 @@
 	pk_arr(&o, 1);
 	pk_cstr(&o, "x");
 	assert_true(pk_in_init(&in, pk_out_view(&o)));
-	rly_carry_calls(b->carry, (struct wire_conn *)b, TERM, &in);
+	rly_carry_calls(f->relay, (struct wire_conn *)f, TERM, &in);
 	pk_in_done(&in);
 	pk_out_done(&o);
-	assert_int_equal(b->made, 0);
+	assert_int_equal(f->received_calls, 0);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 #define ONE(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
-		ONE(a_call_and_its_answer_arrive_as_they_were),
-		ONE(calls_of_a_turn_go_together),
-		ONE(what_no_carrier_tells_is_lost),
-		ONE(a_silent_worker_is_told_as_such),
-		ONE(what_a_carrier_gets_late_is_not_made),
-		ONE(the_first_calls_after_a_standstill_are_late),
-		ONE(a_call_without_a_mark_is_not_made),
-		ONE(a_mark_that_is_ahead_is_late),
-		ONE(an_answer_that_is_read_late_makes_no_call_late),
-		ONE(a_clock_that_began_anew_counts_at_once),
-		ONE(a_carrier_that_is_not_heard_is_not_ready),
-		ONE(what_cannot_be_written_in_time_is_not_made),
-		ONE(what_waits_to_be_sent_goes_with_the_lead),
-		ONE(a_carrier_knows_a_later_term),
-		ONE(a_new_leader_breaks_off_what_it_carried),
-		ONE(a_connection_that_is_gone_gets_no_answer),
-		ONE(a_call_that_is_given_up_is_not_told),
-		ONE(what_cannot_be_read_is_left),
+		ONE(relays_call_and_answer_unchanged),
+		ONE(batches_calls_of_one_loop_iteration),
+		ONE(call_without_report_is_lost),
+		ONE(reports_timeout_of_unreachable_worker),
+		ONE(drops_batch_delayed_by_pause),
+		ONE(drops_first_batch_of_connection_after_pause),
+		ONE(drops_batch_without_timestamp),
+		ONE(drops_batch_with_future_timestamp),
+		ONE(answer_read_late_does_not_expire_calls),
+		ONE(adopts_restarted_relay_clock),
+		ONE(unheard_relay_is_not_ready),
+		ONE(writes_no_call_past_deadline),
+		ONE(drops_unsent_calls_when_leadership_ends),
+		ONE(drops_batch_of_earlier_term),
+		ONE(new_leader_cancels_relayed_calls),
+		ONE(closed_connection_gets_no_answer),
+		ONE(cancelled_call_reports_no_end),
+		ONE(ignores_malformed_batch),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
