--- a/src/rly.c
+++ b/src/rly.c
@@ -133,8 +133,7 @@
 
 /*
  * Drops the calls that are not sent yet when this replica loses the leadership.
- * Sent with the term known by then, a relay would take them for another
- * leader's.
+ * With the term known by then, a relay would attribute them to another leader.
  */
 void rly_rest(struct rly *r)
 {
--- a/src/rly_carry.c
+++ b/src/rly_carry.c
@@ -90,8 +90,8 @@
 
 /*
  * Handles a leader's batch: [term, our clock as the leader estimates it,
- * calls]. If the term has ended or the batch is late, no call is made, and the
- * leader gets that as their end. An empty batch requests our clock.
+ * calls]. If the term has ended or the batch is late, no call is made, and each
+ * is answered with UPS_NO_ROOM. An empty batch requests our clock.
  */
 void rly_carry_calls(struct rly_carry *r, struct wire_conn *conn,
 		     uint64_t own_term, struct pk_in *in)
--- a/tests/system/carry_test.sh
+++ b/tests/system/carry_test.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Guards against work lost or doubled where other replicas make the leader's
-# calls to workers: one is killed, one stands still, the leader is killed.
+# Guards against jobs lost or run twice while replicas relay the leader's calls
+# to workers: a replica is paused, a replica is killed, the leader is killed.
 set -u
 BIN=${BIN:-build/san/bin}
 JOBS_PORT=${CARRY_PORT:-21600}
@@ -8,20 +8,22 @@
 tmp=$(mktemp -d)
 . "$(dirname "$0")/jobs.sh"
 
-# FIRST: jobs in the background, some of them handed in already
-load() {
+# start_load FIRST: submits jobs in the background, numbered from FIRST.
+# Returns when some of them have been submitted.
+start_load() {
 	"$BIN/endive-job" --to "$entries" --jobs 25 --first "$1" --seconds 60 \
 		>"$tmp/out" 2>&1 &
 	load=$!
 	sleep 0.7
 }
 
-loaded() {
+# wait_load CASE: waits for the load; fails if a job is lost or run twice.
+wait_load() {
 	wait $load || { cat "$tmp/out"; fail "$1"; }
 	done_once
 }
 
-# A replica that doesn't lead.
+# Prints the number of a replica that does not lead.
 follower() {
 	leader=$(jobs_leader) || fail "no leader"
 	for n in 1 2 3; do
@@ -32,38 +34,38 @@
 }
 
 jobs_fleet --late-percent 5 --fail-percent 3 || fail "configuration"
-load 1
-loaded "calm"
+start_load 1
+wait_load "no faults"
 leader=$(jobs_leader) || fail "no leader"
-carried=$(jobs_metric "$leader" endive_calls_carried_total)
+relayed=$(jobs_metric "$leader" endive_calls_carried_total)
 starts=$(jobs_metric "$leader" endive_starts_total)
 [ "${starts:-0}" -gt 0 ] || fail "no run was ordered"
-[ "${carried:-0}" -ge "$starts" ] ||
-	fail "other replicas made ${carried:-no} calls for $starts runs"
+[ "${relayed:-0}" -ge "$starts" ] ||
+	fail "replicas relayed ${relayed:-no} calls for $starts runs"
 
-load 1000
-still=$(follower)
-kill -STOP "$(jobs_pid "c$still")"
+start_load 1000
+paused=$(follower)
+kill -STOP "$(jobs_pid "c$paused")"
 sleep 3
-kill -CONT "$(jobs_pid "c$still")"
-loaded "a replica stands still"
+kill -CONT "$(jobs_pid "c$paused")"
+wait_load "a replica is paused"
 
-load 2000
-dead=$(follower)
-kill -9 "$(jobs_pid "c$dead")"
-rm -f "$tmp/c$dead.pid"
-loaded "a replica is killed"
-jobs_control "$dead" false
+start_load 2000
+killed=$(follower)
+kill -9 "$(jobs_pid "c$killed")"
+rm -f "$tmp/c$killed.pid"
+wait_load "a replica is killed"
+jobs_control "$killed" false
 
 sleep 1
-load 3000
+start_load 3000
 leader=$(jobs_leader) || fail "no leader"
 kill -9 "$(jobs_pid "c$leader")"
 rm -f "$tmp/c$leader.pid"
-loaded "the leader is killed"
+wait_load "the leader is killed"
 
-# Guards against a replica that goes on to acknowledge workers' reports when it
-# has lost its leader, and may know too little.
+# Guards against a replica that acknowledges workers' reports without a leader,
+# when its state may be out of date.
 last=$(follower)
 for n in 1 2 3; do
 	[ "$n" != "$last" ] && [ -f "$tmp/c$n.pid" ] || continue
--- a/tests/system/descriptors_test.sh
+++ b/tests/system/descriptors_test.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Guards against control daemons that use up their descriptors on connections:
-# 60 workers, a limit of 250 open files, and a leader that is killed under load.
+# Guards against control daemons that exhaust their descriptors by connections:
+# 100 workers, a limit of 250 open files, and a leader killed under load.
 set -u
 BIN=${BIN:-build/san/bin}
 JOBS_PORT=${DESCRIPTORS_PORT:-21950}
@@ -9,7 +9,7 @@
 tmp=$(mktemp -d)
 . "$(dirname "$0")/jobs.sh"
 
-# NO: a control daemon under the limit
+# control_under_limit NO BOOTSTRAP: starts a control daemon under the limit.
 control_under_limit() {
 	files=$(ulimit -S -n)
 	ulimit -S -n $FILES
@@ -27,7 +27,7 @@
 "$BIN/endive-job" --to "$seeds" --apply 1 --pools p --host 127.0.0.4 ||
 	fail "configuration"
 "$BIN/endive-job" --to "$entries" --jobs 60 --tasks 40 --seconds 60 \
-	>"$tmp/out" 2>&1 || { cat "$tmp/out"; fail "calm"; }
+	>"$tmp/out" 2>&1 || { cat "$tmp/out"; fail "no faults"; }
 done_once
 
 leader=$(jobs_leader) || fail "no leader"
@@ -41,7 +41,7 @@
 	'endive_descriptors_refused_total{part="targets"}')
 [ "${waited:-0}" -gt 0 ] || fail "no call had to wait"
 
-# The next leader has to ask every worker at once.
+# The next leader has to contact every worker at once.
 "$BIN/endive-job" --to "$entries" --jobs 120 --tasks 40 --first 1000 \
 	--seconds 90 >"$tmp/out" 2>&1 &
 load=$!
