--- a/src/ups.c
+++ b/src/ups.c
@@ -15,17 +15,17 @@
 #include "msg.h"
 
 /*
- * An idle connection is used again only while its last answer is this young.
- * Something between may forget an idle connection: a request sent over it
- * would wait for its deadline with an outcome nobody knows. A new connection
- * costs one round trip, about a millisecond between our zones.
+ * An idle connection is reused only for this time after its last answer, ms. A
+ * device on the path may drop an idle connection silently: a request sent over
+ * it would wait for its deadline with an unknown outcome. A new connection
+ * costs one round trip, about a millisecond between the zones.
  */
 #define UPS_REUSE_MS 250
 
-/* Header bytes of an answer; as much as callers may send. */
+/* Header bytes of an answer; the same limit as for callers' requests. */
 #define UPS_HEADERS_MAX (16 << 10)
 
-/* charts/connection.chart */
+/* state chart: charts/connection.chart */
 enum ups_state {
 	UPS_CONNECTING,
 	UPS_BUSY,
@@ -59,31 +59,31 @@
 	struct event_base *base;
 	struct tmr *tmr;
 	struct cht *chart;
-	GHashTable *hosts; /* address -> GPtrArray of idle ups_conn */
-	GPtrArray *conns; /* all */
-	GQueue idle; /* struct ups_conn of hosts, oldest first */
-	GQueue waiting[2]; /* struct ups_call; [1]: urgent */
-	guint most; /* of conns; 0: not bounded */
-	uint64_t next_timer;
+	GHashTable *idle_by_addr; /* address: GPtrArray of idle ups_conn */
+	GPtrArray *conns; /* all struct ups_conn */
+	GQueue idle; /* struct ups_conn, longest idle first */
+	GQueue waiting[2]; /* struct ups_call; [1]: urgent ones */
+	guint conns_max; /* limit of conns; 0: none */
+	uint64_t dispatch_timer;
 	struct ups_stats stats;
 	int64_t reuse_ms;
-	int64_t held_ms; /* 0: as long as the kernel likes */
+	int64_t user_timeout_ms; /* TCP_USER_TIMEOUT; 0: kernel default */
 	uint64_t tick;
 };
 
-/* A connection to a target; serves one call at a time. */
+/* A connection to a target, which serves one call at a time. */
 struct ups_conn {
 	struct ups *u;
 	char *addr;
 	struct evhttp_connection *ev;
 	enum ups_state state;
 	struct ups_call *call;
-	int64_t last; /* when its last answer was whole */
+	int64_t answered_ms; /* time of its last whole answer */
 	GList link; /* in ups.idle */
 };
 
-/* What a call needs kept while it waits for a connection. */
-struct ups_wait {
+/* A call's request while it waits for a connection. */
+struct ups_pending {
 	char *addr;
 	char *uri;
 	GArray *headers; /* struct ups_header */
@@ -95,69 +95,69 @@
 
 struct ups_call {
 	struct ups *u;
-	struct ups_conn *conn; /* NULL: waits for one, or is over */
-	struct ups_wait *wait; /* NULL: it doesn't wait for a connection */
-	struct evhttp_request *req; /* NULL once evhttp is done with it */
+	struct ups_conn *conn; /* NULL: waits for a connection, or has ended */
+	struct ups_pending *pending; /* NULL: does not wait for a connection */
+	struct evhttp_request *req; /* NULL once evhttp has finished with it */
 	const struct ups_ops *ops;
 	void *arg;
 	enum evhttp_cmd_type method;
 	int64_t max_answer;
-	struct evbuffer *held;
+	struct evbuffer *buffered;
 	GArray *headers; /* struct ups_header */
 	struct ups_answer answer;
 	enum ups_end end;
-	bool bad; /* the answer's framing can't be trusted */
+	bool malformed; /* the answer's framing is not reliable */
 	bool timed_out;
-	bool passing_on;
+	bool streaming;
 	bool reused;
-	bool over; /* the end was told, or is about to be */
+	bool ended; /* the end is reported or scheduled to be */
 	uint64_t connect_timer;
 	uint64_t deadline_timer;
 	uint64_t end_timer;
-	struct event *write; /* calls that are asked for as they are written */
-	bool refused;
+	struct event *write_event; /* for calls with ops->may */
+	bool write_refused;
 };
 
-static bool ups_get_conn(struct ups_call *call, const char *addr);
+static bool ups_assign_conn(struct ups_call *call, const char *addr);
 static void ups_send(struct ups_call *call, const struct ups_request *r);
 static bool ups_lacks_descriptors(void);
-static void ups_wait(struct ups_call *call, const struct ups_request *r);
-static void ups_wait_free(struct ups_call *call);
-static void ups_drop_waiting(GQueue *queue);
-static void ups_next_soon(struct ups *u);
-static void ups_next(void *arg, int64_t now);
-static bool ups_next_one(struct ups *u, GQueue *queue);
-static bool ups_has_room(const struct ups *u);
-static void ups_evict(struct ups *u);
-static void ups_unlist(struct ups_conn *c);
-static struct ups_conn *ups_conn_take(struct ups *u, const char *addr);
-static bool ups_conn_quiet(const struct ups_conn *c);
+static void ups_enqueue(struct ups_call *call, const struct ups_request *r);
+static void ups_dequeue(struct ups_call *call);
+static void ups_free_waiting(GQueue *queue);
+static void ups_schedule_dispatch(struct ups *u);
+static void ups_dispatch(void *arg, int64_t now);
+static bool ups_dispatch_one(struct ups *u, GQueue *queue);
+static bool ups_may_connect(const struct ups *u);
+static void ups_evict_idle(struct ups *u);
+static void ups_conn_remove_idle(struct ups_conn *c);
+static struct ups_conn *ups_conn_reuse(struct ups *u, const char *addr);
+static bool ups_conn_is_reusable(const struct ups_conn *c);
 static struct ups_conn *ups_conn_open(struct ups *u, const char *addr);
 static void ups_conn_free(struct ups_conn *c);
 static void ups_conn_close(struct ups_conn *c);
-static void ups_conn_abort(struct ups_conn *c);
-static void ups_conn_put(struct ups_conn *c);
+static void ups_conn_reset_on_close(struct ups_conn *c);
+static void ups_conn_add_idle(struct ups_conn *c);
 static int ups_conn_event(struct ups_conn *c, enum ups_event event);
-static void ups_sent(struct evbuffer *buf, const struct evbuffer_cb_info *info,
-		     void *arg);
-static void ups_look(struct ups_conn *c);
+static void ups_on_output(struct evbuffer *buf,
+			  const struct evbuffer_cb_info *info, void *arg);
+static void ups_check_write(struct ups_conn *c);
 static void ups_on_write(evutil_socket_t unused, short what, void *arg);
-static void ups_conn_bound(struct ups_conn *c);
-static bool ups_connected(const struct ups_conn *c);
+static void ups_conn_set_limits(struct ups_conn *c);
+static bool ups_conn_is_connected(const struct ups_conn *c);
 static int ups_on_headers(struct evhttp_request *req, void *arg);
 static bool ups_framing_ok(struct ups_call *call, struct evhttp_request *req);
 static void ups_on_part(struct evhttp_request *req, void *arg);
 static void ups_on_done(struct evhttp_request *req, void *arg);
-static void ups_on_connect_time(void *arg, int64_t now);
+static void ups_on_connect_timeout(void *arg, int64_t now);
 static void ups_on_deadline(void *arg, int64_t now);
 static void ups_stop_timers(struct ups_call *call);
 static void ups_finish(struct ups_call *call, enum ups_end end);
-static void ups_tell_end(void *arg, int64_t now);
+static void ups_report_end(void *arg, int64_t now);
 static void ups_call_free(struct ups_call *call);
 static void ups_headers_free(GArray *headers);
 static void ups_tick(void *arg, int64_t now);
 
-/* A caller of targets on this loop. */
+/* Returns an HTTP client for targets on this event loop. */
 struct ups *ups_new(struct event_base *base, struct tmr *tmr)
 {
 	const struct cht_names names = {
@@ -174,8 +174,9 @@
 	u->tmr = tmr;
 	u->reuse_ms = UPS_REUSE_MS;
 	u->chart = cht_builtin("connection", &names);
-	u->hosts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					 (GDestroyNotify)g_ptr_array_unref);
+	u->idle_by_addr =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+				      (GDestroyNotify)g_ptr_array_unref);
 	u->conns = g_ptr_array_new();
 	g_queue_init(&u->idle);
 	g_queue_init(&u->waiting[false]);
@@ -184,7 +185,7 @@
 	return u;
 }
 
-/* Frees it with its connections; calls still open end without being told. */
+/* Frees the client and its connections. Open calls end without a callback. */
 void ups_free(struct ups *u)
 {
 	size_t i;
@@ -192,17 +193,17 @@
 	if (!u)
 		return;
 	tmr_cancel(u->tmr, u->tick);
-	tmr_cancel(u->tmr, u->next_timer);
+	tmr_cancel(u->tmr, u->dispatch_timer);
 	for (i = 0; i < G_N_ELEMENTS(u->waiting); i++)
-		ups_drop_waiting(&u->waiting[i]);
+		ups_free_waiting(&u->waiting[i]);
 	while (u->idle.head)
-		ups_unlist(u->idle.head->data);
-	g_hash_table_destroy(u->hosts);
+		ups_conn_remove_idle(u->idle.head->data);
+	g_hash_table_destroy(u->idle_by_addr);
 	while (u->conns->len) {
 		struct ups_conn *c = g_ptr_array_steal_index_fast(u->conns, 0);
 
 		if (c->call) {
-			ups_conn_abort(c);
+			ups_conn_reset_on_close(c);
 			ups_call_free(c->call);
 		}
 		ups_conn_free(c);
@@ -212,8 +213,8 @@
 	g_free(u);
 }
 
-/* Frees calls that wait for a connection, without telling them. */
-static void ups_drop_waiting(GQueue *queue)
+/* Frees calls that wait for a connection, without a callback. */
+static void ups_free_waiting(GQueue *queue)
 {
 	struct ups_call *call;
 
@@ -222,8 +223,9 @@
 }
 
 /*
- * Sends a request. ops->end is told exactly once unless ups_cancel comes
- * first. Nothing is tried twice here: whether that is safe is not known here.
+ * Sends a request. ops->end is called exactly once unless ups_cancel comes
+ * first. Nothing is retried here, since only the owner of the call knows
+ * whether that is safe.
  */
 struct ups_call *ups_start(struct ups *u, const struct ups_request *r,
 			   const struct ups_ops *ops, void *arg)
@@ -235,25 +237,27 @@
 	call->arg = arg;
 	call->method = r->method;
 	call->max_answer = r->max_answer;
-	call->held = evbuffer_new();
+	call->buffered = evbuffer_new();
 	call->headers = g_array_new(FALSE, TRUE, sizeof(struct ups_header));
 	call->deadline_timer =
 		tmr_once(u->tmr, r->timeout_ms, ups_on_deadline, call);
-	if (ups_get_conn(call, r->addr))
+	if (ups_assign_conn(call, r->addr))
 		ups_send(call, r);
 	else
-		ups_wait(call, r);
+		ups_enqueue(call, r);
 	return call;
 }
 
-/* Gives a call a connection, an idle one or a new one, if there may be one. */
-static bool ups_get_conn(struct ups_call *call, const char *addr)
+/*
+ * Assigns a call an idle or new connection. Returns false if none is available.
+ */
+static bool ups_assign_conn(struct ups_call *call, const char *addr)
 {
 	struct ups *u = call->u;
 
-	call->conn = ups_conn_take(u, addr);
+	call->conn = ups_conn_reuse(u, addr);
 	call->reused = call->conn != NULL;
-	if (!call->conn && ups_has_room(u))
+	if (!call->conn && ups_may_connect(u))
 		call->conn = ups_conn_open(u, addr);
 	if (!call->conn)
 		return false;
@@ -261,7 +265,7 @@
 	return true;
 }
 
-/* Sends a request over the connection that its call has. */
+/* Sends a request over the connection assigned to its call. */
 static void ups_send(struct ups_call *call, const struct ups_request *r)
 {
 	struct ups *u = call->u;
@@ -269,7 +273,8 @@
 	size_t i;
 
 	if (call->ops->may)
-		call->write = event_new(u->base, -1, 0, ups_on_write, call);
+		call->write_event =
+			event_new(u->base, -1, 0, ups_on_write, call);
 	call->req = evhttp_request_new(ups_on_done, call);
 	evhttp_request_set_header_cb(call->req, ups_on_headers);
 	evhttp_request_set_chunked_cb(call->req, ups_on_part);
@@ -282,24 +287,25 @@
 			evhttp_request_get_output_buffer(call->req), r->body);
 	if (!call->reused)
 		call->connect_timer = tmr_once(u->tmr, r->connect_ms,
-					       ups_on_connect_time, call);
+					       ups_on_connect_timeout, call);
 	if (evhttp_make_request(call->conn->ev, call->req, r->method, r->uri) !=
 	    0) {
-		/* evhttp has freed the request. */
+		/* evhttp has freed the request */
 		call->req = NULL;
 		ups_finish(call, UPS_NOT_SENT);
 	}
-	/* a call that is over by now has no connection any more */
+	/* a call that has ended has no connection */
 	if (call->conn && !call->reused)
-		ups_conn_bound(call->conn);
-	else if (call->over && call->end == UPS_NOT_SENT &&
+		ups_conn_set_limits(call->conn);
+	else if (call->ended && call->end == UPS_NOT_SENT &&
 		 ups_lacks_descriptors())
 		call->end = UPS_NO_ROOM;
 }
 
 /*
- * Whether this process can't open a socket now. libevent tells no cause, and a
- * call that failed for it would else look like a target with a closed port.
+ * Whether this process cannot open a socket now. libevent reports no cause, and
+ * a call that failed for this reason would look like a target with a closed
+ * port.
  */
 static bool ups_lacks_descriptors(void)
 {
@@ -311,11 +317,11 @@
 	return false;
 }
 
-/* Keeps a request until there is a connection for it. */
-static void ups_wait(struct ups_call *call, const struct ups_request *r)
+/* Queues a request until a connection is available. */
+static void ups_enqueue(struct ups_call *call, const struct ups_request *r)
 {
 	struct ups *u = call->u;
-	struct ups_wait *w = g_new0(struct ups_wait, 1);
+	struct ups_pending *w = g_new0(struct ups_pending, 1);
 	size_t i;
 
 	w->addr = g_strdup(r->addr);
@@ -331,20 +337,20 @@
 	w->connect_ms = r->connect_ms;
 	w->urgent = r->urgent;
 	w->link.data = call;
-	call->wait = w;
+	call->pending = w;
 	g_queue_push_tail_link(&u->waiting[w->urgent], &w->link);
 	u->stats.waited++;
-	ups_evict(u);
+	ups_evict_idle(u);
 }
 
-/* The call doesn't wait any more. */
-static void ups_wait_free(struct ups_call *call)
+/* Removes a call from the queue of those that wait for a connection. */
+static void ups_dequeue(struct ups_call *call)
 {
-	struct ups_wait *w = call->wait;
+	struct ups_pending *w = call->pending;
 
 	if (!w)
 		return;
-	call->wait = NULL;
+	call->pending = NULL;
 	g_queue_unlink(&call->u->waiting[w->urgent], &w->link);
 	ups_headers_free(w->headers);
 	g_free(w->addr);
@@ -352,37 +358,40 @@
 	g_free(w);
 }
 
-/* Looks for connections for those that wait, in the loop's next turn. */
-static void ups_next_soon(struct ups *u)
+/* Schedules ups_dispatch for the loop's next iteration if calls wait. */
+static void ups_schedule_dispatch(struct ups *u)
 {
-	if (!u->next_timer &&
+	if (!u->dispatch_timer &&
 	    (u->waiting[true].length || u->waiting[false].length))
-		u->next_timer = tmr_once(u->tmr, 0, ups_next, u);
+		u->dispatch_timer = tmr_once(u->tmr, 0, ups_dispatch, u);
 }
 
-/* Starts calls that waited, the urgent ones first. */
-static void ups_next(void *arg, int64_t now)
+/* Starts calls that wait for a connection, urgent ones first. */
+static void ups_dispatch(void *arg, int64_t now)
 {
 	struct ups *u = arg;
 
-	u->next_timer = 0;
-	while (ups_next_one(u, &u->waiting[true]) ||
+	u->dispatch_timer = 0;
+	while (ups_dispatch_one(u, &u->waiting[true]) ||
 	       (!u->waiting[true].length &&
-		ups_next_one(u, &u->waiting[false])))
+		ups_dispatch_one(u, &u->waiting[false])))
 		;
 	if (u->waiting[true].length || u->waiting[false].length)
-		ups_evict(u);
+		ups_evict_idle(u);
 }
 
-/* Starts the call that has waited longest; false: none, or no connection. */
-static bool ups_next_one(struct ups *u, GQueue *queue)
+/*
+ * Starts the call that has waited longest in a queue. Returns false if there is
+ * none or no connection is available.
+ */
+static bool ups_dispatch_one(struct ups *u, GQueue *queue)
 {
 	struct ups_call *call = g_queue_peek_head(queue);
-	struct ups_wait *w;
+	struct ups_pending *w;
 
-	if (!call || !ups_get_conn(call, call->wait->addr))
+	if (!call || !ups_assign_conn(call, call->pending->addr))
 		return false;
-	w = call->wait;
+	w = call->pending;
 	ups_send(call, &(struct ups_request){
 			       .addr = w->addr,
 			       .method = call->method,
@@ -392,41 +401,43 @@
 			       .body = w->body,
 			       .connect_ms = w->connect_ms,
 		       });
-	ups_wait_free(call);
+	ups_dequeue(call);
 	return true;
 }
 
-/* Whether one more connection may be opened. */
-static bool ups_has_room(const struct ups *u)
+/* Whether the limit allows another connection. */
+static bool ups_may_connect(const struct ups *u)
 {
-	return !u->most || u->conns->len < u->most;
+	return !u->conns_max || u->conns->len < u->conns_max;
 }
 
-/* Closes the connection that has been idle longest, for a call that waits. */
-static void ups_evict(struct ups *u)
+/*
+ * Closes the connection idle longest, to make one available for a waiting call.
+ */
+static void ups_evict_idle(struct ups *u)
 {
 	struct ups_conn *c = g_queue_peek_head(&u->idle);
 
 	if (!c)
 		return;
-	ups_unlist(c);
+	ups_conn_remove_idle(c);
 	u->stats.evicted++;
 	ups_conn_event(c, UPS_EV_EXPIRED);
 	ups_conn_close(c);
 }
 
-/* Takes an idle connection out of the lists. */
-static void ups_unlist(struct ups_conn *c)
+/* Removes a connection from the lists of idle ones. */
+static void ups_conn_remove_idle(struct ups_conn *c)
 {
-	GPtrArray *idle = g_hash_table_lookup(c->u->hosts, c->addr);
+	GPtrArray *idle = g_hash_table_lookup(c->u->idle_by_addr, c->addr);
 
 	g_queue_unlink(&c->u->idle, &c->link);
 	g_ptr_array_remove(idle, c);
 	if (idle->len == 0)
-		g_hash_table_remove(c->u->hosts, c->addr);
+		g_hash_table_remove(c->u->idle_by_addr, c->addr);
 }
 
-/* Goes on reading an answer whose part call-back had asked to stop. */
+/* Resumes reading an answer that the part callback had stopped. */
 void ups_more(struct ups_call *call)
 {
 	if (call->req && call->conn)
@@ -436,13 +447,13 @@
 }
 
 /*
- * Gives up a call: ops->end is not told. The connection is closed, never used
- * again: its late answer would meet the next request.
+ * Cancels a call: ops->end is not called. Its connection is closed and never
+ * reused, since a late answer would be taken for that of the next request.
  */
 void ups_cancel(struct ups_call *call)
 {
 	if (call->conn) {
-		ups_conn_abort(call->conn);
+		ups_conn_reset_on_close(call->conn);
 		ups_conn_event(call->conn, UPS_EV_CANCELLED);
 		call->conn->call = NULL;
 		ups_conn_close(call->conn);
@@ -452,8 +463,9 @@
 }
 
 /*
- * Bytes of a call that wait here or that the target's side hasn't
- * acknowledged: a cut holds them up. -1: not known.
+ * Returns the number of a call's bytes that are queued here or that the target
+ * has not acknowledged, for instance as a network partition delays them; -1:
+ * not known.
  */
 int64_t ups_held(const struct ups_call *call)
 {
@@ -471,8 +483,8 @@
 }
 
 /*
- * Uses idle connections for longer, for callers whose requests may safely be
- * sent again.
+ * Sets how long idle connections are reused, ms; for clients whose requests may
+ * safely be sent again.
  */
 void ups_set_reuse(struct ups *u, int64_t ms)
 {
@@ -480,25 +492,25 @@
 }
 
 /*
- * Bounds how long the kernel sends a request again that isn't acknowledged, ms;
- * for calls that must not arrive late. It holds while this process stands
- * still, and at its end.
+ * Sets how long the kernel retransmits data that is not acknowledged, ms; for
+ * calls that must not arrive late. The limit also holds while this process is
+ * stalled and after its end.
  */
 void ups_set_held(struct ups *u, int64_t ms)
 {
-	u->held_ms = ms;
+	u->user_timeout_ms = ms;
 }
 
 /*
- * Bounds the connections there may be at once; calls beyond it wait, and the
- * connection that has been idle longest makes place for them. 0: no bound.
+ * Sets the limit of open connections; 0: none. Calls beyond it wait, and the
+ * connection idle longest is closed for them.
  */
-void ups_set_most(struct ups *u, unsigned int most)
+void ups_set_most(struct ups *u, unsigned int conns_max)
 {
-	u->most = most;
+	u->conns_max = conns_max;
 }
 
-/* Whether urgent calls wait: those who hold a connection should be brief. */
+/* Whether urgent calls wait: calls that hold a connection should end soon. */
 bool ups_crowded(const struct ups *u)
 {
 	return u->waiting[true].length > 0;
@@ -509,16 +521,16 @@
 {
 	GPtrArray *idle;
 
-	while ((idle = g_hash_table_lookup(u->hosts, addr))) {
+	while ((idle = g_hash_table_lookup(u->idle_by_addr, addr))) {
 		struct ups_conn *c = g_ptr_array_index(idle, idle->len - 1);
 
-		ups_unlist(c);
+		ups_conn_remove_idle(c);
 		ups_conn_event(c, UPS_EV_EXPIRED);
 		ups_conn_close(c);
 	}
 }
 
-/* Counters since the start. */
+/* Returns the counters since the start. */
 struct ups_stats ups_stats(const struct ups *u)
 {
 	struct ups_stats s = u->stats;
@@ -529,7 +541,7 @@
 	return s;
 }
 
-/* The value of an answer's header, or NULL. */
+/* Returns the value of an answer's header, or NULL. */
 const char *ups_header_find(const struct ups_answer *a, const char *name)
 {
 	size_t i;
@@ -540,19 +552,22 @@
 	return NULL;
 }
 
-/* The youngest idle connection, if it is young enough and still quiet. */
-static struct ups_conn *ups_conn_take(struct ups *u, const char *addr)
+/*
+ * Returns the idle connection to a target that was used last, if it is recent
+ * enough and still reusable, or NULL.
+ */
+static struct ups_conn *ups_conn_reuse(struct ups *u, const char *addr)
 {
 	int64_t now = tmr_now(u->tmr);
 	GPtrArray *idle;
 
-	while ((idle = g_hash_table_lookup(u->hosts, addr))) {
+	while ((idle = g_hash_table_lookup(u->idle_by_addr, addr))) {
 		struct ups_conn *c = g_ptr_array_index(idle, idle->len - 1);
 
-		if (now - c->last > u->reuse_ms)
+		if (now - c->answered_ms > u->reuse_ms)
 			return NULL;
-		ups_unlist(c);
-		if (ups_conn_quiet(c)) {
+		ups_conn_remove_idle(c);
+		if (ups_conn_is_reusable(c)) {
 			ups_conn_event(c, UPS_EV_REUSE);
 			u->stats.reuses++;
 			return c;
@@ -564,11 +579,11 @@
 }
 
 /*
- * Whether nothing waits on an idle connection, neither bytes nor its end. The
- * target may have closed it and the loop not have come to it yet: a request
- * sent then would fail with an outcome nobody knows.
+ * Whether an idle connection has neither bytes nor its end to be read. The
+ * target may have closed it before the event loop noticed: a request sent then
+ * would fail with an unknown outcome.
  */
-static bool ups_conn_quiet(const struct ups_conn *c)
+static bool ups_conn_is_reusable(const struct ups_conn *c)
 {
 	char byte;
 	ssize_t n = recv(
@@ -592,11 +607,11 @@
 		(unsigned short)g_ascii_strtoull(colon + 1, NULL, 10));
 	g_free(ip);
 	evhttp_connection_set_max_headers_size(c->ev, UPS_HEADERS_MAX);
-	/* Never by itself: only the caller of ups knows what is safe. */
+	/* no retries: only the owner of a call knows whether they are safe */
 	evhttp_connection_set_retries(c->ev, 0);
 	evbuffer_add_cb(bufferevent_get_output(
 				evhttp_connection_get_bufferevent(c->ev)),
-			ups_sent, c);
+			ups_on_output, c);
 	g_ptr_array_add(u->conns, c);
 	u->stats.connects++;
 	return c;
@@ -609,53 +624,55 @@
 	g_free(c);
 }
 
-/* Frees a connection later: this may come from within evhttp's own code. */
-static void ups_conn_late_free(void *arg, int64_t now)
+/*
+ * Frees a connection from the loop, since a close may come from within evhttp.
+ */
+static void ups_conn_free_deferred(void *arg, int64_t now)
 {
 	struct ups_conn *c = arg;
 	struct ups *u = c->u;
 
 	g_ptr_array_remove_fast(u->conns, c);
 	ups_conn_free(c);
-	ups_next_soon(u);
+	ups_schedule_dispatch(u);
 }
 
 static void ups_conn_close(struct ups_conn *c)
 {
 	c->state = UPS_CLOSED;
-	tmr_once(c->u->tmr, 0, ups_conn_late_free, c);
+	tmr_once(c->u->tmr, 0, ups_conn_free_deferred, c);
 }
 
 /*
- * Has a connection end with a reset. A plain close leaves what the target
- * hasn't acknowledged to the kernel, which goes on sending it: behind a cut
- * for as long as the cut lasts, and what was given up is carried out then. A
- * reset drops it.
+ * Has a connection end with a reset. After a plain close the kernel continues
+ * to send what the target has not acknowledged: during a network partition
+ * until it heals, and a request that was given up is carried out then. A reset
+ * discards those bytes.
  */
-static void ups_conn_abort(struct ups_conn *c)
+static void ups_conn_reset_on_close(struct ups_conn *c)
 {
-	const struct linger at_once = {.l_onoff = 1};
+	const struct linger reset = {.l_onoff = 1};
 	evutil_socket_t fd =
 		bufferevent_getfd(evhttp_connection_get_bufferevent(c->ev));
 
 	if (fd >= 0)
-		setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once,
-			   sizeof(at_once));
+		setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
 }
 
-static void ups_conn_put(struct ups_conn *c)
+static void ups_conn_add_idle(struct ups_conn *c)
 {
-	GPtrArray *idle = g_hash_table_lookup(c->u->hosts, c->addr);
+	GPtrArray *idle = g_hash_table_lookup(c->u->idle_by_addr, c->addr);
 
 	if (!idle) {
 		idle = g_ptr_array_new();
-		g_hash_table_insert(c->u->hosts, g_strdup(c->addr), idle);
+		g_hash_table_insert(c->u->idle_by_addr, g_strdup(c->addr),
+				    idle);
 	}
-	c->last = tmr_now(c->u->tmr);
+	c->answered_ms = tmr_now(c->u->tmr);
 	c->link.data = c;
 	g_ptr_array_add(idle, c);
 	g_queue_push_tail_link(&c->u->idle, &c->link);
-	ups_next_soon(c->u);
+	ups_schedule_dispatch(c->u);
 }
 
 static int ups_conn_event(struct ups_conn *c, enum ups_event event)
@@ -670,16 +687,17 @@
 }
 
 /*
- * Bytes have left this process: from here on the target may have run the
- * request. evhttp tells no such thing, but its output buffer does.
+ * Notes changes of a connection's output. Once bytes have left this process,
+ * the target may have run the request. evhttp does not report this, but its
+ * output buffer does.
  */
-static void ups_sent(struct evbuffer *buf, const struct evbuffer_cb_info *info,
-		     void *arg)
+static void ups_on_output(struct evbuffer *buf,
+			  const struct evbuffer_cb_info *info, void *arg)
 {
 	struct ups_conn *c = arg;
 
-	if (info->n_added && c->call && c->call->write)
-		ups_look(c);
+	if (info->n_added && c->call && c->call->write_event)
+		ups_check_write(c);
 	if (info->n_deleted == 0 || c->state != UPS_CONNECTING || !c->call)
 		return;
 	tmr_cancel(c->u->tmr, c->call->connect_timer);
@@ -687,28 +705,29 @@
 }
 
 /*
- * A request is about to be written: on a new connection at once, by the
- * bufferevent that has just connected, so that this is the last moment to look;
- * on one that is there in the loop's next turn, and ups_on_write comes first.
+ * Asks ops->may as a request is queued for writing. On a new connection the
+ * bufferevent that has just connected writes at once, so this is the last
+ * moment to check. On a reused one the request is written in the loop's next
+ * iteration, after ups_on_write.
  */
-static void ups_look(struct ups_conn *c)
+static void ups_check_write(struct ups_conn *c)
 {
 	struct ups_call *call = c->call;
 
-	if (!call->refused && !call->ops->may(call->arg)) {
-		call->refused = true;
-		/* evhttp can't be stopped here, but its socket can */
+	if (!call->write_refused && !call->ops->may(call->arg)) {
+		call->write_refused = true;
+		/* evhttp cannot be stopped here, but its socket can */
 		shutdown(bufferevent_getfd(
 				 evhttp_connection_get_bufferevent(c->ev)),
 			 SHUT_RDWR);
 	}
-	event_active(call->write, EV_WRITE, 0);
+	event_active(call->write_event, EV_WRITE, 0);
 }
 
 /*
- * Looks once more and writes the request in the same breath. What is left for
- * later would be written without a look, so it is given up; a request that is
- * asked for is far smaller than what a socket takes.
+ * Asks ops->may again and writes the request at once. Bytes left over would be
+ * written later without a check, so such a call ends; a request with ops->may
+ * is far smaller than a socket's buffer.
  */
 static void ups_on_write(evutil_socket_t unused, short what, void *arg)
 {
@@ -716,13 +735,13 @@
 	struct bufferevent *bev;
 	struct evbuffer *out;
 
-	if (call->over)
+	if (call->ended)
 		return;
 	bev = evhttp_connection_get_bufferevent(call->conn->ev);
 	out = bufferevent_get_output(bev);
 	if (evbuffer_get_length(out) == 0)
 		return;
-	if (call->refused || !call->ops->may(call->arg)) {
+	if (call->write_refused || !call->ops->may(call->arg)) {
 		ups_finish(call, UPS_NOT_SENT);
 		return;
 	}
@@ -733,21 +752,21 @@
 		ups_finish(call, UPS_CUT);
 }
 
-/* Sets a new connection's bounds in the kernel. */
-static void ups_conn_bound(struct ups_conn *c)
+/* Sets the kernel's limits on a new connection. */
+static void ups_conn_set_limits(struct ups_conn *c)
 {
-	unsigned int ms = (unsigned int)c->u->held_ms;
+	unsigned int ms = (unsigned int)c->u->user_timeout_ms;
 	evutil_socket_t fd =
 		bufferevent_getfd(evhttp_connection_get_bufferevent(c->ev));
 
 	if (!ms || fd < 0)
 		return;
-	/* also what the end of this process would leave to the kernel */
-	ups_conn_abort(c);
+	/* also for data that the end of this process leaves to the kernel */
+	ups_conn_reset_on_close(c);
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, sizeof(ms));
 }
 
-static bool ups_connected(const struct ups_conn *c)
+static bool ups_conn_is_connected(const struct ups_conn *c)
 {
 	struct sockaddr_storage ss;
 	socklen_t len = sizeof(ss);
@@ -764,10 +783,10 @@
 
 	call->answer.status = evhttp_request_get_response_code(req);
 	if (!ups_framing_ok(call, req)) {
-		call->bad = true;
+		call->malformed = true;
 		return -1;
 	}
-	/* Now, not at the end: trailers would come in among them. */
+	/* copied now: at the end, trailers would be among them */
 	TAILQ_FOREACH(kv, evhttp_request_get_input_headers(req), next) {
 		struct ups_header h = {g_strdup(kv->key), g_strdup(kv->value)};
 
@@ -777,10 +796,10 @@
 }
 
 /*
- * Whether the answer tells where it ends, in one way only. evhttp takes an
- * answer without length as whole when the peer closes: a target that dies
- * half-way would give a caller half an answer as a whole one. It also takes
- * the first of two lengths, and interim answers (1xx) as final.
+ * Whether the answer's framing defines its end, in one way only. evhttp takes
+ * an answer without a length as whole when the peer closes, so a target that
+ * dies part-way would give a caller half an answer as a whole one. It also uses
+ * the first of two lengths, and takes interim answers (1xx) as final.
  */
 static bool ups_framing_ok(struct ups_call *call, struct evhttp_request *req)
 {
@@ -802,48 +821,52 @@
 	struct ups_call *call = arg;
 	struct evbuffer *in = evhttp_request_get_input_buffer(req);
 
-	if (call->over)
+	if (call->ended)
 		return;
-	evbuffer_add_buffer(call->held, in);
-	if (!call->passing_on &&
-	    (int64_t)evbuffer_get_length(call->held) <= call->max_answer)
+	evbuffer_add_buffer(call->buffered, in);
+	if (!call->streaming &&
+	    (int64_t)evbuffer_get_length(call->buffered) <= call->max_answer)
 		return;
 	call->answer.headers = (void *)call->headers->data;
 	call->answer.n_headers = call->headers->len;
-	call->answer.body = call->held;
+	call->answer.body = call->buffered;
 	call->answer.reused = call->reused;
-	if (!call->passing_on) {
-		call->passing_on = true;
+	if (!call->streaming) {
+		call->streaming = true;
 		call->ops->start(call->arg, &call->answer);
 	}
-	if (!call->over && !call->ops->part(call->arg, &call->answer))
+	if (!call->ended && !call->ops->part(call->arg, &call->answer))
 		bufferevent_disable(
 			evhttp_connection_get_bufferevent(call->conn->ev),
 			EV_READ);
 }
 
-/* evhttp is done: with an answer, without one (NULL), or not connected. */
+/*
+ * Handles the end of a request in evhttp: with an answer, without one (req is
+ * NULL), or not connected.
+ */
 static void ups_on_done(struct evhttp_request *req, void *arg)
 {
 	struct ups_call *call = arg;
 	enum ups_end end = UPS_WHOLE;
 
 	call->req = NULL;
-	if (call->over)
+	if (call->ended)
 		return;
-	if (!req || evhttp_request_get_response_code(req) == 0 || call->bad)
-		end = call->bad		? UPS_BAD
+	if (!req || evhttp_request_get_response_code(req) == 0 ||
+	    call->malformed)
+		end = call->malformed	? UPS_BAD
 		      : call->timed_out ? UPS_TIMEOUT
 					: UPS_CUT;
 	ups_finish(call, end);
 }
 
-static void ups_on_connect_time(void *arg, int64_t now)
+static void ups_on_connect_timeout(void *arg, int64_t now)
 {
 	struct ups_call *call = arg;
 
 	call->connect_timer = 0;
-	if (ups_connected(call->conn))
+	if (ups_conn_is_connected(call->conn))
 		return;
 	call->timed_out = true;
 	ups_finish(call, UPS_TIMEOUT);
@@ -859,10 +882,10 @@
 }
 
 /*
- * A call that is over has no connection any more, and its other timers may be
- * due in the same turn: on a busy leader that ended the daemon, turn after
- * turn, with each new leader. Stopping them is enough, since the timer service
- * never calls what was cancelled.
+ * Cancels a call's timers. A call that has ended has no connection, but its
+ * other timers may expire in the same loop iteration; on a busy leader that
+ * crashed the daemon, and each next leader in turn. Cancelling is enough, since
+ * the timer service never calls a cancelled timer.
  */
 static void ups_stop_timers(struct ups_call *call)
 {
@@ -873,9 +896,9 @@
 }
 
 /*
- * The call is over; its end is told from the loop, since this may run within
- * evhttp. A connection goes back to idle only after a whole answer with no
- * byte behind it; a byte too many would be taken for the next answer.
+ * Ends a call. Its end is reported from the event loop, since this may run
+ * within evhttp. A connection becomes idle only after a whole answer with no
+ * byte behind it: an excess byte would be taken for the next answer.
  */
 static void ups_finish(struct ups_call *call, enum ups_end end)
 {
@@ -883,15 +906,15 @@
 	struct bufferevent *bev;
 	struct evhttp_request *req = call->req;
 	bool sent;
-	bool clean;
+	bool reusable;
 
-	if (call->over)
+	if (call->ended)
 		return;
-	call->over = true;
+	call->ended = true;
 	ups_stop_timers(call);
-	call->end_timer = tmr_once(call->u->tmr, 0, ups_tell_end, call);
+	call->end_timer = tmr_once(call->u->tmr, 0, ups_report_end, call);
 	if (!c) {
-		ups_wait_free(call);
+		ups_dequeue(call);
 		call->end = UPS_NO_ROOM;
 		return;
 	}
@@ -899,26 +922,26 @@
 	sent = c->state == UPS_BUSY;
 	call->req = NULL;
 	call->end = sent ? end : UPS_NOT_SENT;
-	clean = end == UPS_WHOLE && sent &&
-		evbuffer_get_length(bufferevent_get_input(bev)) == 0;
+	reusable = end == UPS_WHOLE && sent &&
+		   evbuffer_get_length(bufferevent_get_input(bev)) == 0;
 	if (end == UPS_WHOLE && sent)
 		ups_conn_event(c, UPS_EV_ANSWERED);
 	else
 		ups_conn_event(c, end == UPS_TIMEOUT ? UPS_EV_TIMEOUT
 						     : UPS_EV_FAILED);
-	if (!clean)
-		ups_conn_abort(c);
+	if (!reusable)
+		ups_conn_reset_on_close(c);
 	c->call = NULL;
 	call->conn = NULL;
 	if (req)
 		evhttp_cancel_request(req);
-	if (clean)
-		ups_conn_put(c);
+	if (reusable)
+		ups_conn_add_idle(c);
 	else
 		ups_conn_close(c);
 }
 
-static void ups_tell_end(void *arg, int64_t now)
+static void ups_report_end(void *arg, int64_t now)
 {
 	struct ups_call *call = arg;
 
@@ -926,7 +949,7 @@
 	call->u->stats.ends[call->end]++;
 	call->answer.headers = (void *)call->headers->data;
 	call->answer.n_headers = call->headers->len;
-	call->answer.body = call->held;
+	call->answer.body = call->buffered;
 	call->answer.reused = call->reused;
 	call->ops->end(call->arg, call->end, &call->answer);
 	ups_call_free(call);
@@ -935,21 +958,21 @@
 static void ups_call_free(struct ups_call *call)
 {
 	ups_stop_timers(call);
-	ups_wait_free(call);
+	ups_dequeue(call);
 	tmr_cancel(call->u->tmr, call->end_timer);
-	if (call->write)
-		event_free(call->write);
+	if (call->write_event)
+		event_free(call->write_event);
 	if (call->req) {
-		/* evhttp frees the request; its call-backs must not come. */
-		call->over = true;
+		/* evhttp frees the request; its callbacks must not run */
+		call->ended = true;
 		evhttp_cancel_request(call->req);
 	}
 	ups_headers_free(call->headers);
-	evbuffer_free(call->held);
+	evbuffer_free(call->buffered);
 	g_free(call);
 }
 
-/* Frees a list of headers with their texts. */
+/* Frees a list of headers with their strings. */
 static void ups_headers_free(GArray *headers)
 {
 	guint i;
@@ -964,15 +987,15 @@
 	g_array_free(headers, TRUE);
 }
 
-/* Closes idle connections that are too old to be used again. */
+/* Closes idle connections that are too old for reuse. */
 static void ups_tick(void *arg, int64_t now)
 {
 	struct ups *u = arg;
 	struct ups_conn *c;
 
 	while ((c = g_queue_peek_head(&u->idle)) &&
-	       now - c->last > u->reuse_ms) {
-		ups_unlist(c);
+	       now - c->answered_ms > u->reuse_ms) {
+		ups_conn_remove_idle(c);
 		ups_conn_event(c, UPS_EV_EXPIRED);
 		ups_conn_close(c);
 	}
--- a/tests/unit/ups_test.c
+++ b/tests/unit/ups_test.c
@@ -12,13 +12,13 @@
 
 #define WAIT_MS 3000
 #define MAX_ANSWER 100
-/* More than the kernel holds for a target that doesn't read. */
-#define HELD_BYTES (16 << 20)
+/* More than the kernel buffers for a target that does not read. */
+#define UNREAD_BYTES (16 << 20)
 
 #define OK_ANSWER "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
-/* A target whose bytes the test plays by hand, and what a call came to. */
-struct bed {
+/* A target whose answers the test sends, and the result of a call. */
+struct fixture {
 	struct event_base *base;
 	struct tmr *tmr;
 	struct ups *ups;
@@ -34,38 +34,38 @@
 
 static void on_start(void *arg, const struct ups_answer *a)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->starts++;
-	b->status = a->status;
+	f->starts++;
+	f->status = a->status;
 }
 
 static bool on_part(void *arg, const struct ups_answer *a)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 	char buf[4096];
 	int n;
 
-	b->parts++;
+	f->parts++;
 	while ((n = evbuffer_remove(a->body, buf, sizeof(buf))) > 0)
-		g_string_append_len(b->body, buf, n);
+		g_string_append_len(f->body, buf, n);
 	return true;
 }
 
 static void on_end(void *arg, enum ups_end end, const struct ups_answer *a)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 	size_t len = evbuffer_get_length(a->body);
 
-	assert_false(b->ended);
-	b->ended = true;
-	b->end = end;
-	b->status = a->status;
-	g_string_append_len(b->body, (char *)evbuffer_pullup(a->body, -1),
+	assert_false(f->ended);
+	f->ended = true;
+	f->end = end;
+	f->status = a->status;
+	g_string_append_len(f->body, (char *)evbuffer_pullup(a->body, -1),
 			    (gssize)len);
 }
 
-static const struct ups_ops bed_ops = {
+static const struct ups_ops fixture_ops = {
 	.start = on_start,
 	.part = on_part,
 	.end = on_end,
@@ -73,93 +73,97 @@
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
+	struct fixture *f = g_new0(struct fixture, 1);
 	int port;
 
-	b->listener = net_listen(&port);
-	g_snprintf(b->addr, sizeof(b->addr), "127.0.0.1:%d", port);
-	b->base = event_base_new();
-	b->tmr = tmr_new(b->base);
-	b->ups = ups_new(b->base, b->tmr);
-	b->body = g_string_new("");
-	*state = b;
+	f->listener = net_listen(&port);
+	g_snprintf(f->addr, sizeof(f->addr), "127.0.0.1:%d", port);
+	f->base = event_base_new();
+	f->tmr = tmr_new(f->base);
+	f->ups = ups_new(f->base, f->tmr);
+	f->body = g_string_new("");
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
-
-	ups_free(b->ups);
-	tmr_free(b->tmr);
-	event_base_free(b->base);
-	g_string_free(b->body, TRUE);
-	if (b->listener >= 0)
-		close(b->listener);
-	g_free(b);
+	struct fixture *f = *state;
+
+	ups_free(f->ups);
+	tmr_free(f->tmr);
+	event_base_free(f->base);
+	g_string_free(f->body, TRUE);
+	if (f->listener >= 0)
+		close(f->listener);
+	g_free(f);
 	return 0;
 }
 
-static struct ups_call *start(struct bed *b, enum evhttp_cmd_type method,
-			      int64_t timeout_ms)
+static struct ups_call *start_request(struct fixture *f,
+				      enum evhttp_cmd_type method,
+				      int64_t timeout_ms)
 {
-	b->ended = false;
-	b->starts = 0;
-	b->parts = 0;
-	g_string_truncate(b->body, 0);
-	return ups_start(b->ups,
+	f->ended = false;
+	f->starts = 0;
+	f->parts = 0;
+	g_string_truncate(f->body, 0);
+	return ups_start(f->ups,
 			 &(struct ups_request){
-				 .addr = b->addr,
+				 .addr = f->addr,
 				 .method = method,
 				 .uri = "/a",
 				 .timeout_ms = timeout_ms,
 				 .connect_ms = 200,
 				 .max_answer = MAX_ANSWER,
 			 },
-			 &bed_ops, b);
+			 &fixture_ops, f);
 }
 
-static void wait_end(struct bed *b)
+static void wait_end(struct fixture *f)
 {
 	int i;
 
-	for (i = 0; i < WAIT_MS && !b->ended; i++)
-		net_run(b->base, 1);
-	assert_true(b->ended);
+	for (i = 0; i < WAIT_MS && !f->ended; i++)
+		net_run(f->base, 1);
+	assert_true(f->ended);
 }
 
-/* Takes the request off a new connection and answers it with bytes. */
-static int play(struct bed *b, const char *answer)
+/*
+ * Accepts a connection, reads the request and answers it with the bytes given.
+ * Returns the connection's socket.
+ */
+static int accept_and_answer(struct fixture *f, const char *answer)
 {
 	bool closed;
-	int fd = net_accept(b->base, b->listener, WAIT_MS);
+	int fd = net_accept(f->base, f->listener, WAIT_MS);
 	GString *got;
 
 	assert_true(fd >= 0);
-	got = net_read(b->base, fd, "\r\n\r\n", WAIT_MS, &closed);
+	got = net_read(f->base, fd, "\r\n\r\n", WAIT_MS, &closed);
 	g_string_free(got, TRUE);
 	net_send(fd, answer, -1);
 	return fd;
 }
 
-static void a_whole_answer_is_told_whole(void **state)
+static void reports_whole_answer(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int fd;
 
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	fd = play(b, OK_ANSWER);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_WHOLE);
-	assert_string_equal(b->body->str, "good");
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	fd = accept_and_answer(f, OK_ANSWER);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_WHOLE);
+	assert_string_equal(f->body->str, "good");
 	close(fd);
 }
 
 /*
- * The target dies, or is not what it seems, in the middle of its answer. The
- * caller must not get a part as the whole: none of these is told as whole.
+ * Guards against a partial answer reported as whole, when a target dies in the
+ * middle of its answer or sends a malformed one.
  */
-static void half_an_answer_is_never_whole(void **state)
+static void partial_answer_is_never_whole(void **state)
 {
 	static const char *const bad[] = {
 		/* no length, ended by the close */
@@ -167,13 +171,13 @@
 		"HTTP/1.0 200 OK\r\n\r\nhalf",
 		/* short of its length */
 		"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
-		/* chunks without the last one, cut inside one */
+		/* chunks without the last one, truncated chunk */
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 		"4\r\nhalf\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhal",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 		"4\r\nhalf\r\n0\r\n",
-		/* two lengths, length beside encoding, other encodings */
+		/* two lengths, length and encoding, other encodings */
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n"
 		"Content-Length: 8\r\n\r\nhalf",
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n"
@@ -187,172 +191,179 @@
 		/* an interim answer is not the answer */
 		"HTTP/1.1 103 Early Hints\r\n\r\n",
 		"HTTP/1.1 101 Switching Protocols\r\n\r\n",
-		/* no headers' end; nothing; not HTTP */
+		/* no end of headers; nothing; not HTTP */
 		"HTTP/1.1 200 OK\r\nContent-Le",
 		"",
 		"SSH-2.0-x\r\n\r\n",
 	};
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	size_t i;
 	int fd;
 
 	for (i = 0; i < G_N_ELEMENTS(bad); i++) {
-		start(b, EVHTTP_REQ_GET, WAIT_MS);
-		fd = play(b, bad[i]);
-		net_run(b->base, 10);
+		start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+		fd = accept_and_answer(f, bad[i]);
+		net_run(f->base, 10);
 		close(fd);
-		wait_end(b);
-		if (b->end != UPS_CUT && b->end != UPS_BAD) {
-			print_error("case %zu: end=%d body=%s\n", i, b->end,
-				    b->body->str);
+		wait_end(f);
+		if (f->end != UPS_CUT && f->end != UPS_BAD) {
+			print_error("case %zu: end=%d body=%s\n", i, f->end,
+				    f->body->str);
 			fail();
 		}
 	}
 }
 
 /*
- * The caller gets the answer that is there, and the daemon lives on. This
- * process was held up: an answer lies ready and its deadline has passed, so
- * that both are seen in one turn of the loop. The deadline then found a call
- * without its connection, and ended the daemon.
+ * Guards against a crash when a stalled process finds an answer and its expired
+ * deadline in one iteration of the event loop: the deadline's timer found a
+ * call without a connection. The caller gets the answer.
  */
-static void an_answer_and_its_deadline_in_one_turn(void **state)
+static void answer_and_deadline_in_one_loop_iteration(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int fd;
 
-	start(b, EVHTTP_REQ_GET, 100);
-	fd = play(b, OK_ANSWER);
+	start_request(f, EVHTTP_REQ_GET, 100);
+	fd = accept_and_answer(f, OK_ANSWER);
 	g_usleep(150 * 1000);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_WHOLE);
-	net_run(b->base, 20);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_WHOLE);
+	net_run(f->base, 20);
 	close(fd);
 }
 
-/* The same with a connection that is refused and its own patience. */
-static void a_refusal_and_its_patience_in_one_turn(void **state)
+/*
+ * Guards against the same crash with a refused connection and the connect
+ * timeout.
+ */
+static void refusal_and_connect_timeout_in_one_loop_iteration(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	close(b->listener);
-	b->listener = -1;
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
+	close(f->listener);
+	f->listener = -1;
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
 	g_usleep(250 * 1000);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_NOT_SENT);
-	net_run(b->base, 20);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_NOT_SENT);
+	net_run(f->base, 20);
 }
 
 static void answers_without_body_are_whole(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int fd;
 
-	start(b, EVHTTP_REQ_HEAD, WAIT_MS);
-	fd = play(b, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n");
-	wait_end(b);
-	assert_int_equal(b->end, UPS_WHOLE);
+	start_request(f, EVHTTP_REQ_HEAD, WAIT_MS);
+	fd = accept_and_answer(f,
+			       "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n");
+	wait_end(f);
+	assert_int_equal(f->end, UPS_WHOLE);
 	close(fd);
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	net_run(b->base, 20);
-	fd = play(b, "HTTP/1.1 204 No Content\r\n\r\n");
-	wait_end(b);
-	assert_int_equal(b->end, UPS_WHOLE);
-	assert_int_equal(b->body->len, 0);
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	net_run(f->base, 20);
+	fd = accept_and_answer(f, "HTTP/1.1 204 No Content\r\n\r\n");
+	wait_end(f);
+	assert_int_equal(f->end, UPS_WHOLE);
+	assert_int_equal(f->body->len, 0);
 	close(fd);
 }
 
 /*
- * A request timed out; its answer comes after all. The next request must not
- * get it: it goes over another connection and gets its own.
+ * Guards against an answer that arrives after its request timed out and is
+ * taken for that of the next request, which uses another connection.
  */
-static void a_late_answer_meets_nobody(void **state)
+static void late_answer_is_discarded(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int late;
 	int fd;
 
-	start(b, EVHTTP_REQ_GET, 100);
-	late = play(b, "");
-	wait_end(b);
-	assert_int_equal(b->end, UPS_TIMEOUT);
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
+	start_request(f, EVHTTP_REQ_GET, 100);
+	late = accept_and_answer(f, "");
+	wait_end(f);
+	assert_int_equal(f->end, UPS_TIMEOUT);
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
 	net_send(late, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate", -1);
-	fd = play(b, OK_ANSWER);
-	wait_end(b);
-	assert_string_equal(b->body->str, "good");
+	fd = accept_and_answer(f, OK_ANSWER);
+	wait_end(f);
+	assert_string_equal(f->body->str, "good");
 	close(late);
 	close(fd);
 }
 
 /*
- * A target sends more than its answer. The bytes behind would be taken for
- * the answer to the next request on that connection: it is not used again.
+ * Guards against excess bytes after an answer taken for the answer to the next
+ * request: the connection is not reused.
  */
-static void bytes_behind_an_answer_end_the_connection(void **state)
+static void closes_connection_with_excess_bytes(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int first;
 	int second;
 
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	first = play(b, OK_ANSWER
-		     "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil");
-	wait_end(b);
-	assert_string_equal(b->body->str, "good");
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	second = play(b, OK_ANSWER);
-	wait_end(b);
-	assert_string_equal(b->body->str, "good");
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	first = accept_and_answer(
+		f,
+		OK_ANSWER "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil");
+	wait_end(f);
+	assert_string_equal(f->body->str, "good");
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	second = accept_and_answer(f, OK_ANSWER);
+	wait_end(f);
+	assert_string_equal(f->body->str, "good");
 	close(first);
 	close(second);
 }
 
-/* A young connection serves again; an old one might be forgotten between. */
-static void only_young_connections_serve_again(void **state)
+/*
+ * Guards against the reuse of a connection that has been idle for long, which a
+ * device on the path may have dropped.
+ */
+static void reuses_only_recent_connections(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	bool closed;
 	GString *got;
 	int fd;
 	int again;
 
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	fd = play(b, OK_ANSWER);
-	wait_end(b);
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	got = net_read(b->base, fd, "\r\n\r\n", WAIT_MS, &closed);
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	fd = accept_and_answer(f, OK_ANSWER);
+	wait_end(f);
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	got = net_read(f->base, fd, "\r\n\r\n", WAIT_MS, &closed);
 	assert_non_null(strstr(got->str, "GET /a"));
 	g_string_free(got, TRUE);
 	net_send(fd, OK_ANSWER, -1);
-	wait_end(b);
-	assert_int_equal(ups_stats(b->ups).reuses, 1);
-	net_run(b->base, 700);
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	again = play(b, OK_ANSWER);
-	wait_end(b);
-	assert_int_equal(ups_stats(b->ups).reuses, 1);
-	assert_int_equal(b->end, UPS_WHOLE);
+	wait_end(f);
+	assert_int_equal(ups_stats(f->ups).reuses, 1);
+	net_run(f->base, 700);
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	again = accept_and_answer(f, OK_ANSWER);
+	wait_end(f);
+	assert_int_equal(ups_stats(f->ups).reuses, 1);
+	assert_int_equal(f->end, UPS_WHOLE);
 	close(fd);
 	close(again);
 }
 
-/* Nobody listens, or nobody accepts: not sent, so it was not run. */
-static void without_connection_nothing_was_sent(void **state)
+/* Guards against a request reported as sent although nothing listens. */
+static void connection_failure_is_not_sent(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	close(b->listener);
-	b->listener = -1;
-	start(b, EVHTTP_REQ_POST, WAIT_MS);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_NOT_SENT);
+	close(f->listener);
+	f->listener = -1;
+	start_request(f, EVHTTP_REQ_POST, WAIT_MS);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_NOT_SENT);
 }
 
-static void larger_answers_come_in_parts(void **state)
+static void streams_large_answers(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	GString *answer =
 		g_string_new("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n");
 	int fd;
@@ -360,70 +371,70 @@
 
 	for (i = 0; i < 100; i++)
 		g_string_append(answer, "0123456789");
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	fd = play(b, answer->str);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_WHOLE);
-	assert_int_equal(b->starts, 1);
-	assert_int_equal(b->body->len, 1000);
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	fd = accept_and_answer(f, answer->str);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_WHOLE);
+	assert_int_equal(f->starts, 1);
+	assert_int_equal(f->body->len, 1000);
 	close(fd);
-	/* cut half-way: parts were passed on, and the end says so */
+	/* truncated: parts were passed on, and the end reports it */
 	g_string_truncate(answer, 600);
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	net_run(b->base, 300);
-	fd = play(b, answer->str);
-	net_run(b->base, 10);
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	net_run(f->base, 300);
+	fd = accept_and_answer(f, answer->str);
+	net_run(f->base, 10);
 	close(fd);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_CUT);
-	assert_int_equal(b->starts, 1);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_CUT);
+	assert_int_equal(f->starts, 1);
 	g_string_free(answer, TRUE);
 }
 
 /*
- * A control daemon of a large fleet ends with a fault, and again after each
- * start: it has as many connections to workers as it may have files open, and
- * the next call ends within the call that begins it, for want of a socket.
+ * Guards against a control daemon that crashes with its descriptors used up by
+ * connections to workers: without a socket, a call ends within ups_start.
  */
-static void a_call_without_a_descriptor_ends(void **state)
+static void call_without_descriptor_ends(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct net_taken taken = net_take_descriptors(0);
 	int fd;
 
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_NO_ROOM);
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_NO_ROOM);
 	net_give_back(&taken);
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	fd = play(b, OK_ANSWER);
-	wait_end(b);
-	assert_int_equal(b->end, UPS_WHOLE);
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	fd = accept_and_answer(f, OK_ANSWER);
+	wait_end(f);
+	assert_int_equal(f->end, UPS_WHOLE);
 	close(fd);
 }
 
-/* One of several calls at once. */
-struct one {
+/* Result of one of several concurrent calls. */
+struct call_result {
 	bool ended;
 	enum ups_end end;
 };
 
-static void on_one_end(void *arg, enum ups_end end, const struct ups_answer *a)
+static void on_call_end(void *arg, enum ups_end end, const struct ups_answer *a)
 {
-	struct one *o = arg;
+	struct call_result *o = arg;
 
 	assert_false(o->ended);
 	o->ended = true;
 	o->end = end;
 }
 
-static struct ups_call *start_one(struct bed *b, const char *addr, bool urgent,
-				  int64_t timeout_ms, struct one *o)
+static struct ups_call *start_call(struct fixture *f, const char *addr,
+				   bool urgent, int64_t timeout_ms,
+				   struct call_result *o)
 {
-	static const struct ups_ops ops = {.end = on_one_end};
+	static const struct ups_ops ops = {.end = on_call_end};
 
-	*o = (struct one){0};
-	return ups_start(b->ups,
+	*o = (struct call_result){0};
+	return ups_start(f->ups,
 			 &(struct ups_request){
 				 .addr = addr,
 				 .method = EVHTTP_REQ_GET,
@@ -436,155 +447,163 @@
 			 &ops, o);
 }
 
-static void wait_one(struct bed *b, const struct one *o)
+static void wait_result(struct fixture *f, const struct call_result *o)
 {
 	int i;
 
 	for (i = 0; i < WAIT_MS && !o->ended; i++)
-		net_run(b->base, 1);
+		net_run(f->base, 1);
 	assert_true(o->ended);
 }
 
-/* Reads a request off a connection and answers it. */
-static void answer(struct bed *b, int fd)
+/* Reads a request from a connection and answers it. */
+static void answer_next_request(struct fixture *f, int fd)
 {
 	bool closed;
 
-	g_string_free(net_read(b->base, fd, "\r\n\r\n", WAIT_MS, &closed),
+	g_string_free(net_read(f->base, fd, "\r\n\r\n", WAIT_MS, &closed),
 		      TRUE);
 	assert_false(closed);
 	net_send(fd, OK_ANSWER, -1);
 }
 
-/* Guards against a daemon that takes all descriptors of its process for calls. */
-static void calls_beyond_the_bound_wait(void **state)
+/* Guards against a daemon that uses all its descriptors for calls. */
+static void calls_beyond_connection_limit_wait(void **state)
 {
-	struct bed *b = *state;
-	struct one o[3];
+	struct fixture *f = *state;
+	struct call_result o[3];
 	int fds[2];
 	int i;
 
-	ups_set_most(b->ups, 2);
+	ups_set_most(f->ups, 2);
 	for (i = 0; i < 3; i++)
-		start_one(b, b->addr, false, WAIT_MS, &o[i]);
-	fds[0] = net_accept(b->base, b->listener, WAIT_MS);
-	fds[1] = net_accept(b->base, b->listener, WAIT_MS);
-	assert_int_equal(net_accept(b->base, b->listener, 50), -1);
-	assert_int_equal(ups_stats(b->ups).open, 2);
-	assert_int_equal(ups_stats(b->ups).waiting, 1);
-	answer(b, fds[0]);
-	wait_one(b, &o[0]);
-	answer(b, fds[0]);
-	answer(b, fds[1]);
+		start_call(f, f->addr, false, WAIT_MS, &o[i]);
+	fds[0] = net_accept(f->base, f->listener, WAIT_MS);
+	fds[1] = net_accept(f->base, f->listener, WAIT_MS);
+	assert_int_equal(net_accept(f->base, f->listener, 50), -1);
+	assert_int_equal(ups_stats(f->ups).open, 2);
+	assert_int_equal(ups_stats(f->ups).waiting, 1);
+	answer_next_request(f, fds[0]);
+	wait_result(f, &o[0]);
+	answer_next_request(f, fds[0]);
+	answer_next_request(f, fds[1]);
 	for (i = 0; i < 3; i++) {
-		wait_one(b, &o[i]);
+		wait_result(f, &o[i]);
 		assert_int_equal(o[i].end, UPS_WHOLE);
 	}
-	assert_int_equal(ups_stats(b->ups).connects, 2);
+	assert_int_equal(ups_stats(f->ups).connects, 2);
 	close(fds[0]);
 	close(fds[1]);
 }
 
-/* Guards against idle connections that keep other targets from being asked. */
-static void an_idle_connection_makes_place(void **state)
+/* Guards against idle connections that prevent calls to other targets. */
+static void evicts_idle_connection(void **state)
 {
-	struct bed *b = *state;
-	struct one o[2];
+	struct fixture *f = *state;
+	struct call_result o[2];
 	char addr[32];
 	int port;
 	int other = net_listen(&port);
 	int fds[2];
 
 	g_snprintf(addr, sizeof(addr), "127.0.0.1:%d", port);
-	ups_set_most(b->ups, 1);
-	ups_set_reuse(b->ups, 2 * WAIT_MS);
-	start_one(b, b->addr, false, WAIT_MS, &o[0]);
-	fds[0] = net_accept(b->base, b->listener, WAIT_MS);
-	answer(b, fds[0]);
-	wait_one(b, &o[0]);
-	start_one(b, addr, false, WAIT_MS, &o[1]);
-	fds[1] = net_accept(b->base, other, WAIT_MS);
-	answer(b, fds[1]);
-	wait_one(b, &o[1]);
+	ups_set_most(f->ups, 1);
+	ups_set_reuse(f->ups, 2 * WAIT_MS);
+	start_call(f, f->addr, false, WAIT_MS, &o[0]);
+	fds[0] = net_accept(f->base, f->listener, WAIT_MS);
+	answer_next_request(f, fds[0]);
+	wait_result(f, &o[0]);
+	start_call(f, addr, false, WAIT_MS, &o[1]);
+	fds[1] = net_accept(f->base, other, WAIT_MS);
+	answer_next_request(f, fds[1]);
+	wait_result(f, &o[1]);
 	assert_int_equal(o[1].end, UPS_WHOLE);
-	assert_int_equal(ups_stats(b->ups).open, 1);
-	assert_int_equal(ups_stats(b->ups).evicted, 1);
+	assert_int_equal(ups_stats(f->ups).open, 1);
+	assert_int_equal(ups_stats(f->ups).evicted, 1);
 	close(fds[0]);
 	close(fds[1]);
 	close(other);
 }
 
-/* Guards against leases that end while less urgent calls go first. */
+/*
+ * Guards against leases that expire while less urgent calls are served first.
+ */
 static void urgent_calls_go_first(void **state)
 {
-	struct bed *b = *state;
-	struct one o[3];
+	struct fixture *f = *state;
+	struct call_result o[3];
 	int fd;
 
-	ups_set_most(b->ups, 1);
-	start_one(b, b->addr, false, WAIT_MS, &o[0]);
-	start_one(b, b->addr, false, WAIT_MS, &o[1]);
-	start_one(b, b->addr, true, WAIT_MS, &o[2]);
-	assert_true(ups_crowded(b->ups));
-	fd = net_accept(b->base, b->listener, WAIT_MS);
-	answer(b, fd);
-	wait_one(b, &o[0]);
-	answer(b, fd);
-	wait_one(b, &o[2]);
+	ups_set_most(f->ups, 1);
+	start_call(f, f->addr, false, WAIT_MS, &o[0]);
+	start_call(f, f->addr, false, WAIT_MS, &o[1]);
+	start_call(f, f->addr, true, WAIT_MS, &o[2]);
+	assert_true(ups_crowded(f->ups));
+	fd = net_accept(f->base, f->listener, WAIT_MS);
+	answer_next_request(f, fd);
+	wait_result(f, &o[0]);
+	answer_next_request(f, fd);
+	wait_result(f, &o[2]);
 	assert_false(o[1].ended);
-	assert_false(ups_crowded(b->ups));
-	answer(b, fd);
-	wait_one(b, &o[1]);
+	assert_false(ups_crowded(f->ups));
+	answer_next_request(f, fd);
+	wait_result(f, &o[1]);
 	close(fd);
 }
 
-/* Guards against a call that waited in vain and is taken for one that ran. */
-static void a_call_that_waited_in_vain_was_not_tried(void **state)
+/*
+ * Guards against a call reported as run that timed out waiting for a
+ * connection.
+ */
+static void call_that_timed_out_waiting_was_not_tried(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	struct ups_call *cancelled;
-	struct one o[3];
+	struct call_result o[3];
 	int fd;
 
-	ups_set_most(b->ups, 1);
-	start_one(b, b->addr, false, WAIT_MS, &o[0]);
-	start_one(b, b->addr, false, 20, &o[1]);
-	cancelled = start_one(b, b->addr, false, WAIT_MS, &o[2]);
-	wait_one(b, &o[1]);
+	ups_set_most(f->ups, 1);
+	start_call(f, f->addr, false, WAIT_MS, &o[0]);
+	start_call(f, f->addr, false, 20, &o[1]);
+	cancelled = start_call(f, f->addr, false, WAIT_MS, &o[2]);
+	wait_result(f, &o[1]);
 	assert_int_equal(o[1].end, UPS_NO_ROOM);
 	ups_cancel(cancelled);
-	fd = net_accept(b->base, b->listener, WAIT_MS);
-	answer(b, fd);
-	wait_one(b, &o[0]);
-	net_run(b->base, 20);
-	assert_int_equal(ups_stats(b->ups).waiting, 0);
-	assert_int_equal(ups_stats(b->ups).reuses, 0);
+	fd = net_accept(f->base, f->listener, WAIT_MS);
+	answer_next_request(f, fd);
+	wait_result(f, &o[0]);
+	net_run(f->base, 20);
+	assert_int_equal(ups_stats(f->ups).waiting, 0);
+	assert_int_equal(ups_stats(f->ups).reuses, 0);
 	assert_false(o[2].ended);
 	close(fd);
 }
 
-/* A call given up is never told, and its connection never used again. */
-static void a_cancelled_call_is_silent(void **state)
+/*
+ * Guards against an end reported for a cancelled call, and against the reuse of
+ * its connection.
+ */
+static void cancelled_call_reports_no_end(void **state)
 {
-	struct bed *b = *state;
-	struct ups_call *call = start(b, EVHTTP_REQ_GET, WAIT_MS);
-	int fd = play(b, "HTTP/1.1 200 OK\r\nContent-Le");
+	struct fixture *f = *state;
+	struct ups_call *call = start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	int fd = accept_and_answer(f, "HTTP/1.1 200 OK\r\nContent-Le");
 	int next;
 
 	ups_cancel(call);
 	net_send(fd, "ngth: 4\r\n\r\nlate", -1);
-	net_run(b->base, 50);
-	assert_false(b->ended);
-	start(b, EVHTTP_REQ_GET, WAIT_MS);
-	next = play(b, OK_ANSWER);
-	wait_end(b);
-	assert_string_equal(b->body->str, "good");
+	net_run(f->base, 50);
+	assert_false(f->ended);
+	start_request(f, EVHTTP_REQ_GET, WAIT_MS);
+	next = accept_and_answer(f, OK_ANSWER);
+	wait_end(f);
+	assert_string_equal(f->body->str, "good");
 	close(fd);
 	close(next);
 }
 
-/* Reads what is there; true: the sender broke the connection off. */
-static bool read_to_reset(struct bed *b, int fd, size_t *got)
+/* Reads until the connection ends. Returns whether the sender reset it. */
+static bool read_until_reset(struct fixture *f, int fd, size_t *got)
 {
 	static char buf[1 << 16];
 	ssize_t n;
@@ -599,29 +618,28 @@
 		}
 		if (n == 0 || (errno != EAGAIN && errno != EWOULDBLOCK))
 			return n < 0 && errno == ECONNRESET;
-		net_run(b->base, 1);
+		net_run(f->base, 1);
 		i++;
 	}
 	return false;
 }
 
 /*
- * A target carries out seconds later what its caller has given up. A cut holds
- * the request up in the caller's kernel; the caller gives up and closes; the
- * cut heals and the kernel sends on what it was told to send. Here a target
- * that doesn't read stands for the cut: what it hasn't got by the time of the
- * end must never come.
+ * Guards against a target that carries out a request seconds after its caller
+ * gave it up: a network partition delays the request in the caller's kernel,
+ * which sends it when the partition heals. A target that does not read stands
+ * for the partition.
  */
-static void what_is_held_up_is_lost_with_its_call(void **state)
+static void unsent_bytes_are_dropped_with_call(void **state)
 {
 	static const struct {
 		bool cancelled;
 		int64_t timeout_ms;
 	} ends[] = {{true, WAIT_MS}, {false, 150}};
-	struct bed *b = *state;
-	char *bytes = g_malloc0(HELD_BYTES);
+	struct fixture *f = *state;
+	char *bytes = g_malloc0(UNREAD_BYTES);
 	struct ups_request r = {
-		.addr = b->addr,
+		.addr = f->addr,
 		.method = EVHTTP_REQ_POST,
 		.uri = "/a",
 		.connect_ms = 100,
@@ -635,22 +653,22 @@
 		int fd;
 
 		r.body = evbuffer_new();
-		evbuffer_add(r.body, bytes, HELD_BYTES);
+		evbuffer_add(r.body, bytes, UNREAD_BYTES);
 		r.timeout_ms = ends[i].timeout_ms;
-		b->ended = false;
-		call = ups_start(b->ups, &r, &bed_ops, b);
-		fd = net_accept(b->base, b->listener, WAIT_MS);
-		net_run(b->base, 50);
+		f->ended = false;
+		call = ups_start(f->ups, &r, &fixture_ops, f);
+		fd = net_accept(f->base, f->listener, WAIT_MS);
+		net_run(f->base, 50);
 		if (ends[i].cancelled) {
 			assert_true(ups_held(call) > 0);
 			ups_cancel(call);
 		} else {
-			wait_end(b);
-			assert_int_equal(b->end, UPS_TIMEOUT);
+			wait_end(f);
+			assert_int_equal(f->end, UPS_TIMEOUT);
 		}
-		net_run(b->base, 10);
-		assert_true(read_to_reset(b, fd, &got));
-		assert_true(got < HELD_BYTES);
+		net_run(f->base, 10);
+		assert_true(read_until_reset(f, fd, &got));
+		assert_true(got < UNREAD_BYTES);
 		close(fd);
 		evbuffer_free(r.body);
 	}
@@ -661,23 +679,23 @@
 {
 #define T(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
 	const struct CMUnitTest tests[] = {
-		T(a_whole_answer_is_told_whole),
-		T(half_an_answer_is_never_whole),
-		T(an_answer_and_its_deadline_in_one_turn),
-		T(a_refusal_and_its_patience_in_one_turn),
+		T(reports_whole_answer),
+		T(partial_answer_is_never_whole),
+		T(answer_and_deadline_in_one_loop_iteration),
+		T(refusal_and_connect_timeout_in_one_loop_iteration),
 		T(answers_without_body_are_whole),
-		T(a_late_answer_meets_nobody),
-		T(bytes_behind_an_answer_end_the_connection),
-		T(only_young_connections_serve_again),
-		T(without_connection_nothing_was_sent),
-		T(larger_answers_come_in_parts),
-		T(a_call_without_a_descriptor_ends),
-		T(calls_beyond_the_bound_wait),
-		T(an_idle_connection_makes_place),
+		T(late_answer_is_discarded),
+		T(closes_connection_with_excess_bytes),
+		T(reuses_only_recent_connections),
+		T(connection_failure_is_not_sent),
+		T(streams_large_answers),
+		T(call_without_descriptor_ends),
+		T(calls_beyond_connection_limit_wait),
+		T(evicts_idle_connection),
 		T(urgent_calls_go_first),
-		T(a_call_that_waited_in_vain_was_not_tried),
-		T(a_cancelled_call_is_silent),
-		T(what_is_held_up_is_lost_with_its_call),
+		T(call_that_timed_out_waiting_was_not_tried),
+		T(cancelled_call_reports_no_end),
+		T(unsent_bytes_are_dropped_with_call),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
