--- a/src/srv.c
+++ b/src/srv.c
@@ -11,30 +11,33 @@
 #include "hfd.h"
 #include "msg.h"
 
-/* Header bytes of a request; what common clients send is a quarter of it. */
+/* Header bytes of a request: four times what common clients send. */
 #define SRV_HEADERS_MAX (16 << 10)
 #define SRV_HEADERS_COUNT_MAX 100
 
-/* Unsent bytes of an answer passed on in parts; then the target waits. */
+/* Unsent bytes of a streamed answer from which the target has to wait. */
 #define SRV_BACKLOG_MAX (256 << 10)
 
 #define SRV_LISTEN_BACKLOG 1024
 
 /*
- * One in so many of the connections is kept for callers who are told, by a
- * whole answer, that there are too many of them; all of them when few.
+ * One in this many connections is reserved for callers that get a whole answer
+ * (503) because the limit is reached; none if the limit is smaller than this.
  */
-#define SRV_TOLD_PART 16
-/* When these may come again, s: most connections are free sooner. */
-#define SRV_CROWDED_RETRY_S "1"
-/* A connection that has been idle for so long makes place for another, ms. */
-#define SRV_IDLE_MS 500
+#define SRV_REFUSED_DIVISOR 16
+/* Retry-After for these callers, s: most connections are free sooner. */
+#define SRV_RETRY_AFTER_S "1"
+/* A connection idle for this time may be closed in favour of another, ms. */
+#define SRV_EVICT_IDLE_MS 500
 
-/* Connections with a request half sent that are passed over for one that isn't. */
-#define SRV_LOOK_MAX 16
+/*
+ * Number of connections in the idle queue, with a partly sent request, that are
+ * skipped in search of one to close.
+ */
+#define SRV_IDLE_SCAN_MAX 16
 
-/* How often waiting callers are looked after, ms. */
-#define SRV_LOOK_MS 200
+/* Interval at which waiting callers are checked for disconnects, ms. */
+#define SRV_DISCONNECT_POLL_MS 200
 
 struct srv {
 	struct srv_config config;
@@ -42,12 +45,12 @@
 	void *arg;
 	evhtp_t *htp;
 	struct acc acc;
-	GHashTable *conns; /* struct srv_conn, all */
-	GQueue idle; /* struct srv_conn without a request, longest first */
+	GHashTable *conns; /* all struct srv_conn */
+	GQueue idle; /* struct srv_conn without a request, longest idle first */
 	struct srv_stats stats;
 	bool draining;
 	bool accepting;
-	uint64_t look;
+	uint64_t disconnect_timer;
 };
 
 /* A caller's connection. */
@@ -56,16 +59,16 @@
 	evhtp_connection_t *ev;
 	size_t header_bytes;
 	unsigned int header_count;
-	struct srv_req *req; /* the one whose answer is still due */
+	struct srv_req *req; /* the request that is not answered yet */
 	struct hfd feed;
-	struct evbuffer *held; /* came in and is not passed on to libevhtp */
-	bufferevent_data_cb read; /* libevhtp's */
+	struct evbuffer *unparsed; /* received but not passed to libevhtp yet */
+	bufferevent_data_cb evhtp_read; /* libevhtp's read callback */
 	uint64_t feed_timer;
-	GList link; /* in srv.idle, */
-	bool listed; /* while it is there */
-	int64_t idle_since;
-	bool crowded; /* its request is refused, as there are too many */
-	uint64_t bytes; /* that its request's body takes at most */
+	GList link; /* in srv.idle */
+	bool in_idle_queue; /* whether link is in the queue */
+	int64_t idle_since_ms;
+	bool over_limit; /* its request is refused with a 503 */
+	uint64_t body_bytes; /* maximum size of its request's body */
 	char ip[48];
 };
 
@@ -75,22 +78,22 @@
 	char *uri;
 	void *user;
 	bool paused;
-	bool in_parts;
-	bool full; /* the caller reads too slowly: room must be told */
+	bool streaming;
+	bool backlogged; /* the caller reads too slowly; ops->room is due */
 };
 
 static evhtp_res srv_on_accept(evhtp_connection_t *ev, void *arg);
 static void srv_on_accept_error(struct evconnlistener *l, void *arg);
 static int srv_served_max(const struct srv *s);
-static void srv_make_room(struct srv *s);
-static bool srv_is_idle(const struct srv_conn *c);
-static void srv_idle_from_now(struct srv_conn *c);
-static void srv_not_idle(struct srv_conn *c);
-static void srv_refuse_crowded(struct srv_req *r);
+static void srv_evict_idle(struct srv *s);
+static bool srv_conn_is_idle(const struct srv_conn *c);
+static void srv_conn_set_idle(struct srv_conn *c);
+static void srv_conn_unset_idle(struct srv_conn *c);
+static void srv_refuse_over_limit(struct srv_req *r);
 static void srv_on_read(struct bufferevent *bev, void *arg);
 static void srv_feed(struct srv_conn *c);
 static void srv_feed_timer(void *arg, int64_t now);
-static evhtp_res srv_on_start(evhtp_request_t *ev, void *arg);
+static evhtp_res srv_on_headers_start(evhtp_request_t *ev, void *arg);
 static evhtp_res srv_on_header(evhtp_request_t *ev, evhtp_header_t *h,
 			       void *arg);
 static evhtp_res srv_on_headers(evhtp_request_t *ev, evhtp_headers_t *h,
@@ -99,19 +102,20 @@
 static evhtp_res srv_on_req_end(evhtp_request_t *ev, void *arg);
 static evhtp_res srv_on_write(evhtp_connection_t *ev, void *arg);
 static void srv_on_request(evhtp_request_t *ev, void *arg);
-static evhtp_res srv_turn_away(struct srv_conn *c, int status, const char *why);
-static bool srv_take_bytes(struct srv_conn *c, evhtp_request_t *ev);
-static void srv_give_bytes(struct srv_conn *c);
-static const char *srv_fault(evhtp_request_t *ev, int *status);
-static void srv_look(void *arg, int64_t now);
-static bool srv_has_left(const struct srv_conn *c);
+static evhtp_res srv_reject(struct srv_conn *c, int status, const char *reason);
+static bool srv_reserve_bytes(struct srv_conn *c, evhtp_request_t *ev);
+static void srv_release_bytes(struct srv_conn *c);
+static const char *srv_request_error(evhtp_request_t *ev, int *status);
+static void srv_poll_disconnects(void *arg, int64_t now);
+static bool srv_conn_peer_closed(const struct srv_conn *c);
 static void srv_req_end(struct srv_req *r);
-static void srv_put_headers(struct srv_req *r, const struct ups_header *headers,
+static void srv_add_headers(struct srv_req *r, const struct ups_header *headers,
 			    size_t n);
 
 /*
- * Serves at config->addr. NULL with ERR_IO. ops are called from the loop,
- * also from within srv_reply for the next request of a connection.
+ * Serves HTTP at config->addr. Returns NULL with ERR_IO if the address cannot
+ * be opened. ops are called from the event loop, and from within srv_reply for
+ * the next request of a connection.
  */
 struct srv *srv_new(const struct srv_config *config, const struct srv_ops *ops,
 		    void *arg, GError **err)
@@ -128,7 +132,8 @@
 	s->accepting = true;
 	s->conns = g_hash_table_new(NULL, NULL);
 	g_queue_init(&s->idle);
-	s->look = tmr_every(config->tmr, SRV_LOOK_MS, srv_look, s);
+	s->disconnect_timer = tmr_every(config->tmr, SRV_DISCONNECT_POLL_MS,
+					srv_poll_disconnects, s);
 	s->htp = evhtp_new(config->base, s);
 	evhtp_enable_flag(s->htp, EVHTP_FLAG_ENABLE_NODELAY);
 	evhtp_set_max_body_size(s->htp, config->max_body);
@@ -149,7 +154,9 @@
 	return NULL;
 }
 
-/* Closes everything at once; requests without answers are told as gone. */
+/*
+ * Closes all connections at once; ops->gone is called for unanswered requests.
+ */
 void srv_free(struct srv *s)
 {
 	GList *conns;
@@ -157,7 +164,7 @@
 
 	if (!s)
 		return;
-	tmr_cancel(s->config.tmr, s->look);
+	tmr_cancel(s->config.tmr, s->disconnect_timer);
 	srv_stop_accepting(s);
 	conns = g_hash_table_get_keys(s->conns);
 	for (i = conns; i; i = i->next)
@@ -168,7 +175,7 @@
 	g_free(s);
 }
 
-/* Stops listening; open connections go on. */
+/* Stops listening; open connections stay. */
 void srv_stop_accepting(struct srv *s)
 {
 	if (!s->accepting)
@@ -179,8 +186,8 @@
 }
 
 /*
- * From now on each answer closes its connection, and idle connections are
- * closed at once. A request that is being sent is still read to its end.
+ * Closes idle connections at once and any other after its next answer. A
+ * request that is being received is still read to its end.
  */
 void srv_drain(struct srv *s)
 {
@@ -191,23 +198,23 @@
 	for (i = conns; i; i = i->next) {
 		struct srv_conn *c = i->data;
 
-		if (srv_is_idle(c))
+		if (srv_conn_is_idle(c))
 			evhtp_connection_free(c->ev);
 	}
 	g_list_free(conns);
 }
 
-/* Counters since the start. */
+/* Returns the counters since the start. */
 struct srv_stats srv_stats(const struct srv *s)
 {
 	struct srv_stats st = s->stats;
 
 	st.open = g_hash_table_size(s->conns);
-	st.unaccepted = s->acc.failed;
+	st.accept_failures = s->acc.failed;
 	return st;
 }
 
-/* The request line and where it came from. */
+/* Returns the request line and the peer of a request. */
 struct srv_req_info srv_info(const struct srv_req *r)
 {
 	const char *method = htparser_get_methodstr_m(r->ev->method);
@@ -221,13 +228,13 @@
 	};
 }
 
-/* The value of a request's header, or NULL. */
+/* Returns the value of a request's header, or NULL. */
 const char *srv_header(const struct srv_req *r, const char *name)
 {
 	return evhtp_header_find(r->ev->headers_in, name);
 }
 
-/* Appends the request's headers to out, as views that live with r. */
+/* Appends the request's headers to out; they point into r. */
 void srv_headers(const struct srv_req *r, GArray *out)
 {
 	evhtp_kv_t *kv;
@@ -239,27 +246,27 @@
 	}
 }
 
-/* The whole body; lives until the answer. */
+/* Returns the whole body, which lives until the answer. */
 struct evbuffer *srv_body(const struct srv_req *r)
 {
 	return r->ev->buffer_in;
 }
 
-/* What the owner hung on the request. */
+/* Returns the owner's data of a request. */
 void *srv_user(const struct srv_req *r)
 {
 	return r->user;
 }
 
-/* Hangs something of the owner's on the request. */
+/* Sets the owner's data of a request. */
 void srv_set_user(struct srv_req *r, void *user)
 {
 	r->user = user;
 }
 
 /*
- * Answers a request with a whole body (NULL: none); r is over with it. The
- * bytes of body are moved out of it.
+ * Answers a request with a whole body (NULL: none) and frees it. The bytes of
+ * body are moved out of it.
  */
 void srv_reply(struct srv_req *r, int status, const struct ups_header *headers,
 	       size_t n, struct evbuffer *body)
@@ -267,8 +274,8 @@
 	evhtp_request_t *ev = r->ev;
 	bool paused = r->paused;
 
-	srv_put_headers(r, headers, n);
-	/* libevhtp would send the body of an answer to HEAD. */
+	srv_add_headers(r, headers, n);
+	/* libevhtp would send a body with the answer to HEAD */
 	if (body && ev->method != htp_method_HEAD)
 		evbuffer_add_buffer(ev->buffer_out, body);
 	srv_req_end(r);
@@ -277,7 +284,7 @@
 		evhtp_request_resume(ev);
 }
 
-/* Answers with a line of text. */
+/* Answers a request with a line of text. */
 void srv_reply_text(struct srv_req *r, int status, const char *text)
 {
 	struct ups_header type = {(char *)"Content-Type",
@@ -290,22 +297,25 @@
 }
 
 /*
- * Starts an answer that goes out in parts, in chunks: a caller can always
- * tell one that was cut, as its last chunk is missing. False: the caller
- * speaks HTTP/1.0 and could not tell; nothing was sent.
+ * Starts a streamed answer with chunked encoding, so that a caller can detect a
+ * truncated one by its missing last chunk. Returns false, with nothing sent, if
+ * the caller speaks HTTP/1.0 and could not detect that.
  */
 bool srv_part_start(struct srv_req *r, int status,
 		    const struct ups_header *headers, size_t n)
 {
 	if (r->ev->proto != EVHTP_PROTO_11)
 		return false;
-	srv_put_headers(r, headers, n);
-	r->in_parts = true;
+	srv_add_headers(r, headers, n);
+	r->streaming = true;
 	evhtp_send_reply_chunk_start(r->ev, (evhtp_res)status);
 	return true;
 }
 
-/* Sends a part, emptied by it. False: wait for the room call-back. */
+/*
+ * Sends a part of a streamed answer and empties it. Returns false if the next
+ * part must wait for ops->room.
+ */
 bool srv_part(struct srv_req *r, struct evbuffer *part)
 {
 	struct evbuffer *out;
@@ -314,11 +324,11 @@
 		evhtp_send_reply_chunk(r->ev, part);
 	evbuffer_drain(part, evbuffer_get_length(part));
 	out = bufferevent_get_output(r->conn->ev->bev);
-	r->full = evbuffer_get_length(out) > SRV_BACKLOG_MAX;
-	return !r->full;
+	r->backlogged = evbuffer_get_length(out) > SRV_BACKLOG_MAX;
+	return !r->backlogged;
 }
 
-/* The answer in parts is whole; r is over with it. */
+/* Ends a streamed answer and frees its request. */
 void srv_part_end(struct srv_req *r)
 {
 	evhtp_request_t *ev = r->ev;
@@ -331,8 +341,8 @@
 }
 
 /*
- * Ends a request without (the rest of) its answer: the connection is shut, so
- * that the caller sees a cut. r is over with it.
+ * Ends a request without its answer, or part of it, and frees it. The
+ * connection is closed, so that the caller sees a truncated answer.
  */
 void srv_abort(struct srv_req *r)
 {
@@ -356,12 +366,12 @@
 		return EVHTP_RES_ERROR;
 	}
 	if ((int)g_hash_table_size(s->conns) >= srv_served_max(s))
-		srv_make_room(s);
+		srv_evict_idle(s);
 	c = g_new0(struct srv_conn, 1);
 	c->s = s;
 	c->ev = ev;
-	c->held = evbuffer_new();
-	bufferevent_getcb(ev->bev, &c->read, &write, &event, &cb_arg);
+	c->unparsed = evbuffer_new();
+	bufferevent_getcb(ev->bev, &c->evhtp_read, &write, &event, &cb_arg);
 	bufferevent_setcb(ev->bev, srv_on_read, write, event, cb_arg);
 	evutil_inet_ntop(
 		sa->sa_family,
@@ -369,12 +379,12 @@
 			? (void *)&((struct sockaddr_in *)sa)->sin_addr
 			: (void *)&((struct sockaddr_in6 *)sa)->sin6_addr,
 		c->ip, sizeof(c->ip));
-	c->crowded = (int)g_hash_table_size(s->conns) >= srv_served_max(s);
+	c->over_limit = (int)g_hash_table_size(s->conns) >= srv_served_max(s);
 	g_hash_table_add(s->conns, c);
 	c->link.data = c;
-	srv_idle_from_now(c);
+	srv_conn_set_idle(c);
 	evhtp_connection_set_hook(ev, evhtp_hook_on_headers_start,
-				  (evhtp_hook)srv_on_start, c);
+				  (evhtp_hook)srv_on_headers_start, c);
 	evhtp_connection_set_hook(ev, evhtp_hook_on_header,
 				  (evhtp_hook)srv_on_header, c);
 	evhtp_connection_set_hook(ev, evhtp_hook_on_headers,
@@ -388,28 +398,32 @@
 	return EVHTP_RES_OK;
 }
 
-/* Connections whose requests are served, of those that there may be. */
+/*
+ * Returns the number of connections whose requests are served, out of
+ * max_conns.
+ */
 static int srv_served_max(const struct srv *s)
 {
-	return s->config.max_conns - s->config.max_conns / SRV_TOLD_PART;
+	return s->config.max_conns - s->config.max_conns / SRV_REFUSED_DIVISOR;
 }
 
 /*
- * Closes the connection that has been idle longest. Callers who keep theirs
- * open between requests would else keep others out for good.
+ * Closes the connection that has been idle longest. Callers that keep their
+ * connections open between requests would otherwise exclude others permanently.
  */
-static void srv_make_room(struct srv *s)
+static void srv_evict_idle(struct srv *s)
 {
-	int64_t until = tmr_now(s->config.tmr) - SRV_IDLE_MS;
+	int64_t idle_before_ms = tmr_now(s->config.tmr) - SRV_EVICT_IDLE_MS;
 	const GList *i = s->idle.head;
-	int looked;
+	int scanned;
 
-	for (looked = 0; i && looked < SRV_LOOK_MAX; looked++, i = i->next) {
+	for (scanned = 0; i && scanned < SRV_IDLE_SCAN_MAX;
+	     scanned++, i = i->next) {
 		struct srv_conn *c = i->data;
 
-		if (c->idle_since > until)
+		if (c->idle_since_ms > idle_before_ms)
 			return;
-		if (!srv_is_idle(c))
+		if (!srv_conn_is_idle(c))
 			continue;
 		s->stats.crowded++;
 		evhtp_connection_free(c->ev);
@@ -417,33 +431,33 @@
 	}
 }
 
-/* Whether nothing of a request has come on a connection since the last. */
-static bool srv_is_idle(const struct srv_conn *c)
+/* Whether nothing of another request has been received on a connection. */
+static bool srv_conn_is_idle(const struct srv_conn *c)
 {
-	/* request is NULL between two requests only */
+	/* libevhtp's request is NULL between two requests only */
 	return !c->ev->request && !c->req &&
-	       evbuffer_get_length(c->held) == 0 &&
+	       evbuffer_get_length(c->unparsed) == 0 &&
 	       evbuffer_get_length(bufferevent_get_input(c->ev->bev)) == 0;
 }
 
-/* The connection waits for a request from now on. */
-static void srv_idle_from_now(struct srv_conn *c)
+/* Appends a connection to the idle queue: it waits for a request. */
+static void srv_conn_set_idle(struct srv_conn *c)
 {
-	srv_not_idle(c);
-	c->idle_since = tmr_now(c->s->config.tmr);
-	c->listed = true;
+	srv_conn_unset_idle(c);
+	c->idle_since_ms = tmr_now(c->s->config.tmr);
+	c->in_idle_queue = true;
 	g_queue_push_tail_link(&c->s->idle, &c->link);
 }
 
-/* The connection has a request, or ends. */
-static void srv_not_idle(struct srv_conn *c)
+/* Removes a connection from the idle queue: it has a request, or ends. */
+static void srv_conn_unset_idle(struct srv_conn *c)
 {
-	if (c->listed)
+	if (c->in_idle_queue)
 		g_queue_unlink(&c->s->idle, &c->link);
-	c->listed = false;
+	c->in_idle_queue = false;
 }
 
-/* A caller's connection couldn't be taken; libevhtp gives its own argument. */
+/* Pauses accepting after a failed accept. libevhtp passes its own argument. */
 static void srv_on_accept_error(struct evconnlistener *l, void *arg)
 {
 	const evhtp_t *htp = arg;
@@ -452,15 +466,15 @@
 	acc_rest(&s->acc);
 }
 
-/* Bytes came in: libevhtp gets of them what it can't misread. */
+/* Handles received bytes: libevhtp gets those that it cannot misread. */
 static void srv_on_read(struct bufferevent *bev, void *arg)
 {
 	const evhtp_connection_t *ev = arg;
 	struct srv_conn *c = ev->hooks->on_connection_fini_arg;
 
-	evbuffer_add_buffer(c->held, bufferevent_get_input(bev));
-	if (c->listed)
-		srv_idle_from_now(c);
+	evbuffer_add_buffer(c->unparsed, bufferevent_get_input(bev));
+	if (c->in_idle_queue)
+		srv_conn_set_idle(c);
 	srv_feed(c);
 }
 
@@ -473,21 +487,21 @@
 	while (v == HFD_PASS) {
 		struct evbuffer *in = bufferevent_get_input(bev);
 
-		/* a bufferevent lets only its socket add to its input */
+		/* a bufferevent lets only its socket append to its input */
 		evbuffer_unfreeze(in, 0);
-		v = hfd_step(&c->feed, c->held, in);
+		v = hfd_step(&c->feed, c->unparsed, in);
 		evbuffer_freeze(in, 0);
 		if (v != HFD_PASS)
 			break;
-		c->read(bev, c->ev);
-		/* libevhtp may have ended the connection */
+		c->evhtp_read(bev, c->ev);
+		/* libevhtp may have closed the connection */
 		if (!g_hash_table_contains(s->conns, c))
 			return;
 	}
 	if (v == HFD_WAIT)
 		return;
-	srv_turn_away(c, v == HFD_LARGE ? 431 : 400,
-		      v == HFD_LARGE ? "headers too large" : "malformed");
+	srv_reject(c, v == HFD_LARGE ? 431 : 400,
+		   v == HFD_LARGE ? "headers too large" : "malformed");
 	evhtp_connection_free(c->ev);
 }
 
@@ -499,7 +513,7 @@
 	srv_feed(c);
 }
 
-static evhtp_res srv_on_start(evhtp_request_t *ev, void *arg)
+static evhtp_res srv_on_headers_start(evhtp_request_t *ev, void *arg)
 {
 	struct srv_conn *c = arg;
 
@@ -517,7 +531,7 @@
 	c->header_count++;
 	if (c->header_bytes > SRV_HEADERS_MAX ||
 	    c->header_count > SRV_HEADERS_COUNT_MAX)
-		return srv_turn_away(c, 431, "headers too large");
+		return srv_reject(c, 431, "headers too large");
 	return EVHTP_RES_OK;
 }
 
@@ -526,21 +540,22 @@
 {
 	struct srv_conn *c = arg;
 	int status = 400;
-	const char *why = srv_fault(ev, &status);
+	const char *reason = srv_request_error(ev, &status);
 
-	if (why)
-		return srv_turn_away(c, status, why);
-	if (srv_take_bytes(c, ev))
+	if (reason)
+		return srv_reject(c, status, reason);
+	if (srv_reserve_bytes(c, ev))
 		return EVHTP_RES_OK;
-	c->s->stats.too_many_bytes++;
-	return srv_turn_away(c, 503, "too many bytes of bodies at once");
+	c->s->stats.bytes_refused++;
+	return srv_reject(c, 503, "too many bytes of bodies at once");
 }
 
 /*
- * Counts the body that a request says it brings; false: with it there would be
- * more than this process can hold, and it would be killed with all of them.
+ * Reserves memory for the body that a request announces. Returns false if all
+ * bodies would exceed the limit: beyond it this process would be killed for its
+ * memory, with all its requests.
  */
-static bool srv_take_bytes(struct srv_conn *c, evhtp_request_t *ev)
+static bool srv_reserve_bytes(struct srv_conn *c, evhtp_request_t *ev)
 {
 	struct srv *s = c->s;
 	struct hdr_framing f = {0};
@@ -553,45 +568,45 @@
 	if (s->config.max_bytes && bytes &&
 	    s->stats.bytes + bytes > s->config.max_bytes)
 		return false;
-	c->bytes = bytes;
+	c->body_bytes = bytes;
 	s->stats.bytes += bytes;
 	return true;
 }
 
-/* The body of a connection's request isn't kept any more. */
-static void srv_give_bytes(struct srv_conn *c)
+/* Releases the memory reserved for the body of a connection's request. */
+static void srv_release_bytes(struct srv_conn *c)
 {
-	c->s->stats.bytes -= c->bytes;
-	c->bytes = 0;
+	c->s->stats.bytes -= c->body_bytes;
+	c->body_bytes = 0;
 }
 
 /*
- * Why a request can't be taken, or NULL. Two readers must never disagree on
- * where its body ends: the bytes behind would be another request. libevhtp
- * takes a length beside an encoding with an empty body, and a request
- * without Host.
+ * Returns why a request is refused, or NULL. Two parsers must never disagree on
+ * where its body ends, as the bytes after it would be another request (request
+ * smuggling). libevhtp accepts a length together with an encoding, with an
+ * empty body, and a request without Host.
  */
-static const char *srv_fault(evhtp_request_t *ev, int *status)
+static const char *srv_request_error(evhtp_request_t *ev, int *status)
 {
 	struct hdr_framing f = {0};
 	unsigned int hosts = 0;
-	bool odd = false;
+	bool bad_name = false;
 	evhtp_kv_t *kv;
 
 	TAILQ_FOREACH(kv, ev->headers_in, next) {
 		hdr_framing_add(&f, kv->key, kv->val);
 		hosts += g_ascii_strcasecmp(kv->key, "Host") == 0;
-		odd |= !hdr_name_ok(kv->key);
+		bad_name |= !hdr_name_ok(kv->key);
 	}
 	if (f.bad)
 		return "conflicting or malformed length";
-	if (odd)
+	if (bad_name)
 		return "a header's name has bytes that no name has";
 	if (f.chunked && ev->proto != EVHTP_PROTO_11)
 		return "chunks in HTTP/1.0";
 	if (hosts > 1 || (hosts == 0 && ev->proto == EVHTP_PROTO_11))
 		return "one Host is wanted";
-	/* libevhtp takes HTTP/3.0 for 1.0. */
+	/* libevhtp treats HTTP/3.0 as 1.0 */
 	if (htparser_get_major(ev->conn->parser) != 1 ||
 	    htparser_get_minor(ev->conn->parser) > 1) {
 		*status = 505;
@@ -605,10 +620,11 @@
 }
 
 /*
- * Answers at once on the socket and has libevhtp close the connection: what
- * follows on it can't be trusted. It was not run, and the answer says so.
+ * Sends an error answer directly on the socket and has libevhtp close the
+ * connection, since what follows on it is not reliable. The answer says that
+ * the request was not run.
  */
-static evhtp_res srv_turn_away(struct srv_conn *c, int status, const char *why)
+static evhtp_res srv_reject(struct srv_conn *c, int status, const char *reason)
 {
 	char text[512];
 	int len;
@@ -624,9 +640,9 @@
 		"Content-Length: %zu\r\n"
 		"Connection: close\r\n\r\n%s\n",
 		status,
-		status == 503 ? "Retry-After: " SRV_CROWDED_RETRY_S "\r\n" : "",
-		strlen(why) + 1, why);
-	/* Best effort: the close that follows says the same. */
+		status == 503 ? "Retry-After: " SRV_RETRY_AFTER_S "\r\n" : "",
+		strlen(reason) + 1, reason);
+	/* best effort: the close that follows says the same */
 	sent = send(bufferevent_getfd(c->ev->bev), text, (size_t)len,
 		    MSG_DONTWAIT | MSG_NOSIGNAL);
 	(void)sent;
@@ -642,13 +658,13 @@
 		c->s->ops->gone(c->s->arg, r);
 		srv_req_end(r);
 	}
-	/* libevhtp ends the request after the connection. */
+	/* libevhtp ends the request after the connection */
 	evhtp_connection_unset_hook(ev, evhtp_hook_on_request_fini);
 	g_hash_table_remove(c->s->conns, c);
-	srv_not_idle(c);
-	srv_give_bytes(c);
+	srv_conn_unset_idle(c);
+	srv_release_bytes(c);
 	tmr_cancel(c->s->config.tmr, c->feed_timer);
-	evbuffer_free(c->held);
+	evbuffer_free(c->unparsed);
 	g_free(c);
 	return EVHTP_RES_OK;
 }
@@ -658,9 +674,9 @@
 	struct srv_conn *c = arg;
 	struct srv_req *r = c->req;
 
-	/* The next request of the connection, once this one is put away. */
+	/* start the next request once libevhtp has freed this one */
 	hfd_next(&c->feed);
-	if (evbuffer_get_length(c->held) && !c->feed_timer)
+	if (evbuffer_get_length(c->unparsed) && !c->feed_timer)
 		c->feed_timer =
 			tmr_once(c->s->config.tmr, 0, srv_feed_timer, c);
 	if (!r || r->ev != ev)
@@ -674,8 +690,8 @@
 {
 	struct srv_conn *c = arg;
 
-	if (c->req && c->req->full) {
-		c->req->full = false;
+	if (c->req && c->req->backlogged) {
+		c->req->backlogged = false;
 		if (c->s->ops->room)
 			c->s->ops->room(c->s->arg, c->req);
 	}
@@ -701,25 +717,25 @@
 	c->req = r;
 	s->stats.requests++;
 	s->stats.pending++;
-	srv_not_idle(c);
-	c->crowded = c->crowded &&
-		     (int)g_hash_table_size(s->conns) > srv_served_max(s);
-	if (c->crowded) {
-		srv_refuse_crowded(r);
+	srv_conn_unset_idle(c);
+	c->over_limit = c->over_limit &&
+			(int)g_hash_table_size(s->conns) > srv_served_max(s);
+	if (c->over_limit) {
+		srv_refuse_over_limit(r);
 		return;
 	}
 	s->ops->request(s->arg, r);
-	if (c->req == r && !r->in_parts) {
+	if (c->req == r && !r->streaming) {
 		r->paused = true;
 		evhtp_request_pause(ev);
 	}
 }
 
-/* Refuses a request at once, as there are too many connections. */
-static void srv_refuse_crowded(struct srv_req *r)
+/* Refuses a request at once, as the connection limit is reached. */
+static void srv_refuse_over_limit(struct srv_req *r)
 {
 	static const struct ups_header headers[] = {
-		{(char *)"Retry-After", (char *)SRV_CROWDED_RETRY_S},
+		{(char *)"Retry-After", (char *)SRV_RETRY_AFTER_S},
 		{(char *)"Endive-Outcome", (char *)"not-run"},
 	};
 
@@ -728,11 +744,11 @@
 }
 
 /*
- * libevhtp does not read a connection whose request waits, so it does not see
- * a caller leave: its request would keep its place in the queue, and work
- * would be done for nobody.
+ * Closes the connections of waiting callers that have disconnected. libevhtp
+ * does not read a connection whose request waits, so it does not notice; the
+ * request would keep its place in the queue and be run in vain.
  */
-static void srv_look(void *arg, int64_t now)
+static void srv_poll_disconnects(void *arg, int64_t now)
 {
 	struct srv *s = arg;
 	GList *conns = g_hash_table_get_keys(s->conns);
@@ -741,13 +757,13 @@
 	for (i = conns; i; i = i->next) {
 		struct srv_conn *c = i->data;
 
-		if (c->req && srv_has_left(c))
+		if (c->req && srv_conn_peer_closed(c))
 			evhtp_connection_free(c->ev);
 	}
 	g_list_free(conns);
 }
 
-static bool srv_has_left(const struct srv_conn *c)
+static bool srv_conn_peer_closed(const struct srv_conn *c)
 {
 	char byte;
 	ssize_t n = recv(bufferevent_getfd(c->ev->bev), &byte, 1,
@@ -760,13 +776,13 @@
 {
 	r->conn->req = NULL;
 	r->conn->s->stats.pending--;
-	srv_give_bytes(r->conn);
-	srv_idle_from_now(r->conn);
+	srv_release_bytes(r->conn);
+	srv_conn_set_idle(r->conn);
 	g_free(r->uri);
 	g_free(r);
 }
 
-static void srv_put_headers(struct srv_req *r, const struct ups_header *headers,
+static void srv_add_headers(struct srv_req *r, const struct ups_header *headers,
 			    size_t n)
 {
 	evhtp_headers_t *out = r->ev->headers_out;
@@ -776,7 +792,7 @@
 		evhtp_headers_add_header(out, evhtp_header_new(headers[i].name,
 							       headers[i].value,
 							       1, 1));
-	if (r->conn->s->draining || r->conn->crowded) {
+	if (r->conn->s->draining || r->conn->over_limit) {
 		r->ev->flags &= (uint16_t)~EVHTP_REQ_FLAG_KEEPALIVE;
 		evhtp_headers_add_header(out, evhtp_header_new("Connection",
 							       "close", 0, 0));
--- a/src/srv.h
+++ b/src/srv.h
@@ -1,6 +1,8 @@
 #ifndef SRV_H
 #define SRV_H
 
+/* HTTP server for callers' requests, over libevhtp. */
+
 #include <event2/buffer.h>
 #include <event2/event.h>
 #include <glib.h>
@@ -12,19 +14,24 @@
 #include "ups.h"
 
 /*
- * Serving HTTP over libevhtp: whole requests come in, each gets exactly one
- * answer. What libevhtp lets through but two readers could take differently
- * is refused here with a 4xx and the connection closed.
+ * Only whole requests are passed on, and each gets exactly one answer. Requests
+ * that libevhtp accepts but that two parsers could read differently are refused
+ * with a 4xx, and their connection is closed.
  */
 struct srv;
 struct srv_req;
 
 struct srv_ops {
-	/* a whole request; answer now or later with srv_reply */
+	/*
+	 * A whole request has arrived; answer it now or later with srv_reply.
+	 */
 	void (*request)(void *arg, struct srv_req *r);
-	/* the caller has left before its answer; r must not be used again */
+	/*
+	 * The caller has disconnected before its answer; r must not be used
+	 * again.
+	 */
 	void (*gone)(void *arg, struct srv_req *r);
-	/* room again for more of an answer passed on in parts; may be NULL */
+	/* More of a streamed answer can be sent; may be NULL. */
 	void (*room)(void *arg, struct srv_req *r);
 };
 
@@ -33,26 +40,26 @@
 	struct tmr *tmr;
 	const char *addr; /* IP:PORT */
 	uint64_t max_body;
-	uint64_t max_bytes; /* of all bodies not answered yet; 0: no bound */
-	int64_t slow_ms; /* a sender that pauses for longer is cut */
-	int max_conns; /* the last few of these are only told to come again */
+	uint64_t max_bytes; /* of all unanswered bodies; 0: no limit */
+	int64_t slow_ms; /* a sender that pauses for longer is disconnected */
+	int max_conns; /* the last few of them are only answered 503 */
 };
 
 struct srv_stats {
 	uint64_t requests;
-	uint64_t refused; /* framing or size, before any request was made */
-	uint64_t crowded; /* connections refused or closed to make room */
-	uint64_t unaccepted; /* tries to take one, for want of a descriptor */
-	uint64_t open; /* connections now */
-	uint64_t pending; /* requests without their answer now */
-	uint64_t bytes; /* of bodies that came or are to come for these */
-	uint64_t too_many_bytes; /* requests refused for the bound on that */
+	uint64_t refused; /* requests rejected for framing or size */
+	uint64_t crowded; /* connections refused or closed at the limit */
+	uint64_t accept_failures; /* for want of a descriptor */
+	uint64_t open; /* open connections */
+	uint64_t pending; /* unanswered requests */
+	uint64_t bytes; /* of the bodies received or announced for these */
+	uint64_t bytes_refused; /* requests refused for max_bytes */
 };
 
-/* Fields of a request that serving and calling share. */
+/* Parts of a request that forwarding it needs too. */
 struct srv_req_info {
 	const char *method;
-	const char *uri; /* path and query, raw */
+	const char *uri; /* path and query, not decoded */
 	const char *path;
 	const char *peer_ip;
 	bool http11;
--- a/tests/unit/srv_test.c
+++ b/tests/unit/srv_test.c
@@ -15,22 +15,22 @@
 #define BODY_MAX 1000
 #define MAX_CONNS 16
 #define MAX_BYTES 4000
-/* Longer than a connection is idle before it makes place. */
-#define IDLE_MS 700
+/* Longer than a connection must be idle to be evicted. */
+#define EVICTABLE_IDLE_MS 700
 
-/* A server that echoes method, uri and body, or holds requests back. */
-struct bed {
+/* A server that echoes method, URI and body, or holds requests. */
+struct fixture {
 	struct event_base *base;
 	struct tmr *tmr;
 	struct srv *srv;
-	struct srv_req *held;
-	bool hold;
+	struct srv_req *held_request;
+	bool hold_requests;
 	int requests;
-	int gone;
+	int disconnects;
 	int port;
 };
 
-static void echo(struct srv_req *r)
+static void reply_echo(struct srv_req *r)
 {
 	struct srv_req_info info = srv_info(r);
 	struct evbuffer *body = evbuffer_new();
@@ -42,88 +42,88 @@
 	evbuffer_free(body);
 }
 
-static void bed_request(void *arg, struct srv_req *r)
+static void on_request(void *arg, struct srv_req *r)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->requests++;
-	if (b->hold)
-		b->held = r;
+	f->requests++;
+	if (f->hold_requests)
+		f->held_request = r;
 	else
-		echo(r);
+		reply_echo(r);
 }
 
-static void bed_gone(void *arg, struct srv_req *r)
+static void on_disconnect(void *arg, struct srv_req *r)
 {
-	struct bed *b = arg;
+	struct fixture *f = arg;
 
-	b->gone++;
-	b->held = NULL;
+	f->disconnects++;
+	f->held_request = NULL;
 }
 
-static const struct srv_ops bed_ops = {
-	.request = bed_request,
-	.gone = bed_gone,
+static const struct srv_ops fixture_ops = {
+	.request = on_request,
+	.gone = on_disconnect,
 };
 
 static int setup(void **state)
 {
-	struct bed *b = g_new0(struct bed, 1);
+	struct fixture *f = g_new0(struct fixture, 1);
 	char addr[32];
-	int fd = net_listen(&b->port);
+	int fd = net_listen(&f->port);
 
 	close(fd);
-	g_snprintf(addr, sizeof(addr), "127.0.0.1:%d", b->port);
-	b->base = event_base_new();
-	b->tmr = tmr_new(b->base);
-	b->srv = srv_new(
+	g_snprintf(addr, sizeof(addr), "127.0.0.1:%d", f->port);
+	f->base = event_base_new();
+	f->tmr = tmr_new(f->base);
+	f->srv = srv_new(
 		&(struct srv_config){
-			.base = b->base,
-			.tmr = b->tmr,
+			.base = f->base,
+			.tmr = f->tmr,
 			.addr = addr,
 			.max_body = BODY_MAX,
 			.max_bytes = MAX_BYTES,
 			.slow_ms = 300,
 			.max_conns = MAX_CONNS,
 		},
-		&bed_ops, b, NULL);
-	assert_non_null(b->srv);
-	*state = b;
+		&fixture_ops, f, NULL);
+	assert_non_null(f->srv);
+	*state = f;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 
-	srv_free(b->srv);
-	tmr_free(b->tmr);
-	event_base_free(b->base);
-	g_free(b);
+	srv_free(f->srv);
+	tmr_free(f->tmr);
+	event_base_free(f->base);
+	g_free(f);
 	return 0;
 }
 
-static char *ask(struct bed *b, const char *bytes, const char *until,
-		 bool *closed)
+static char *send_request(struct fixture *f, const char *bytes,
+			  const char *until, bool *closed)
 {
-	int fd = net_dial(b->port);
+	int fd = net_dial(f->port);
 	GString *got;
 
 	net_send(fd, bytes, -1);
-	got = net_read(b->base, fd, until, READ_MS, closed);
+	got = net_read(f->base, fd, until, READ_MS, closed);
 	close(fd);
-	net_run(b->base, 5);
+	net_run(f->base, 5);
 	return g_string_free(got, FALSE);
 }
 
-static void a_request_gets_its_answer(void **state)
+static void answers_request(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	bool closed;
-	char *got = ask(b,
-			"POST /a/b?c=%20d HTTP/1.1\r\nHost: x\r\n"
-			"Content-Length: 4\r\n\r\nbody",
-			">", &closed);
+	char *got = send_request(f,
+				 "POST /a/b?c=%20d HTTP/1.1\r\nHost: x\r\n"
+				 "Content-Length: 4\r\n\r\nbody",
+				 ">", &closed);
 
 	assert_non_null(strstr(got, "HTTP/1.1 200"));
 	assert_non_null(strstr(got, "<POST /a/b?c=%20d body>"));
@@ -131,26 +131,26 @@
 }
 
 /*
- * A caller's job is accepted under another id than it was given, and asking
- * after it says that there is no such job. On a slow link a request line comes
- * in two pieces, and libevhtp puts a byte of its own between those of a path.
+ * Guards against a changed path when a request line arrives in two packets:
+ * libevhtp inserted a byte of its own at the boundary. A job was accepted under
+ * another id than given, and a query for it found no such job.
  */
-static void a_path_in_two_pieces_stays_the_same(void **state)
+static void path_split_across_packets_is_unchanged(void **state)
 {
 	static const char line[] = "GET /abc/9dfcce07fd267eeb HTTP/1.1\r\n"
 				   "Host: x\r\n\r\n";
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	size_t cut;
 
 	for (cut = 1; cut < sizeof(line) - 1; cut++) {
-		int fd = net_dial(b->port);
+		int fd = net_dial(f->port);
 		bool closed;
 		GString *got;
 
 		net_send(fd, line, (gssize)cut);
-		net_run(b->base, 2);
+		net_run(f->base, 2);
 		net_send(fd, line + cut, -1);
-		got = net_read(b->base, fd, ">", READ_MS, &closed);
+		got = net_read(f->base, fd, ">", READ_MS, &closed);
 		assert_non_null(
 			strstr(got->str, "<GET /abc/9dfcce07fd267eeb >"));
 		g_string_free(got, TRUE);
@@ -159,11 +159,11 @@
 }
 
 /*
- * Two readers of one request see two values, or a caller waits for an answer
- * that never comes: a NUL within a value ends it for one reader, and a chunk
- * whose length doesn't fit a number is waited for without end.
+ * Guards against bytes that two parsers read differently or that stall a
+ * request: a NUL ends a value for one parser only, and a chunk whose length
+ * overflows is waited for without end.
  */
-static void what_two_readers_take_differently_is_refused(void **state)
+static void refuses_ambiguous_bytes(void **state)
 {
 	static const struct lstr bad[] = {
 		LSTR_INIT("GET /a HTTP/1.1\r\nHost: x\r\nX: a\0b\r\n\r\n"),
@@ -172,47 +172,47 @@
 			  "FFFFFFFFFFFFFFFFF\r\n"),
 		LSTR_INIT("GET /a HTTP/1.1\nHost: x\n\n"),
 	};
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(bad); i++) {
-		int fd = net_dial(b->port);
+		int fd = net_dial(f->port);
 		bool closed = false;
 		GString *got;
 
 		net_send(fd, bad[i].p, (gssize)bad[i].len);
-		got = net_read(b->base, fd, NULL, READ_MS, &closed);
+		got = net_read(f->base, fd, NULL, READ_MS, &closed);
 		assert_true(closed);
 		assert_int_equal(strncmp(got->str, "HTTP/1.1 400 ", 13), 0);
 		g_string_free(got, TRUE);
 		close(fd);
 	}
-	assert_int_equal(b->requests, 0);
+	assert_int_equal(f->requests, 0);
 }
 
-static void chunks_make_one_body(void **state)
+static void joins_chunked_body(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	bool closed;
-	char *got = ask(b,
-			"POST /a HTTP/1.1\r\nHost: x\r\n"
-			"Transfer-Encoding: chunked\r\n\r\n"
-			"2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n",
-			">", &closed);
+	char *got = send_request(f,
+				 "POST /a HTTP/1.1\r\nHost: x\r\n"
+				 "Transfer-Encoding: chunked\r\n\r\n"
+				 "2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n",
+				 ">", &closed);
 
 	assert_non_null(strstr(got, "<POST /a abcde>"));
 	g_free(got);
 }
 
 /*
- * A request that two readers could end at different places: the bytes behind
- * it would be another caller's request. It gets a 4xx or a close, it is not
- * run, and nothing behind it on the connection is run either.
+ * Guards against request smuggling: two parsers could end such a request at
+ * different places and take the bytes after it for another request. It gets a
+ * 4xx or a close, and neither it nor what follows on its connection is run.
  */
-static void two_ways_to_read_are_refused(void **state)
+static void refuses_ambiguous_framing(void **state)
 {
 	static const char *const bad[] = {
-		/* length beside encoding */
+		/* length and encoding */
 		"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n"
 		"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n"
@@ -243,7 +243,7 @@
 		"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"POST /a HTTP/1.0\r\nHost: x\r\n"
 		"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		/* chunks that are none */
+		/* malformed chunks */
 		"POST /a HTTP/1.1\r\nHost: x\r\n"
 		"Transfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
 		"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n"
@@ -262,7 +262,7 @@
 		"GET /a HTTP/3.0\r\nHost: x\r\n\r\n",
 		"GET /a\r\n\r\n",
 	};
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	bool closed;
 	size_t i;
 
@@ -271,11 +271,11 @@
 			g_strconcat(bad[i],
 				    "GET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n",
 				    NULL);
-		char *got = ask(b, all, NULL, &closed);
+		char *got = send_request(f, all, NULL, &closed);
 
-		if (!closed || b->requests || strstr(got, " 200 ")) {
+		if (!closed || f->requests || strstr(got, " 200 ")) {
 			print_error("case %zu: closed=%d requests=%d got=%s\n",
-				    i, closed, b->requests, got);
+				    i, closed, f->requests, got);
 			fail();
 		}
 		if (*got)
@@ -285,119 +285,124 @@
 	}
 }
 
-static void too_large_is_refused(void **state)
+static void refuses_oversized_requests(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	GString *big = g_string_new("GET /a HTTP/1.1\r\nHost: x\r\n");
 	bool closed;
 	char *got;
 	int i;
 
-	got = ask(b,
-		  "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1001\r\n\r\n",
-		  NULL, &closed);
+	got = send_request(
+		f,
+		"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1001\r\n\r\n",
+		NULL, &closed);
 	assert_non_null(strstr(got, "413"));
 	assert_true(closed);
 	g_free(got);
 	for (i = 0; i < 1000; i++)
 		g_string_append_printf(big, "X-%d: 0123456789012345678\r\n", i);
 	g_string_append(big, "\r\n");
-	got = ask(b, big->str, NULL, &closed);
+	got = send_request(f, big->str, NULL, &closed);
 	assert_true(closed);
 	g_free(got);
-	/* chunks that add up to more than is allowed */
+	/* chunks that exceed the limit in total */
 	g_string_assign(big, "POST /a HTTP/1.1\r\nHost: x\r\n"
 			     "Transfer-Encoding: chunked\r\n\r\n");
 	for (i = 0; i < 101; i++)
 		g_string_append(big, "a\r\n0123456789\r\n");
 	g_string_append(big, "0\r\n\r\n");
-	got = ask(b, big->str, NULL, &closed);
+	got = send_request(f, big->str, NULL, &closed);
 	assert_true(closed);
-	assert_int_equal(b->requests, 0);
+	assert_int_equal(f->requests, 0);
 	g_free(got);
 	g_string_free(big, TRUE);
 }
 
-/* Two requests in one packet: each gets its own answer, in order. */
+/* Guards against lost or reordered answers to two requests in one packet. */
 static void pipelined_requests_keep_their_order(void **state)
 {
-	struct bed *b = *state;
-	int fd = net_dial(b->port);
+	struct fixture *f = *state;
+	int fd = net_dial(f->port);
 	bool closed;
 	GString *got;
 
-	b->hold = true;
+	f->hold_requests = true;
 	net_send(fd,
 		 "GET /one HTTP/1.1\r\nHost: x\r\n\r\n"
 		 "GET /two HTTP/1.1\r\nHost: x\r\n\r\n",
 		 -1);
-	net_run(b->base, QUIET_MS);
-	assert_int_equal(b->requests, 1);
-	b->hold = false;
-	echo(b->held);
-	got = net_read(b->base, fd, "/two >", READ_MS, &closed);
+	net_run(f->base, QUIET_MS);
+	assert_int_equal(f->requests, 1);
+	f->hold_requests = false;
+	reply_echo(f->held_request);
+	got = net_read(f->base, fd, "/two >", READ_MS, &closed);
 	assert_non_null(strstr(got->str, "<GET /one >"));
 	assert_true(strstr(got->str, "/one") < strstr(got->str, "/two"));
-	assert_int_equal(b->requests, 2);
+	assert_int_equal(f->requests, 2);
 	g_string_free(got, TRUE);
 	close(fd);
 }
 
 static void head_has_no_body(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	bool closed;
-	char *got = ask(b,
-			"HEAD /h HTTP/1.1\r\nHost: x\r\n"
-			"Connection: close\r\n\r\n",
-			NULL, &closed);
+	char *got = send_request(f,
+				 "HEAD /h HTTP/1.1\r\nHost: x\r\n"
+				 "Connection: close\r\n\r\n",
+				 NULL, &closed);
 
 	assert_non_null(strstr(got, " 200 "));
 	assert_null(strstr(got, "<HEAD"));
 	g_free(got);
 }
 
-/* A sender that stops half-way holds its connection for slow_ms at most. */
-static void a_slow_sender_is_cut(void **state)
+/*
+ * Guards against connections held by a sender that stops part-way: it is
+ * disconnected after slow_ms.
+ */
+static void closes_connection_of_slow_sender(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	bool closed;
-	char *got = ask(b,
-			"POST /a HTTP/1.1\r\nHost: x\r\n"
-			"Content-Length: 10\r\n\r\nabc",
-			NULL, &closed);
+	char *got = send_request(f,
+				 "POST /a HTTP/1.1\r\nHost: x\r\n"
+				 "Content-Length: 10\r\n\r\nabc",
+				 NULL, &closed);
 
 	assert_true(closed);
-	assert_int_equal(b->requests, 0);
+	assert_int_equal(f->requests, 0);
 	g_free(got);
 }
 
 /*
- * A planned stop. An idle connection is closed at once; an upload in progress
- * is read to its end and answered; the answer closes its connection.
+ * Guards against requests lost in a planned stop: idle connections are closed
+ * at once, an upload in progress is read to its end and answered, and the
+ * answer closes its connection.
  */
-static void a_drain_finishes_uploads(void **state)
+static void drain_completes_uploads(void **state)
 {
-	struct bed *b = *state;
-	int idle = net_dial(b->port);
-	int busy = net_dial(b->port);
+	struct fixture *f = *state;
+	int idle = net_dial(f->port);
+	int busy = net_dial(f->port);
 	bool closed;
 	GString *got;
 
 	net_send(idle, "GET /i HTTP/1.1\r\nHost: x\r\n\r\n", -1);
-	got = net_read(b->base, idle, "/i >", READ_MS, &closed);
+	got = net_read(f->base, idle, "/i >", READ_MS, &closed);
 	g_string_free(got, TRUE);
 	net_send(busy,
 		 "POST /up HTTP/1.1\r\nHost: x\r\nContent-Length: 6\r\n\r\nabc",
 		 -1);
-	net_run(b->base, 50);
-	srv_stop_accepting(b->srv);
-	srv_drain(b->srv);
-	got = net_read(b->base, idle, NULL, READ_MS, &closed);
+	net_run(f->base, 50);
+	srv_stop_accepting(f->srv);
+	srv_drain(f->srv);
+	got = net_read(f->base, idle, NULL, READ_MS, &closed);
 	assert_true(closed);
 	g_string_free(got, TRUE);
 	net_send(busy, "def", -1);
-	got = net_read(b->base, busy, NULL, READ_MS, &closed);
+	got = net_read(f->base, busy, NULL, READ_MS, &closed);
 	assert_non_null(strstr(got->str, "<POST /up abcdef>"));
 	assert_true(closed);
 	g_string_free(got, TRUE);
@@ -405,64 +410,67 @@
 	close(busy);
 }
 
-/* The caller leaves while its request waits: the owner is told once. */
-static void a_caller_who_leaves_is_told(void **state)
+/*
+ * Guards against a disconnect of a waiting caller that is missed or reported
+ * more than once.
+ */
+static void reports_caller_disconnect_once(void **state)
 {
-	struct bed *b = *state;
-	int fd = net_dial(b->port);
+	struct fixture *f = *state;
+	int fd = net_dial(f->port);
 
-	b->hold = true;
+	f->hold_requests = true;
 	net_send(fd, "GET /one HTTP/1.1\r\nHost: x\r\n\r\n", -1);
-	net_run(b->base, 50);
-	assert_non_null(b->held);
+	net_run(f->base, 50);
+	assert_non_null(f->held_request);
 	close(fd);
-	net_run(b->base, 500);
-	assert_int_equal(b->gone, 1);
+	net_run(f->base, 500);
+	assert_int_equal(f->disconnects, 1);
 }
 
-/* Guards against callers left without a word when there are too many. */
-static void one_too_many_is_told_when_to_come(void **state)
+/* Guards against callers that get no answer when the limit is reached. */
+static void refuses_callers_over_connection_limit(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int fds[MAX_CONNS + 1];
-	struct srv_req *held = NULL;
+	struct srv_req *held_request = NULL;
 	bool closed;
 	GString *got;
 	int i;
 
-	b->hold = true;
+	f->hold_requests = true;
 	for (i = 0; i <= MAX_CONNS; i++) {
-		fds[i] = net_dial(b->port);
+		fds[i] = net_dial(f->port);
 		net_send(fds[i], "GET /a HTTP/1.1\r\nHost: x\r\n\r\n", -1);
-		net_run(b->base, 5);
+		net_run(f->base, 5);
 		if (i == 0)
-			held = b->held;
+			held_request = f->held_request;
 	}
-	assert_int_equal(b->requests, MAX_CONNS - MAX_CONNS / 16);
-	/* the last that is taken gets an answer, one more isn't taken */
-	got = net_read(b->base, fds[MAX_CONNS - 1], NULL, READ_MS, &closed);
+	assert_int_equal(f->requests, MAX_CONNS - MAX_CONNS / 16);
+	/* the last accepted connection is answered; one more is not accepted */
+	got = net_read(f->base, fds[MAX_CONNS - 1], NULL, READ_MS, &closed);
 	assert_true(closed);
 	assert_non_null(strstr(got->str, "HTTP/1.1 503"));
 	assert_non_null(strstr(got->str, "Retry-After: 1"));
 	assert_non_null(strstr(got->str, "Endive-Outcome: not-run"));
 	g_string_free(got, TRUE);
-	got = net_read(b->base, fds[MAX_CONNS], NULL, READ_MS, &closed);
+	got = net_read(f->base, fds[MAX_CONNS], NULL, READ_MS, &closed);
 	assert_true(closed);
 	g_string_free(got, TRUE);
-	assert_int_equal(srv_stats(b->srv).crowded, 2);
-	echo(held);
-	got = net_read(b->base, fds[0], ">", READ_MS, &closed);
+	assert_int_equal(srv_stats(f->srv).crowded, 2);
+	reply_echo(held_request);
+	got = net_read(f->base, fds[0], ">", READ_MS, &closed);
 	assert_non_null(strstr(got->str, "<GET /a >"));
 	g_string_free(got, TRUE);
 	for (i = 0; i <= MAX_CONNS; i++)
 		close(fds[i]);
-	net_run(b->base, QUIET_MS);
+	net_run(f->base, QUIET_MS);
 }
 
-/* Guards against idle connections that keep new callers out. */
-static void an_idle_caller_makes_place(void **state)
+/* Guards against idle connections that exclude new callers. */
+static void evicts_idle_caller(void **state)
 {
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int fds[MAX_CONNS];
 	bool closed;
 	GString *got;
@@ -470,16 +478,16 @@
 	int i;
 
 	for (i = 0; i < MAX_CONNS; i++) {
-		fds[i] = net_dial(b->port);
-		net_run(b->base, 5);
+		fds[i] = net_dial(f->port);
+		net_run(f->base, 5);
 	}
-	net_run(b->base, IDLE_MS);
-	fd = net_dial(b->port);
+	net_run(f->base, EVICTABLE_IDLE_MS);
+	fd = net_dial(f->port);
 	net_send(fd, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n", -1);
-	got = net_read(b->base, fd, ">", READ_MS, &closed);
+	got = net_read(f->base, fd, ">", READ_MS, &closed);
 	assert_non_null(strstr(got->str, "<GET /a >"));
 	g_string_free(got, TRUE);
-	got = net_read(b->base, fds[0], NULL, READ_MS, &closed);
+	got = net_read(f->base, fds[0], NULL, READ_MS, &closed);
 	assert_true(closed);
 	g_string_free(got, TRUE);
 	for (i = 0; i < MAX_CONNS; i++)
@@ -487,12 +495,12 @@
 	close(fd);
 }
 
-/* Guards against a daemon that is killed for the bodies of many callers. */
-static void bodies_beyond_the_bound_are_refused(void **state)
+/* Guards against a daemon killed for the memory of many callers' bodies. */
+static void refuses_bodies_over_total_limit(void **state)
 {
 	static const char large[] = "POST /a HTTP/1.1\r\nHost: x\r\n"
 				    "Content-Length: 900\r\n\r\nhalf";
-	struct bed *b = *state;
+	struct fixture *f = *state;
 	int fds[MAX_BYTES / 900];
 	bool closed;
 	GString *got;
@@ -500,13 +508,13 @@
 	int fd;
 
 	for (i = 0; i < G_N_ELEMENTS(fds); i++) {
-		fds[i] = net_dial(b->port);
+		fds[i] = net_dial(f->port);
 		net_send(fds[i], large, -1);
-		net_run(b->base, 5);
+		net_run(f->base, 5);
 	}
-	fd = net_dial(b->port);
+	fd = net_dial(f->port);
 	net_send(fd, large, -1);
-	got = net_read(b->base, fd, "at once", READ_MS, &closed);
+	got = net_read(f->base, fd, "at once", READ_MS, &closed);
 	assert_non_null(strstr(got->str, "HTTP/1.1 503"));
 	assert_non_null(strstr(got->str, "Retry-After: 1"));
 	assert_non_null(strstr(got->str, "Endive-Outcome: not-run"));
@@ -514,34 +522,34 @@
 	close(fd);
 	for (i = 0; i < G_N_ELEMENTS(fds); i++)
 		close(fds[i]);
-	net_run(b->base, QUIET_MS);
-	assert_int_equal(srv_stats(b->srv).bytes, 0);
-	fd = net_dial(b->port);
+	net_run(f->base, QUIET_MS);
+	assert_int_equal(srv_stats(f->srv).bytes, 0);
+	fd = net_dial(f->port);
 	net_send(fd,
 		 "POST /a HTTP/1.1\r\nHost: x\r\n"
 		 "Content-Length: 4\r\n\r\nbody",
 		 -1);
-	got = net_read(b->base, fd, ">", READ_MS, &closed);
+	got = net_read(f->base, fd, ">", READ_MS, &closed);
 	assert_non_null(strstr(got->str, "<POST /a body>"));
-	assert_int_equal(srv_stats(b->srv).bytes, 0);
+	assert_int_equal(srv_stats(f->srv).bytes, 0);
 	g_string_free(got, TRUE);
 	close(fd);
 }
 
-/* Guards against a daemon that does nothing but ask for connections in vain. */
-static void a_listener_without_descriptors_rests(void **state)
+/* Guards against a busy loop of failing accepts without descriptors. */
+static void pauses_accepting_without_descriptors(void **state)
 {
-	struct bed *b = *state;
-	int fd = net_dial(b->port);
+	struct fixture *f = *state;
+	int fd = net_dial(f->port);
 	struct net_taken taken = net_take_descriptors(0);
 	bool closed;
 	GString *got;
 
 	net_send(fd, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n", -1);
-	net_run(b->base, 2 * QUIET_MS);
-	assert_in_range(srv_stats(b->srv).unaccepted, 1, 4);
+	net_run(f->base, 2 * QUIET_MS);
+	assert_in_range(srv_stats(f->srv).accept_failures, 1, 4);
 	net_give_back(&taken);
-	got = net_read(b->base, fd, ">", READ_MS, &closed);
+	got = net_read(f->base, fd, ">", READ_MS, &closed);
 	assert_non_null(strstr(got->str, "<GET /a >"));
 	g_string_free(got, TRUE);
 	close(fd);
@@ -550,37 +558,37 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(a_request_gets_its_answer,
-						setup, teardown),
-		cmocka_unit_test_setup_teardown(
-			a_path_in_two_pieces_stays_the_same, setup, teardown),
+		cmocka_unit_test_setup_teardown(answers_request, setup,
+						teardown),
 		cmocka_unit_test_setup_teardown(
-			what_two_readers_take_differently_is_refused, setup,
+			path_split_across_packets_is_unchanged, setup,
 			teardown),
-		cmocka_unit_test_setup_teardown(chunks_make_one_body, setup,
+		cmocka_unit_test_setup_teardown(refuses_ambiguous_bytes, setup,
 						teardown),
-		cmocka_unit_test_setup_teardown(two_ways_to_read_are_refused,
-						setup, teardown),
-		cmocka_unit_test_setup_teardown(too_large_is_refused, setup,
+		cmocka_unit_test_setup_teardown(joins_chunked_body, setup,
 						teardown),
+		cmocka_unit_test_setup_teardown(refuses_ambiguous_framing,
+						setup, teardown),
+		cmocka_unit_test_setup_teardown(refuses_oversized_requests,
+						setup, teardown),
 		cmocka_unit_test_setup_teardown(
 			pipelined_requests_keep_their_order, setup, teardown),
 		cmocka_unit_test_setup_teardown(head_has_no_body, setup,
 						teardown),
-		cmocka_unit_test_setup_teardown(a_slow_sender_is_cut, setup,
-						teardown),
-		cmocka_unit_test_setup_teardown(a_drain_finishes_uploads, setup,
+		cmocka_unit_test_setup_teardown(
+			closes_connection_of_slow_sender, setup, teardown),
+		cmocka_unit_test_setup_teardown(drain_completes_uploads, setup,
 						teardown),
-		cmocka_unit_test_setup_teardown(a_caller_who_leaves_is_told,
+		cmocka_unit_test_setup_teardown(reports_caller_disconnect_once,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(
-			one_too_many_is_told_when_to_come, setup, teardown),
-		cmocka_unit_test_setup_teardown(an_idle_caller_makes_place,
+			refuses_callers_over_connection_limit, setup, teardown),
+		cmocka_unit_test_setup_teardown(evicts_idle_caller, setup,
+						teardown),
+		cmocka_unit_test_setup_teardown(refuses_bodies_over_total_limit,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(
-			bodies_beyond_the_bound_are_refused, setup, teardown),
-		cmocka_unit_test_setup_teardown(
-			a_listener_without_descriptors_rests, setup, teardown),
+			pauses_accepting_without_descriptors, setup, teardown),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
