--- a/src/gat.h
+++ b/src/gat.h
@@ -1,7 +1,9 @@
 #ifndef GAT_H
 #define GAT_H
 
-/* Entry daemon for job fleets: an HTTP proxy in front of the leading replica. */
+/*
+ * Entry daemon for job fleets: an HTTP proxy in front of the leading replica.
+ */
 
 #include <event2/event.h>
 #include <glib.h>
@@ -24,16 +26,14 @@
 	char *node;
 	char *zone;
 	char *callers; /* IP:PORT */
-	char *ready; /* IP:PORT of the load balancer's readiness check; or NULL */
+	char *ready; /* IP:PORT for readiness checks; or NULL */
 	char *metrics; /* IP:PORT; or NULL */
 	char **seeds; /* IP:PORT of the replicas to contact first */
-	const char *
-		patience_header; /* header with a caller's timeout, ms; or NULL */
+	const char *patience_header; /* has a caller's timeout, ms; or NULL */
 	long long body_max; /* largest request body, bytes */
 	long long
 		grace_ms; /* from a planned stop until this process is killed */
-	long long
-		bodies_max; /* bytes of all request bodies held at once; 0: no limit */
+	long long bodies_max; /* bytes of all bodies at once; 0: no limit */
 	const struct fdb *descriptors;
 };
 
--- a/src/gat_int.h
+++ b/src/gat_int.h
@@ -66,15 +66,14 @@
 	GHashTable *replicas; /* address: struct gat_replica */
 	GHashTable *calls; /* id: struct gat_call */
 	struct gat_replica *leader;
-	int64_t leaderless_since_ms; /* start of the time without a leader; while there is none */
+	int64_t leaderless_since_ms; /* while no leader is known */
 	uint64_t next_id;
 	uint64_t tick;
 	int64_t drain_since_ms; /* start of the planned stop; 0: not draining */
 	bool closing;
 	uint64_t counts[GAT_COUNTS];
 	struct cnt_times answers; /* time from a request to its answer */
-	struct cnt_times
-		refusals; /* the same for refused requests and unknown outcomes */
+	struct cnt_times refusals; /* for refusals and unknown outcomes */
 	struct cnt_times
 		leaderless; /* lengths of the times without a known leader */
 };
--- a/src/srv.c
+++ b/src/srv.c
@@ -79,7 +79,7 @@
 	void *user;
 	bool paused;
 	bool streaming;
-	bool backlogged; /* the caller reads too slowly; ops->room is due */
+	bool backlogged; /* the caller reads too slowly; ops->writable is due */
 };
 
 static evhtp_res srv_on_accept(evhtp_connection_t *ev, void *arg);
@@ -155,7 +155,8 @@
 }
 
 /*
- * Closes all connections at once; ops->gone is called for unanswered requests.
+ * Closes all connections at once; ops->disconnected is called for unanswered
+ * requests.
  */
 void srv_free(struct srv *s)
 {
@@ -314,7 +315,7 @@
 
 /*
  * Sends a part of a streamed answer and empties it. Returns false if the next
- * part must wait for ops->room.
+ * part must wait for ops->writable.
  */
 bool srv_part(struct srv_req *r, struct evbuffer *part)
 {
@@ -352,6 +353,7 @@
 	evhtp_connection_free(ev);
 }
 
+/* Accepts a caller's connection, or refuses it at the limit. */
 static evhtp_res srv_on_accept(evhtp_connection_t *ev, void *arg)
 {
 	struct srv *s = arg;
@@ -478,6 +480,7 @@
 	srv_feed(c);
 }
 
+/* Passes received bytes to libevhtp as far as they are complete and valid. */
 static void srv_feed(struct srv_conn *c)
 {
 	struct srv *s = c->s;
@@ -505,6 +508,7 @@
 	evhtp_connection_free(c->ev);
 }
 
+/* Continues with bytes received during the previous request. */
 static void srv_feed_timer(void *arg, int64_t now)
 {
 	struct srv_conn *c = arg;
@@ -513,6 +517,7 @@
 	srv_feed(c);
 }
 
+/* Resets the counts of header bytes and fields. */
 static evhtp_res srv_on_headers_start(evhtp_request_t *ev, void *arg)
 {
 	struct srv_conn *c = arg;
@@ -522,6 +527,7 @@
 	return EVHTP_RES_OK;
 }
 
+/* Counts a header field; refuses the request if there are too many bytes. */
 static evhtp_res srv_on_header(evhtp_request_t *ev, evhtp_header_t *h,
 			       void *arg)
 {
@@ -535,6 +541,7 @@
 	return EVHTP_RES_OK;
 }
 
+/* Checks a request's headers and reserves memory for its body. */
 static evhtp_res srv_on_headers(evhtp_request_t *ev, evhtp_headers_t *h,
 				void *arg)
 {
@@ -649,6 +656,7 @@
 	return EVHTP_RES_ERROR;
 }
 
+/* Frees a connection; the owner of a waiting request is notified. */
 static evhtp_res srv_on_conn_end(evhtp_connection_t *ev, void *arg)
 {
 	struct srv_conn *c = arg;
@@ -669,6 +677,7 @@
 	return EVHTP_RES_OK;
 }
 
+/* Handles the end of a request and starts the connection's next one. */
 static evhtp_res srv_on_req_end(evhtp_request_t *ev, void *arg)
 {
 	struct srv_conn *c = arg;
@@ -686,6 +695,7 @@
 	return EVHTP_RES_OK;
 }
 
+/* Has the owner of a streamed answer send more once output was written. */
 static evhtp_res srv_on_write(evhtp_connection_t *ev, void *arg)
 {
 	struct srv_conn *c = arg;
@@ -698,6 +708,7 @@
 	return EVHTP_RES_OK;
 }
 
+/* Passes a whole request to its owner, or refuses it over the limit. */
 static void srv_on_request(evhtp_request_t *ev, void *arg)
 {
 	struct srv *s = arg;
@@ -763,6 +774,7 @@
 	g_list_free(conns);
 }
 
+/* Whether the caller has closed its connection. */
 static bool srv_conn_peer_closed(const struct srv_conn *c)
 {
 	char byte;
@@ -772,6 +784,7 @@
 	return n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR);
 }
 
+/* Ends and frees a request; its connection becomes idle. */
 static void srv_req_end(struct srv_req *r)
 {
 	r->conn->req = NULL;
@@ -782,6 +795,7 @@
 	g_free(r);
 }
 
+/* Adds an answer's headers, and Connection: close where it is the last one. */
 static void srv_add_headers(struct srv_req *r, const struct ups_header *headers,
 			    size_t n)
 {
--- a/src/ups.c
+++ b/src/ups.c
@@ -114,7 +114,7 @@
 	uint64_t connect_timer;
 	uint64_t deadline_timer;
 	uint64_t end_timer;
-	struct event *write_event; /* for calls with ops->may */
+	struct event *write_event; /* for calls with ops->may_write */
 	bool write_refused;
 };
 
@@ -593,6 +593,7 @@
 	return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
+/* Opens a connection to a target; it is not established yet. */
 static struct ups_conn *ups_conn_open(struct ups *u, const char *addr)
 {
 	struct ups_conn *c = g_new0(struct ups_conn, 1);
@@ -617,6 +618,7 @@
 	return c;
 }
 
+/* Frees a connection. */
 static void ups_conn_free(struct ups_conn *c)
 {
 	evhttp_connection_free(c->ev);
@@ -637,6 +639,7 @@
 	ups_schedule_dispatch(u);
 }
 
+/* Closes a connection in the loop's next iteration. */
 static void ups_conn_close(struct ups_conn *c)
 {
 	c->state = UPS_CLOSED;
@@ -659,6 +662,7 @@
 		setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
 }
 
+/* Makes a connection available for reuse. */
 static void ups_conn_add_idle(struct ups_conn *c)
 {
 	GPtrArray *idle = g_hash_table_lookup(c->u->idle_by_addr, c->addr);
@@ -675,6 +679,7 @@
 	ups_schedule_dispatch(c->u);
 }
 
+/* Applies an event to a connection's state. Returns the chart's action. */
 static int ups_conn_event(struct ups_conn *c, enum ups_event event)
 {
 	struct cht_step step;
@@ -705,8 +710,8 @@
 }
 
 /*
- * Asks ops->may as a request is queued for writing. On a new connection the
- * bufferevent that has just connected writes at once, so this is the last
+ * Asks ops->may_write as a request is queued for writing. On a new connection
+ * the bufferevent that has just connected writes at once, so this is the last
  * moment to check. On a reused one the request is written in the loop's next
  * iteration, after ups_on_write.
  */
@@ -725,9 +730,9 @@
 }
 
 /*
- * Asks ops->may again and writes the request at once. Bytes left over would be
- * written later without a check, so such a call ends; a request with ops->may
- * is far smaller than a socket's buffer.
+ * Asks ops->may_write again and writes the request at once. Bytes left over
+ * would be written later without a check, so such a call ends; a request with
+ * ops->may_write is far smaller than a socket's buffer.
  */
 static void ups_on_write(evutil_socket_t unused, short what, void *arg)
 {
@@ -766,6 +771,7 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, sizeof(ms));
 }
 
+/* Whether a connection is established. */
 static bool ups_conn_is_connected(const struct ups_conn *c)
 {
 	struct sockaddr_storage ss;
@@ -776,6 +782,7 @@
 	return fd >= 0 && getpeername(fd, (struct sockaddr *)&ss, &len) == 0;
 }
 
+/* Checks an answer's framing and copies its headers. */
 static int ups_on_headers(struct evhttp_request *req, void *arg)
 {
 	struct ups_call *call = arg;
@@ -816,6 +823,7 @@
 	return f.chunked || f.has_length;
 }
 
+/* Buffers a part of an answer, or passes it on if the answer is too large. */
 static void ups_on_part(struct evhttp_request *req, void *arg)
 {
 	struct ups_call *call = arg;
@@ -861,6 +869,7 @@
 	ups_finish(call, end);
 }
 
+/* Ends a call whose connection is not established in time. */
 static void ups_on_connect_timeout(void *arg, int64_t now)
 {
 	struct ups_call *call = arg;
@@ -872,6 +881,7 @@
 	ups_finish(call, UPS_TIMEOUT);
 }
 
+/* Ends a call at its time limit. */
 static void ups_on_deadline(void *arg, int64_t now)
 {
 	struct ups_call *call = arg;
@@ -941,6 +951,7 @@
 		ups_conn_close(c);
 }
 
+/* Calls ops->end and frees the call. */
 static void ups_report_end(void *arg, int64_t now)
 {
 	struct ups_call *call = arg;
@@ -955,6 +966,7 @@
 	ups_call_free(call);
 }
 
+/* Frees a call without a callback. */
 static void ups_call_free(struct ups_call *call)
 {
 	ups_stop_timers(call);
--- a/tests/unit/srv_test.c
+++ b/tests/unit/srv_test.c
@@ -360,7 +360,7 @@
 
 /*
  * Guards against connections held by a sender that stops part-way: it is
- * disconnected after slow_ms.
+ * disconnected after io_timeout_ms.
  */
 static void closes_connection_of_slow_sender(void **state)
 {
