--- a/src/gat.h
+++ b/src/gat.h
@@ -31,8 +31,7 @@
 	char **seeds; /* IP:PORT of the replicas to contact first */
 	const char *patience_header; /* has a caller's timeout, ms; or NULL */
 	long long body_max; /* largest request body, bytes */
-	long long
-		grace_ms; /* from a planned stop until this process is killed */
+	long long grace_ms; /* from a stop until this process is killed */
 	long long bodies_max; /* bytes of all bodies at once; 0: no limit */
 	const struct fdb *descriptors;
 };
--- a/src/gat_int.h
+++ b/src/gat_int.h
@@ -74,8 +74,7 @@
 	uint64_t counts[GAT_COUNTS];
 	struct cnt_times answers; /* time from a request to its answer */
 	struct cnt_times refusals; /* for refusals and unknown outcomes */
-	struct cnt_times
-		leaderless; /* lengths of the times without a known leader */
+	struct cnt_times leaderless; /* times without a known leader */
 };
 
 /* gat_call */
--- a/tests/unit/ups_test.c
+++ b/tests/unit/ups_test.c
@@ -234,8 +234,8 @@
 }
 
 /*
- * Guards against the same crash with a refused connection and the connect
- * timeout.
+ * Guards against a crash when a stalled process finds a refused connection and
+ * its expired connect timeout in one iteration of the event loop.
  */
 static void refusal_and_connect_timeout_in_one_loop_iteration(void **state)
 {
@@ -392,8 +392,9 @@
 }
 
 /*
- * Guards against a control daemon that crashes with its descriptors used up by
- * connections to workers: without a socket, a call ends within ups_start.
+ * Guards against a control daemon of a large fleet that crashes, and again
+ * after each start, with its descriptors used up by connections to workers:
+ * without a socket, a call ends within the function that starts it.
  */
 static void call_without_descriptor_ends(void **state)
 {
