--- a/src/rly.c
+++ b/src/rly.c
@@ -124,7 +124,10 @@
 	return c;
 }
 
-/* Sets the term in which this replica leads and sends calls. */
+/*
+ * Sets the term in which this replica leads and sends calls. Calls not sent yet
+ * are dropped.
+ */
 void rly_lead(struct rly *r, uint64_t term)
 {
 	rly_rest(r);
