--- a/bench/cns_bench.c
+++ b/bench/cns_bench.c
@@ -58,7 +58,7 @@
 	guint i;
 
 	while (cns_ready(n->c, &rd)) {
-		bench_send(b, rd.early);
+		bench_send(b, rd.send_now);
 		if (rd.vote_changed)
 			sto_vote(n->sto, rd.term, rd.vote);
 		for (i = 0; i < rd.entries->len; i++)
@@ -66,7 +66,7 @@
 							 struct cns_entry, i));
 		if (!sto_sync(n->sto, &err))
 			g_error("%s", err->message);
-		bench_send(b, rd.late);
+		bench_send(b, rd.send_after_sync);
 		n->applied += rd.committed->len;
 		cns_advance(n->c, &rd);
 	}
@@ -112,7 +112,7 @@
 	struct cns_config config = {.id = id,
 				    .seed = (uint32_t)id,
 				    .now_ms = b->now,
-				    .beat_ms = 200,
+				    .heartbeat_ms = 200,
 				    .election_ms = 600};
 	struct cns_stored stored;
 	GError *err = NULL;
--- a/src/adv_line.c
+++ b/src/adv_line.c
@@ -83,8 +83,8 @@
 	l->ops = ops;
 	l->arg = arg;
 	l->ups = ups_new(config->base, config->tmr);
-	ups_set_reuse(l->ups, ADV_REUSE_MS);
-	ups_set_most(l->ups, ADV_CONNS_MAX);
+	ups_set_idle_timeout(l->ups, ADV_REUSE_MS);
+	ups_set_conns_max(l->ups, ADV_CONNS_MAX);
 	return l;
 }
 
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -11,7 +11,7 @@
 
 static const struct srv_ops ctl_http_ops = {
 	.request = ctl_http_request,
-	.gone = ctl_http_gone,
+	.disconnected = ctl_http_gone,
 };
 
 static const struct cnt_def ctl_count_defs[CTL_COUNTS] = {
@@ -45,7 +45,7 @@
 	 "Connections refused for their key or bytes."},
 };
 
-/* Opens the health page and /metrics. */
+/* Starts the HTTP server for the health page and /metrics. */
 bool ctl_http_open(struct ctl *c, GError **err)
 {
 	struct srv_config config = {
@@ -53,7 +53,7 @@
 		.tmr = c->tmr,
 		.addr = c->config.http,
 		.max_body = CTL_HTTP_BODY_MAX,
-		.slow_ms = CTL_HTTP_SLOW_MS,
+		.io_timeout_ms = CTL_HTTP_SLOW_MS,
 		.max_conns = c->config.descriptors.share[FDB_OPERATORS],
 	};
 
@@ -78,7 +78,7 @@
 
 static void ctl_http_gone(void *arg, struct srv_req *r)
 {
-	/* Every page is answered at once. */
+	/* Every request is answered immediately. */
 }
 
 static void ctl_http_metrics(struct ctl *c, struct srv_req *r)
--- a/src/dmn.c
+++ b/src/dmn.c
@@ -51,11 +51,11 @@
 		return dmn_fail(&d, err, SET_EXIT_USAGE);
 	d.first = d.settings;
 	d.changed = dmn_changed(d.settings->path);
-	msg_level_parse(d.settings->level, &lowest);
+	msg_level_parse(d.settings->log_level, &lowest);
 	msg_init(ops->name, lowest);
 	if (!fdb_split(&d.descriptors,
 		       fdb_limit(d.settings->descriptors,
-				 d.settings->descriptors_kept),
+				 d.settings->descriptors_reserved),
 		       ops->descriptors, &err) ||
 	    !dmn_keys(&d, &err))
 		rc = dmn_fail(&d, err, SET_EXIT_USAGE);
--- a/src/dmn.h
+++ b/src/dmn.h
@@ -18,7 +18,7 @@
 struct dmn_ops {
 	const char *name;
 	const char *summary;
-	struct fdb_want descriptors[FDB_PARTS];
+	struct fdb_demand descriptors[FDB_PARTS];
 	bool (*start)(struct dmn *d, GError **err);
 	void (*stop)(struct dmn *d);
 	/* a planned stop: end the loop when nothing is left to do */
--- a/src/fdb.c
+++ b/src/fdb.c
@@ -4,7 +4,7 @@
 
 #include "err.h"
 
-/* Where the system sets no limit: more than any daemon of ours can use. */
+/* Limit if the system sets none; more than any own daemon can use. */
 #define FDB_LIMIT_MAX 100000
 
 static const char *const fdb_names[FDB_PARTS] = {
@@ -14,27 +14,27 @@
 };
 
 /*
- * Descriptors that this process may have: the limit that it runs under, or the
- * one that its settings name if that is less (0: none). kept are taken off the
- * latter, as not for us.
+ * Returns the number of descriptors that this process may open: the lower of
+ * its RLIMIT_NOFILE and the configured limit (0: none). Descriptors reserved
+ * for other uses are subtracted from the configured limit.
  */
-int fdb_limit(long long set, long long kept)
+int fdb_limit(long long configured, long long reserved)
 {
 	long long limit = FDB_LIMIT_MAX;
 	struct rlimit r;
 
 	if (getrlimit(RLIMIT_NOFILE, &r) == 0 && r.rlim_cur < FDB_LIMIT_MAX)
 		limit = (long long)r.rlim_cur;
-	if (set)
-		limit = MIN(limit, set - kept);
+	if (configured)
+		limit = MIN(limit, configured - reserved);
 	return (int)MAX(limit, 0);
 }
 
 /*
- * Shares a limit out among FDB_PARTS parts. False with ERR_INPUT: it is less
- * than what they need.
+ * Divides a limit among the FDB_PARTS parts by their demands. Returns false
+ * with ERR_INPUT if the limit is below the sum of the minimums.
  */
-bool fdb_split(struct fdb *f, int limit, const struct fdb_want *want,
+bool fdb_split(struct fdb *f, int limit, const struct fdb_demand *want,
 	       GError **err)
 {
 	int least = 0;
@@ -42,7 +42,7 @@
 	size_t i;
 
 	for (i = 0; i < FDB_PARTS; i++) {
-		least += want[i].least;
+		least += want[i].min;
 		weights += want[i].weight;
 	}
 	if (limit < least) {
@@ -53,7 +53,7 @@
 	}
 	f->limit = limit;
 	for (i = 0; i < FDB_PARTS; i++) {
-		f->share[i] = want[i].least;
+		f->share[i] = want[i].min;
 		if (weights)
 			f->share[i] += (int)((long long)(limit - least) *
 					     want[i].weight / weights);
@@ -61,8 +61,9 @@
 	return true;
 }
 
-/* Appends how the parts stand, in the text form that monitoring reads. */
-void fdb_text(const struct fdb *f, const struct fdb_use *use, GString *out)
+/* Appends the metrics of all parts in the Prometheus text format. */
+void fdb_append_metrics(const struct fdb *f, const struct fdb_use *use,
+			GString *out)
 {
 	size_t i;
 
--- a/src/fst_keep.c
+++ b/src/fst_keep.c
@@ -1,88 +1,91 @@
 #include "fst_in.h"
 
 /*
- * Who holds each zone's memory of idempotency keys. The entry daemons propose;
- * the log decides, so that no two of them go on with different keepers.
+ * The key replicas of each zone: the entry daemons that store its idempotency
+ * records. Entry daemons propose a set; the replicated log decides, so that
+ * no two entry daemons use different sets.
  */
 
-static struct fvw_keepers *fst_keepers_find(const struct fst *f,
-					    struct lstr zone);
-static int fst_keepers_order(gconstpointer a, gconstpointer b);
+static struct fvw_key_replicas *fst_key_replicas_find(const struct fst *f,
+						      struct lstr zone);
+static int fst_compare_zones(gconstpointer a, gconstpointer b);
 
 /*
- * Sets a zone's keepers if they follow the present ones: of two proposals from
- * the same view one is accepted, the other is a conflict and is thought over.
+ * Handles FCM_KEY_REPLICAS: replaces a zone's key replicas if the proposal has
+ * the next number. Of two proposals made from the same view one is accepted;
+ * the other gets a conflict, and its sender proposes anew.
  */
-void fst_do_keepers(struct fst_run *r)
+void fst_handle_key_replicas(struct fst_exec *ex)
 {
-	const struct fcm_keepers *c = &r->cmd->keepers;
-	struct fvw_keepers *k = fst_keepers_find(r->f, c->zone);
-	struct fvw_keepers *next;
+	const struct fcm_key_replicas *c = &ex->cmd->keepers;
+	struct fvw_key_replicas *k = fst_key_replicas_find(ex->f, c->zone);
+	struct fvw_key_replicas *next;
 	bool lost = k && k->epoch != c->epoch;
 	guint i;
 
 	if (c->number != (k ? k->number : 0) + 1 || c->epoch == 0) {
-		fst_run_end(r, PROTO_CONFLICT, "number %llu is in force",
-			    (unsigned long long)(k ? k->number : 0));
+		fst_exec_finish(ex, PROTO_CONFLICT, "number %llu is in force",
+				(unsigned long long)(k ? k->number : 0));
 		return;
 	}
-	if (!k && r->f->keepers->len >= FST_KEEPERS_MAX) {
-		fst_run_end(r, PROTO_REFUSED, "allowed: up to %d zones",
-			    FST_KEEPERS_MAX);
+	if (!k && ex->f->key_replicas->len >= FST_KEY_ZONES_MAX) {
+		fst_exec_finish(ex, PROTO_REFUSED, "allowed: up to %d zones",
+				FST_KEY_ZONES_MAX);
 		return;
 	}
 	for (i = 0; i < c->n; i++) {
-		if (fvw_keeper_ok(c->names[i]))
+		if (fvw_is_key_replica_name(c->names[i]))
 			continue;
-		fst_run_end(r, PROTO_REFUSED,
-			    "keeper " LSTR_FMT "; allowed: NODE/BOOT",
-			    LSTR_ARG(c->names[i]));
+		fst_exec_finish(ex, PROTO_REFUSED,
+				"keeper " LSTR_FMT "; allowed: NODE/BOOT",
+				LSTR_ARG(c->names[i]));
 		return;
 	}
-	next = fvw_keepers_new(c->zone, c->epoch, c->number);
+	next = fvw_key_replicas_new(c->zone, c->epoch, c->number);
 	for (i = 0; i < c->n; i++)
 		g_ptr_array_add(next->names, lstr_dup(c->names[i]));
 	if (k)
-		g_ptr_array_remove(r->f->keepers, k);
-	g_ptr_array_add(r->f->keepers, next);
-	g_ptr_array_sort(r->f->keepers, fst_keepers_order);
-	fst_touch(r->f);
-	fst_run_end(r, PROTO_OK, "in force%s",
-		    lost ? "; the memory before is lost" : "");
+		g_ptr_array_remove(ex->f->key_replicas, k);
+	g_ptr_array_add(ex->f->key_replicas, next);
+	g_ptr_array_sort(ex->f->key_replicas, fst_compare_zones);
+	fst_bump_version(ex->f);
+	fst_exec_finish(ex, PROTO_OK, "in force%s",
+			lost ? "; the memory before is lost" : "");
 }
 
-/* Packs all zones' keepers. */
-void fst_keepers_pack(const struct fst *f, struct pk_out *o)
+/* Packs the key replicas of all zones. */
+void fst_key_replicas_pack(const struct fst *f, struct pk_out *o)
 {
 	guint i;
 
-	pk_arr(o, f->keepers->len);
-	for (i = 0; i < f->keepers->len; i++)
-		fvw_keepers_pack(g_ptr_array_index(f->keepers, i), o);
+	pk_arr(o, f->key_replicas->len);
+	for (i = 0; i < f->key_replicas->len; i++)
+		fvw_key_replicas_pack(g_ptr_array_index(f->key_replicas, i), o);
 }
 
-/* Reads what fst_keepers_pack wrote. */
-bool fst_keepers_unpack(struct fst *f, struct pk_in *in)
+/* Reads the output of fst_key_replicas_pack; returns false if malformed. */
+bool fst_key_replicas_unpack(struct fst *f, struct pk_in *in)
 {
 	struct pk_in list = pk_get_arr(in);
-	struct fvw_keepers *k;
+	struct fvw_key_replicas *k;
 
 	while (pk_in_ok(&list) && pk_in_left(&list)) {
-		k = fvw_keepers_unpack(&list);
+		k = fvw_key_replicas_unpack(&list);
 		if (!k)
 			return false;
-		g_ptr_array_add(f->keepers, k);
+		g_ptr_array_add(f->key_replicas, k);
 	}
 	return pk_in_ok(&list);
 }
 
-static struct fvw_keepers *fst_keepers_find(const struct fst *f,
-					    struct lstr zone)
+static struct fvw_key_replicas *fst_key_replicas_find(const struct fst *f,
+						      struct lstr zone)
 {
 	guint i;
 
-	for (i = 0; i < f->keepers->len; i++) {
-		struct fvw_keepers *k = g_ptr_array_index(f->keepers, i);
+	for (i = 0; i < f->key_replicas->len; i++) {
+		struct fvw_key_replicas *k =
+			g_ptr_array_index(f->key_replicas, i);
 
 		if (lstr_eq(zone, lstr_from(k->zone)))
 			return k;
@@ -90,10 +93,10 @@
 	return NULL;
 }
 
-static int fst_keepers_order(gconstpointer a, gconstpointer b)
+static int fst_compare_zones(gconstpointer a, gconstpointer b)
 {
-	const struct fvw_keepers *const *x = a;
-	const struct fvw_keepers *const *y = b;
+	const struct fvw_key_replicas *const *x = a;
+	const struct fvw_key_replicas *const *y = b;
 
 	return strcmp((*x)->zone, (*y)->zone);
 }
--- a/src/fvw_keepers.c
+++ b/src/fvw_keepers.c
@@ -1,10 +1,10 @@
 #include "fvw.h"
 
-/* A zone's keepers, without names yet. */
-struct fvw_keepers *fvw_keepers_new(struct lstr zone, uint64_t epoch,
-				    uint64_t number)
+/* Returns new key replicas of a zone, with an empty list of names. */
+struct fvw_key_replicas *fvw_key_replicas_new(struct lstr zone, uint64_t epoch,
+					      uint64_t number)
 {
-	struct fvw_keepers *k = g_new0(struct fvw_keepers, 1);
+	struct fvw_key_replicas *k = g_new0(struct fvw_key_replicas, 1);
 
 	k->zone = lstr_dup(zone);
 	k->epoch = epoch;
@@ -13,11 +13,11 @@
 	return k;
 }
 
-/* A copy of a zone's keepers. */
-struct fvw_keepers *fvw_keepers_copy(const struct fvw_keepers *k)
+/* Returns a copy of a zone's key replicas. */
+struct fvw_key_replicas *fvw_key_replicas_copy(const struct fvw_key_replicas *k)
 {
-	struct fvw_keepers *copy =
-		fvw_keepers_new(lstr_from(k->zone), k->epoch, k->number);
+	struct fvw_key_replicas *copy =
+		fvw_key_replicas_new(lstr_from(k->zone), k->epoch, k->number);
 	guint i;
 
 	for (i = 0; i < k->names->len; i++)
@@ -26,10 +26,10 @@
 	return copy;
 }
 
-/* Frees a zone's keepers. */
-void fvw_keepers_free(gpointer p)
+/* Frees a zone's key replicas; NULL is allowed. */
+void fvw_key_replicas_free(gpointer p)
 {
-	struct fvw_keepers *k = p;
+	struct fvw_key_replicas *k = p;
 
 	if (!k)
 		return;
@@ -38,8 +38,8 @@
 	g_free(k);
 }
 
-/* Packs a zone's keepers. */
-void fvw_keepers_pack(const struct fvw_keepers *k, struct pk_out *o)
+/* Packs a zone's key replicas. */
+void fvw_key_replicas_pack(const struct fvw_key_replicas *k, struct pk_out *o)
 {
 	guint i;
 
@@ -52,8 +52,8 @@
 		pk_cstr(o, g_ptr_array_index(k->names, i));
 }
 
-/* Whether a name is a keeper's: NODE/BOOT, BOOT in hexadecimal digits. */
-bool fvw_keeper_ok(struct lstr name)
+/* Returns whether a name has the form NODE/BOOT, with BOOT in hexadecimal. */
+bool fvw_is_key_replica_name(struct lstr name)
 {
 	struct lstr node;
 	struct lstr boot;
@@ -71,30 +71,31 @@
 	return true;
 }
 
-/* Reads a zone's keepers; NULL: they are not, or not all. */
-struct fvw_keepers *fvw_keepers_unpack(struct pk_in *in)
+/* Reads a zone's key replicas; returns NULL if malformed. */
+struct fvw_key_replicas *fvw_key_replicas_unpack(struct pk_in *in)
 {
 	struct pk_in rec = pk_get_arr(in);
 	struct lstr zone = pk_get_str(&rec);
 	uint64_t epoch = pk_get_u(&rec);
 	uint64_t number = pk_get_u(&rec);
 	struct pk_in names = pk_get_arr(&rec);
-	struct fvw_keepers *k;
+	struct fvw_key_replicas *k;
 	struct lstr name;
 	bool ok = pk_in_ok(&rec) && pk_in_left(&rec) == 0 && zone.len &&
 		  zone.len <= FVW_NAME_MAX && epoch && number &&
-		  pk_in_left(&names) && pk_in_left(&names) <= FVW_KEEPERS_MAX;
+		  pk_in_left(&names) &&
+		  pk_in_left(&names) <= FVW_KEY_REPLICAS_MAX;
 
 	if (!ok)
 		return NULL;
-	k = fvw_keepers_new(zone, epoch, number);
+	k = fvw_key_replicas_new(zone, epoch, number);
 	while (ok && pk_in_left(&names)) {
 		name = pk_get_str(&names);
-		ok = pk_in_ok(&names) && fvw_keeper_ok(name);
+		ok = pk_in_ok(&names) && fvw_is_key_replica_name(name);
 		g_ptr_array_add(k->names, lstr_dup(name));
 	}
 	if (ok)
 		return k;
-	fvw_keepers_free(k);
+	fvw_key_replicas_free(k);
 	return NULL;
 }
--- a/src/hub.c
+++ b/src/hub.c
@@ -35,20 +35,20 @@
 	.apply = hub_apply,
 	.restore = hub_restore,
 	.snapshot = hub_snapshot,
-	.lead = hub_on_lead,
+	.leadership_changed = hub_on_lead,
 	.read_done = hub_read_done,
 	.message = hub_message,
-	.gone = hub_on_wire_closed,
+	.closed = hub_on_wire_closed,
 };
 
 static const struct srv_ops hub_srv_ops = {
 	.request = hub_on_request,
-	.gone = hub_on_disconnect,
+	.disconnected = hub_on_disconnect,
 };
 
 static const struct srv_ops hub_metrics_ops = {
 	.request = hub_on_metrics,
-	.gone = hub_on_metrics_disconnect,
+	.disconnected = hub_on_metrics_disconnect,
 };
 
 /*
@@ -83,7 +83,7 @@
 			.rly = h->rly,
 		},
 		&hub_wkr_ops, h);
-	h->relay_server = rly_carry_new(h->tmr, wkr_ups(h->wkr), wire_send);
+	h->relay_server = rly_relay_new(h->tmr, wkr_ups(h->wkr), wire_send);
 	h->adv = adv_new(h->jtb);
 	h->advice = adv_line_new(
 		&(struct adv_config){
@@ -131,7 +131,7 @@
 	srv_free(h->srv);
 	srv_free(h->metrics);
 	rep_free(h->rep);
-	rly_carry_free(h->relay_server);
+	rly_relay_free(h->relay_server);
 	wkr_free(h->wkr);
 	hub_relay_free(h);
 	hub_vm_free(h);
@@ -154,7 +154,7 @@
 	if (h->drain_until_ms)
 		return;
 	h->drain_until_ms = tmr_now(h->tmr) + HUB_DRAIN_TIMEOUT_MS;
-	rep_hand_over(h->rep);
+	rep_transfer_leadership(h->rep);
 }
 
 /* Whether the event loop ended because the data folder failed. */
@@ -248,7 +248,7 @@
 		.addr = h->config.control,
 		.max_body = (uint64_t)h->config.body_max,
 		.max_bytes = (uint64_t)h->config.bodies_max,
-		.slow_ms = HUB_STALL_TIMEOUT_MS,
+		.io_timeout_ms = HUB_STALL_TIMEOUT_MS,
 		.max_conns = h->config.descriptors->share[FDB_CALLERS],
 	};
 
@@ -325,11 +325,11 @@
 	struct lstr body;
 
 	if (kind == PROTO_CARRIED) {
-		rly_answers(h->rly, wire_addr(conn), in);
+		rly_on_answers(h->rly, wire_addr(conn), in);
 		return;
 	}
 	if (kind == PROTO_CARRY) {
-		rly_carry_calls(h->relay_server, conn, rep_term(h->rep), in);
+		rly_relay_on_calls(h->relay_server, conn, rep_term(h->rep), in);
 		return;
 	}
 	if (kind != PROTO_CALL)
@@ -361,7 +361,7 @@
 	struct hub *h = arg;
 
 	hub_conn_closed(h, conn);
-	rly_carry_gone(h->relay_server, conn);
+	rly_relay_on_disconnect(h->relay_server, conn);
 }
 
 /* Handles a request at the control address. */
@@ -427,6 +427,6 @@
 		msg(MSG_STOP, "node=%s", h->config.node);
 		event_base_loopbreak(h->config.base);
 	} else {
-		rep_hand_over(h->rep);
+		rep_transfer_leadership(h->rep);
 	}
 }
--- a/src/hub_carry.c
+++ b/src/hub_carry.c
@@ -32,8 +32,8 @@
 /* Becomes leader: drops the calls relayed for an earlier leader. */
 void hub_relay_lead(struct hub *h, uint64_t term)
 {
-	rly_carry_drop(h->relay_server);
-	rly_lead(h->rly, term);
+	rly_relay_cancel_all(h->relay_server);
+	rly_set_term(h->rly, term);
 }
 
 /*
@@ -48,13 +48,13 @@
 
 	g_ptr_array_set_size(h->relays, 0);
 	g_ptr_array_set_size(h->peers, 0);
-	rep_others(h->rep, h->peers);
+	rep_reachable_voters(h->rep, h->peers);
 	for (i = 0; hub_relay_needed(h) && i < h->peers->len; i++) {
 		char *addr = g_ptr_array_index(h->peers, i);
 
-		if (rly_ready(h->rly, addr))
+		if (rly_is_ready(h->rly, addr))
 			g_ptr_array_add(h->relays, addr);
-		rly_ask(h->rly, addr);
+		rly_request_clock(h->rly, addr);
 	}
 	if (h->leading && h->relays->len != before)
 		msg(MSG_HUB_CARRIERS,
--- a/src/hub_int.h
+++ b/src/hub_int.h
@@ -106,7 +106,7 @@
 	struct jtb *jtb;
 	struct wkr *wkr;
 	struct rly *rly; /* calls that other replicas make for this leader */
-	struct rly_carry *relay_server; /* calls made here for the leader */
+	struct rly_relay *relay_server; /* calls made here for the leader */
 	GPtrArray *peers; /* addresses of the reachable voters */
 	GPtrArray *relays; /* those of peers that can relay calls; borrowed */
 	struct vms *vms; /* unused if config.vms is NULL */
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -150,7 +150,7 @@
 	h->leading = false;
 	h->pending = (struct hld_sum){0};
 	wkr_stop_leading(h->wkr);
-	rly_rest(h->rly);
+	rly_drop_unsent(h->rly);
 	adv_line_step_down(h->advice);
 	hub_vm_step_down(h);
 	jtb_drop_proposals(h->jtb);
@@ -471,7 +471,7 @@
 {
 	const struct hub *h = arg;
 
-	return rep_sure_ms(h->rep);
+	return rep_confirmed_ms(h->rep);
 }
 
 /* Makes a run that uses spare capacity work faster or slower. */
--- a/src/hub_tell.c
+++ b/src/hub_tell.c
@@ -103,7 +103,7 @@
 		       rep_sync_times(h->rep));
 	cnt_times_text(out, "endive_leaderless_seconds",
 		       "Times without a leader, as this replica saw them",
-		       rep_leaderless(h->rep));
+		       rep_leaderless_times(h->rep));
 	hub_write_descriptors(h, out);
 	cpu_text(out);
 	cnt_times_text(out, "endive_loop_lag_seconds",
@@ -153,7 +153,7 @@
 		[FDB_TARGETS] = {workers.open, workers.waited},
 	};
 
-	fdb_text(h->config.descriptors, use, out);
+	fdb_append_metrics(h->config.descriptors, use, out);
 }
 
 /* Appends the current state, and the counters of other modules. */
@@ -163,7 +163,7 @@
 	struct rep_quorum q = rep_quorum(h->rep);
 	const struct adv_stats *a = adv_line_stats(h->advice);
 	struct rly_stats r = rly_stats(h->rly);
-	struct rly_stats rc = rly_carry_stats(h->relay_server);
+	struct rly_stats rc = rly_relay_stats(h->relay_server);
 	const struct cnt_def defs[] = {
 		{"endive_leading", "gauge", "1 on the replica that leads"},
 		{"endive_voters", "gauge", "Replicas that vote"},
@@ -224,7 +224,7 @@
 		s->not_sent,
 		r.calls,
 		r.lost,
-		rc.carried,
+		rc.relayed,
 		rc.dropped,
 		s->refused,
 		s->expired,
--- a/src/hub_vm.c
+++ b/src/hub_vm.c
@@ -197,7 +197,7 @@
 {
 	struct hub *h = arg;
 
-	return rep_hands_over(h->rep) ? 0 : hub_lead_confirmed_ms(h);
+	return rep_transfer_pending(h->rep) ? 0 : hub_lead_confirmed_ms(h);
 }
 
 /* The list of VMs is complete. */
--- a/src/main_endive-controld.c
+++ b/src/main_endive-controld.c
@@ -77,10 +77,10 @@
 	char *key_path = NULL;
 	char *level = NULL;
 	char *recover = NULL;
-	static const struct fdb_want wants[FDB_PARTS] = {
-		[FDB_FILES] = {.least = 32},
-		[FDB_PEERS] = {.least = 96, .weight = 8},
-		[FDB_OPERATORS] = {.least = 16, .weight = 1},
+	static const struct fdb_demand wants[FDB_PARTS] = {
+		[FDB_FILES] = {.min = 32},
+		[FDB_PEERS] = {.min = 96, .weight = 8},
+		[FDB_OPERATORS] = {.min = 16, .weight = 1},
 	};
 	long long descriptors = 0;
 	const struct set_def defs[] = {
--- a/src/main_endive-entryd.c
+++ b/src/main_endive-entryd.c
@@ -18,13 +18,13 @@
 	struct ent_config cfg = {0};
 	char *key_path = NULL;
 	char *level = NULL;
-	static const struct fdb_want wants[FDB_PARTS] = {
-		[FDB_FILES] = {.least = 32},
-		[FDB_PEERS] = {.least = 48, .weight = 1},
+	static const struct fdb_demand wants[FDB_PARTS] = {
+		[FDB_FILES] = {.min = 32},
+		[FDB_PEERS] = {.min = 48, .weight = 1},
 		/* targets announce themselves there */
-		[FDB_OPERATORS] = {.least = 48, .weight = 4},
-		[FDB_CALLERS] = {.least = 48, .weight = 4},
-		[FDB_TARGETS] = {.least = 48, .weight = 4},
+		[FDB_OPERATORS] = {.min = 48, .weight = 4},
+		[FDB_CALLERS] = {.min = 48, .weight = 4},
+		[FDB_TARGETS] = {.min = 48, .weight = 4},
 	};
 	long long descriptors = 0;
 	const struct set_def defs[] = {
--- a/src/main_endive-gated.c
+++ b/src/main_endive-gated.c
@@ -20,10 +20,10 @@
 	.summary = "Passes callers' requests on to the replica that leads.",
 	.descriptors =
 		{
-			[FDB_FILES] = {.least = 32},
-			[FDB_PEERS] = {.least = 32},
-			[FDB_OPERATORS] = {.least = 32},
-			[FDB_CALLERS] = {.least = 32, .weight = 1},
+			[FDB_FILES] = {.min = 32},
+			[FDB_PEERS] = {.min = 32},
+			[FDB_OPERATORS] = {.min = 32},
+			[FDB_CALLERS] = {.min = 32, .weight = 1},
 		},
 	.start = gated_start,
 	.stop = gated_stop,
@@ -45,7 +45,7 @@
 		.ready = s->ready,
 		.metrics = s->metrics,
 		.seeds = s->seeds,
-		.patience_header = PLT_PATIENCE,
+		.timeout_header = PLT_PATIENCE,
 		.body_max = s->body_max,
 		.bodies_max = s->memory / BODIES_PART,
 		.descriptors = &d->descriptors,
@@ -73,7 +73,7 @@
 /* Gives it settings that may change while it runs. */
 static void gated_reload(struct dmn *d)
 {
-	gat_set_seeds(d->service, d->settings->seeds);
+	gat_add_seeds(d->service, d->settings->seeds);
 }
 
 /* What its process ends with. */
--- a/src/main_endive-schedd.c
+++ b/src/main_endive-schedd.c
@@ -22,12 +22,12 @@
 	.summary = "Agrees with its replicas on jobs, and runs them.",
 	.descriptors =
 		{
-			[FDB_FILES] = {.least = 32},
+			[FDB_FILES] = {.min = 32},
 			/* replicas twice each, as many that aren't proved yet */
-			[FDB_PEERS] = {.least = 96, .weight = 1},
-			[FDB_OPERATORS] = {.least = 16},
-			[FDB_CALLERS] = {.least = 32, .weight = 4},
-			[FDB_TARGETS] = {.least = 48, .weight = 8},
+			[FDB_PEERS] = {.min = 96, .weight = 1},
+			[FDB_OPERATORS] = {.min = 16},
+			[FDB_CALLERS] = {.min = 32, .weight = 4},
+			[FDB_TARGETS] = {.min = 48, .weight = 8},
 		},
 	.start = schedd_start,
 	.stop = schedd_stop,
@@ -57,8 +57,8 @@
 		.voters_min = 2 * s->losses + 1,
 		.hold_max_ms = s->hold_max_ms,
 		.vm_lease_ms = s->vm_lease_ms,
-		.carry_from = s->carry_from,
-		.keep_ms = s->keep_ms,
+		.carry_from = s->relay_min_workers,
+		.keep_ms = s->job_retention_ms,
 		.body_max = s->body_max,
 		.bodies_max = s->memory / BODIES_PART,
 		.descriptors = &d->descriptors,
--- a/src/mvr.c
+++ b/src/mvr.c
@@ -61,7 +61,7 @@
 	struct fst_member vm;
 	guint i;
 
-	for (i = 0; i < fst_members(f); i++) {
+	for (i = 0; i < fst_member_count(f); i++) {
 		fst_member(f, i, &vm);
 		if (vm.to)
 			mvr_advance_move(m, f, &vm, now_ms);
@@ -144,7 +144,7 @@
 	const char *zone;
 	guint i;
 
-	for (i = 0; i < fst_nodes(f); i++) {
+	for (i = 0; i < fst_node_count(f); i++) {
 		fst_node(f, i, &node, &zone);
 		if (strcmp(zone, home) == 0 &&
 		    m->ops->applied_version(m->arg, node) < vm->since)
@@ -175,7 +175,7 @@
 	const char *node;
 	guint i;
 
-	for (i = 0; i < fst_members(f); i++) {
+	for (i = 0; i < fst_member_count(f); i++) {
 		fst_member(f, i, &at);
 		if (strcmp(at.vm, vm) != 0)
 			continue;
--- a/src/vms.c
+++ b/src/vms.c
@@ -79,7 +79,7 @@
 static void vms_call_free(struct vms_call *c);
 
 static const struct ups_ops vms_ups_ops = {
-	.may = vms_may_write,
+	.may_write = vms_may_write,
 	.end = vms_handle_end,
 };
 
@@ -96,9 +96,9 @@
 	v->ops = ops;
 	v->arg = arg;
 	v->ups = ups_new(config->base, config->tmr);
-	ups_set_reuse(v->ups, VMS_REUSE_MS);
-	ups_set_held(v->ups, VMS_RETRANSMIT_MS);
-	ups_set_most(v->ups, VMS_CONNS_MAX);
+	ups_set_idle_timeout(v->ups, VMS_REUSE_MS);
+	ups_set_user_timeout(v->ups, VMS_RETRANSMIT_MS);
+	ups_set_conns_max(v->ups, VMS_CONNS_MAX);
 	v->calls = g_ptr_array_new();
 	v->vms = g_ptr_array_new_with_free_func(vms_vm_free);
 	v->by_name = g_hash_table_new(g_str_hash, g_str_equal);
@@ -399,7 +399,7 @@
 		    "vm=%s fence=%" PRIu64 " after_ms=%" PRId64
 		    " held=%" PRId64,
 		    c->vm, c->v->fence, tmr_now(c->v->config.tmr) - c->sent_ms,
-		    ups_held(c->ups));
+		    ups_unacked_bytes(c->ups));
 	ups_cancel(c->ups);
 	vms_call_free(c);
 }
--- a/src/wkr.c
+++ b/src/wkr.c
@@ -32,8 +32,8 @@
 	k->arg = arg;
 	k->lease_ms = MIN(WKR_LEASE_MS, config->hold_max_ms);
 	k->ups = ups_new(config->base, config->tmr);
-	ups_set_reuse(k->ups, WKR_REUSE_MS);
-	ups_set_most(k->ups, (unsigned int)config->conns_max);
+	ups_set_idle_timeout(k->ups, WKR_REUSE_MS);
+	ups_set_conns_max(k->ups, (unsigned int)config->conns_max);
 	k->sessions = g_ptr_array_new_with_free_func(wkr_session_free);
 	k->runs = g_hash_table_new(g_int64_hash, g_int64_equal);
 	k->tick = tmr_every(config->tmr, 100, wkr_tick, k);
@@ -459,7 +459,7 @@
 	if (end == UPS_WHOLE && c->kind != WKR_HOLD)
 		cnt_time_ms(&s->k->stats.answers,
 			    tmr_now(s->k->config.tmr) - c->sent_ms);
-	if (end == UPS_NO_ROOM) {
+	if (end == UPS_NO_CONNECTION) {
 		wkr_on_not_sent(s, c);
 	} else if (end == UPS_LOST) {
 		wkr_on_call_lost(s, c);
--- a/src/wkr_list.c
+++ b/src/wkr_list.c
@@ -146,7 +146,7 @@
 {
 	guint most = (guint)k->config.conns_max;
 
-	return ups_crowded(k->ups) || (most && k->busy > most / 2);
+	return ups_urgent_waiting(k->ups) || (most && k->busy > most / 2);
 }
 
 /*
--- a/tests/fuzz/cfg_fuzz.c
+++ b/tests/fuzz/cfg_fuzz.c
@@ -110,7 +110,7 @@
 
 	g_assert_cmpint(v == NULL, ==, err != NULL);
 	if (v)
-		fvw_service(v, LSTR("c"));
+		fvw_pool_for_service(v, LSTR("c"));
 	fvw_free(v);
 	g_clear_error(&err);
 }
@@ -128,7 +128,7 @@
 	v = fvw_update(old, input, &err);
 	g_assert_cmpint(v == NULL, ==, err != NULL);
 	if (v)
-		fvw_service(v, LSTR("c"));
+		fvw_pool_for_service(v, LSTR("c"));
 	fvw_free(v);
 	fvw_free(old);
 	pk_out_done(&whole);
--- a/tests/prop/wkr_prop.cc
+++ b/tests/prop/wkr_prop.cc
@@ -876,7 +876,7 @@
 		}
 		jtb_drop_proposals(jtb);
 		fence++;
-		rly_lead(rly, fence);
+		rly_set_term(rly, fence);
 		wkr_lead(wkr, fence);
 	}
 
@@ -922,7 +922,7 @@
 			pk_u(&o, (uint64_t)a.status);
 			pk_str(&o, lstr_n(a.body.data(), a.body.size()));
 			g_assert_true(pk_in_init(&in, pk_out_view(&o)));
-			rly_answers(rly, "relay:1", &in);
+			rly_on_answers(rly, "relay:1", &in);
 			pk_in_done(&in);
 			pk_out_done(&o);
 		}
--- a/tests/unit/wkr_test.c
+++ b/tests/unit/wkr_test.c
@@ -909,11 +909,11 @@
 }
 
 /* Leaves the leader without a free descriptor or an idle connection. */
-static struct net_taken exhaust_descriptors(struct fixture *f)
+static struct net_held_descriptors exhaust_descriptors(struct fixture *f)
 {
-	ups_forget(f->wkr->ups, jtb_worker(f->jtb, "w")->info.addr);
+	ups_close_idle(f->wkr->ups, jtb_worker(f->jtb, "w")->info.addr);
 	net_run(f->base, 20);
-	return net_take_descriptors(0);
+	return net_exhaust_descriptors(0);
 }
 
 static void close_port(struct fixture *f)
@@ -1165,7 +1165,7 @@
 static void lack_of_sockets_does_not_end_draining_worker(void **state)
 {
 	struct fixture *f = *state;
-	struct net_taken taken;
+	struct net_held_descriptors taken;
 
 	f->lists_run = true;
 	start_run(f);
@@ -1176,7 +1176,7 @@
 	wkr_poll(f->wkr, jtb_worker(f->jtb, "w"));
 	taken = exhaust_descriptors(f);
 	net_run(f->base, WKR_HOLD_WAIT_MS + WKR_HOLD_TIMEOUT_MS + SETTLE_MS);
-	net_give_back(&taken);
+	net_release_descriptors(&taken);
 	assert_int_equal(f->gone_permanently, 0);
 }
 
@@ -1188,14 +1188,14 @@
 {
 	struct fixture *f = *state;
 	const struct jtb_worker *w = jtb_worker(f->jtb, "w");
-	struct net_taken taken;
+	struct net_held_descriptors taken;
 
 	net_run(f->base, SETTLE_MS);
 	assert_true(wkr_usable(f->wkr, w));
 	taken = exhaust_descriptors(f);
 	wkr_poll(f->wkr, jtb_worker(f->jtb, "w"));
 	net_run(f->base, SETTLE_MS);
-	net_give_back(&taken);
+	net_release_descriptors(&taken);
 	assert_true(wkr_is_reachable(f->wkr, w));
 	assert_int_equal(wkr_unreachable_since(f->wkr, w), 0);
 	f->holds = 0;
