--- a/bench/hld_bench.c
+++ b/bench/hld_bench.c
@@ -46,7 +46,7 @@
 }
 
 static void tell(void *arg, const struct jtb_job *job, const struct jtb_name *n,
-		 enum hld_reason why, int64_t why_ms, int64_t owed_ms)
+		 enum hld_reason why, int64_t reason_ms, int64_t pending_ms)
 {
 }
 
--- a/src/ent_key.c
+++ b/src/ent_key.c
@@ -324,10 +324,10 @@
 	struct fcm_cmd cmd = {
 		.kind = FCM_KEY_REPLICAS,
 		.made_ms = ent_wall_ms(),
-		.keepers = {.zone = lstr_from(e->config.zone),
-			    .epoch = next_view->epoch,
-			    .number = next_view->number,
-			    .n = next_view->replicas->len},
+		.key_replicas = {.zone = lstr_from(e->config.zone),
+				 .epoch = next_view->epoch,
+				 .number = next_view->number,
+				 .n = next_view->replicas->len},
 	};
 	struct pk_out bytes;
 	struct pk_out o;
@@ -339,7 +339,7 @@
 		   e->config.node, e->boot, ++e->proposals);
 	cmd.id = lstr_from(id);
 	for (i = 0; i < next_view->replicas->len; i++)
-		cmd.keepers.names[i] =
+		cmd.key_replicas.names[i] =
 			lstr_from(g_ptr_array_index(next_view->replicas, i));
 	pk_out_init(&bytes);
 	fcm_encode(&cmd, &bytes);
--- a/src/est.c
+++ b/src/est.c
@@ -60,22 +60,22 @@
 
 /*
  * Records that a task of a queue completed after took_ms where its caller had
- * estimated guess_ms. A sample without an estimate or a time is ignored.
+ * given estimate_ms. A sample without an estimate or a time is ignored.
  */
-void est_learn(struct est *e, const char *queue, uint32_t guess_ms,
+void est_learn(struct est *e, const char *queue, uint32_t estimate_ms,
 	       int64_t took_ms)
 {
 	struct est_regression *r = g_hash_table_lookup(e->regressions, queue);
 	double x;
 	double y;
 
-	if (!guess_ms || took_ms <= 0)
+	if (!estimate_ms || took_ms <= 0)
 		return;
 	if (!r) {
 		r = g_new0(struct est_regression, 1);
 		g_hash_table_insert(e->regressions, g_strdup(queue), r);
 	}
-	x = log(guess_ms);
+	x = log(estimate_ms);
 	y = log((double)took_ms);
 	r->n = r->n * (1 - EST_DECAY) + 1;
 	r->x = r->x * (1 - EST_DECAY) + x;
@@ -88,7 +88,7 @@
  * Returns the factor from an estimate to the time that such a task takes; 1 if
  * there are too few samples.
  */
-double est_scale(const struct est *e, const char *queue, uint32_t guess_ms)
+double est_scale(const struct est *e, const char *queue, uint32_t estimate_ms)
 {
 	const struct est_regression *r =
 		g_hash_table_lookup(e->regressions, queue);
@@ -98,7 +98,7 @@
 	double slope = 1;
 	double x;
 
-	if (!r || r->n < EST_MIN_TASKS || !guess_ms)
+	if (!r || r->n < EST_MIN_TASKS || !estimate_ms)
 		return 1;
 	mean_x = r->x / r->n;
 	mean_y = r->y / r->n;
@@ -106,7 +106,7 @@
 	if (variance > EST_MIN_VARIANCE)
 		slope = CLAMP((r->xy / r->n - mean_x * mean_y) / variance, 0,
 			      1);
-	x = log(guess_ms);
+	x = log(estimate_ms);
 	return CLAMP(exp(mean_y + slope * (x - mean_x) - x), 1 / EST_SCALE_MAX,
 		     EST_SCALE_MAX);
 }
--- a/src/est.h
+++ b/src/est.h
@@ -19,8 +19,8 @@
 struct est *est_new(void);
 void est_free(struct est *e);
 void est_clear(struct est *e);
-void est_learn(struct est *e, const char *queue, uint32_t guess_ms,
+void est_learn(struct est *e, const char *queue, uint32_t estimate_ms,
 	       int64_t took_ms);
-double est_scale(const struct est *e, const char *queue, uint32_t guess_ms);
+double est_scale(const struct est *e, const char *queue, uint32_t estimate_ms);
 
 #endif
--- a/src/fcm.h
+++ b/src/fcm.h
@@ -112,7 +112,7 @@
 		struct fcm_priority priority;
 		struct fcm_node node; /* join, forget */
 		struct fcm_note note;
-		struct fcm_key_replicas keepers;
+		struct fcm_key_replicas key_replicas;
 	};
 };
 
--- a/src/fcm_codec.c
+++ b/src/fcm_codec.c
@@ -236,29 +236,29 @@
 	guint i;
 
 	pk_arr(o, 4);
-	pk_str(o, c->keepers.zone);
-	pk_u(o, c->keepers.epoch);
-	pk_u(o, c->keepers.number);
-	pk_arr(o, c->keepers.n);
-	for (i = 0; i < c->keepers.n; i++)
-		pk_str(o, c->keepers.names[i]);
+	pk_str(o, c->key_replicas.zone);
+	pk_u(o, c->key_replicas.epoch);
+	pk_u(o, c->key_replicas.number);
+	pk_arr(o, c->key_replicas.n);
+	for (i = 0; i < c->key_replicas.n; i++)
+		pk_str(o, c->key_replicas.names[i]);
 }
 
 static void fcm_unpack_key_replicas(struct fcm_cmd *c, struct pk_in *in)
 {
 	struct pk_in list;
 
-	c->keepers.zone = fcm_unpack_name(in);
-	c->keepers.epoch = pk_get_u(in);
-	c->keepers.number = pk_get_u(in);
+	c->key_replicas.zone = fcm_unpack_name(in);
+	c->key_replicas.epoch = pk_get_u(in);
+	c->key_replicas.number = pk_get_u(in);
 	list = pk_get_arr(in);
 	if (!pk_in_ok(in) || pk_in_left(&list) == 0 ||
 	    pk_in_left(&list) > FVW_KEY_REPLICAS_MAX) {
 		in->bad = true;
 		return;
 	}
-	for (c->keepers.n = 0; pk_in_left(&list); c->keepers.n++)
-		c->keepers.names[c->keepers.n] =
+	for (c->key_replicas.n = 0; pk_in_left(&list); c->key_replicas.n++)
+		c->key_replicas.names[c->key_replicas.n] =
 			fcm_unpack_text(&list, FVW_NAME_MAX);
 	if (!pk_in_ok(&list))
 		in->bad = true;
@@ -344,7 +344,7 @@
 
 static void fcm_describe_key_replicas(const struct fcm_cmd *c, GString *s)
 {
-	const struct fcm_key_replicas *k = &c->keepers;
+	const struct fcm_key_replicas *k = &c->key_replicas;
 
 	g_string_append_printf(s,
 			       "keepers %llu of zone " LSTR_FMT
--- a/src/fst_keep.c
+++ b/src/fst_keep.c
@@ -17,7 +17,7 @@
  */
 void fst_handle_key_replicas(struct fst_exec *ex)
 {
-	const struct fcm_key_replicas *c = &ex->cmd->keepers;
+	const struct fcm_key_replicas *c = &ex->cmd->key_replicas;
 	struct fvw_key_replicas *k = fst_key_replicas_find(ex->f, c->zone);
 	struct fvw_key_replicas *next;
 	bool lost = k && k->epoch != c->epoch;
--- a/src/hld.h
+++ b/src/hld.h
@@ -86,11 +86,11 @@
 
 /*
  * Reports a task, or a job if n is NULL, that has been pending for long: for
- * why_ms for the reason why, and for pending_ms altogether.
+ * reason_ms for the reason why, and for pending_ms altogether.
  */
 typedef void (*hld_report_fn)(void *arg, const struct jtb_job *job,
 			      const struct jtb_name *n, enum hld_reason why,
-			      int64_t why_ms, int64_t pending_ms);
+			      int64_t reason_ms, int64_t pending_ms);
 
 enum hld_reason hld_task(const struct hld_view *v, struct jtb_job *job,
 			 const struct jtb_name *n);
--- a/src/hub.h
+++ b/src/hub.h
@@ -70,8 +70,8 @@
 	/* least time between orders of two leaders to the same VM */
 	long long vm_lease_ms;
 	/* number of workers from which other replicas relay calls to them */
-	long long carry_from;
-	long long keep_ms; /* how long an ended job can be queried */
+	long long relay_min_workers;
+	long long job_retention_ms; /* how long an ended job can be queried */
 	long long body_max; /* bytes */
 	long long bodies_max; /* bytes of all bodies together; 0: no limit */
 	const struct fdb *descriptors;
--- a/src/hub_carry.c
+++ b/src/hub_carry.c
@@ -68,7 +68,8 @@
  */
 static bool hub_relay_needed(const struct hub *h)
 {
-	return g_hash_table_size(jtb_workers(h->jtb)) >= h->config.carry_from;
+	return g_hash_table_size(jtb_workers(h->jtb)) >=
+	       h->config.relay_min_workers;
 }
 
 /*
--- a/src/hub_held.c
+++ b/src/hub_held.c
@@ -13,7 +13,7 @@
 					      const struct jtb_run *run);
 static void hub_pending_log(void *arg, const struct jtb_job *job,
 			    const struct jtb_name *n, enum hld_reason why,
-			    int64_t why_ms, int64_t owed_ms);
+			    int64_t reason_ms, int64_t pending_ms);
 
 /*
  * Becomes leader: how long tasks have been pending under earlier leaders is not
@@ -103,7 +103,7 @@
  */
 static void hub_pending_log(void *arg, const struct jtb_job *job,
 			    const struct jtb_name *n, enum hld_reason why,
-			    int64_t why_ms, int64_t owed_ms)
+			    int64_t reason_ms, int64_t pending_ms)
 {
 	const struct hub *h = arg;
 	const char *pool = jtb_pool_of(h->jtb, job);
@@ -116,5 +116,5 @@
 		   "job=%s task=%s queue=%s pool=%s why=%s why_ms=%" PRId64
 		   " owed_ms=%" PRId64,
 		   job->spec.id, task, job->spec.queue, pool ? pool : "none",
-		   hld_name(why), why_ms, owed_ms);
+		   hld_name(why), reason_ms, pending_ms);
 }
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -840,7 +840,8 @@
  */
 static void hub_forget_jobs(struct hub *h, int64_t now)
 {
-	int64_t keep_ms = h->config.keep_ms + HUB_FORGET_INTERVAL_MS;
+	int64_t retention_ms =
+		h->config.job_retention_ms + HUB_FORGET_INTERVAL_MS;
 	GHashTableIter it;
 	struct jtb_job *job;
 	int n = 0;
@@ -851,7 +852,7 @@
 	g_hash_table_iter_init(&it, jtb_jobs(h->jtb));
 	while (n < HUB_FORGET_MAX &&
 	       g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
-		if (!jtb_may_forget(job, now, keep_ms))
+		if (!jtb_may_forget(job, now, retention_ms))
 			continue;
 		jtb_put_forget(hub_append_command(h), job->spec.id);
 		n++;
--- a/src/jtb.c
+++ b/src/jtb.c
@@ -250,18 +250,18 @@
 }
 
 /*
- * Whether a job ended more than keep_ms ago, by the leader's monotonic clock.
+ * Whether a job ended more than retention_ms ago, by the leader's monotonic clock.
  * After a jump of the wall clock jobs would be forgotten too early, and callers
  * would be told that the job was never accepted. A new leader counts from its
  * first call for the job, so the job may be kept longer, never shorter.
  */
-bool jtb_may_forget(struct jtb_job *job, int64_t now_ms, int64_t keep_ms)
+bool jtb_may_forget(struct jtb_job *job, int64_t now_ms, int64_t retention_ms)
 {
 	if (!jtb_job_ended(job) || job->n_runs)
 		return false;
 	if (!job->ended_seen_ms)
 		job->ended_seen_ms = now_ms;
-	return now_ms - job->ended_seen_ms > keep_ms;
+	return now_ms - job->ended_seen_ms > retention_ms;
 }
 
 /* Returns when a turn of a job is due, ms since 1970; 0: immediately. */
--- a/src/jtb.h
+++ b/src/jtb.h
@@ -353,7 +353,7 @@
 bool jtb_run_is_stopping(const struct jtb_run *run);
 bool jtb_fits(const struct jtb_worker *w, const struct jtb_step *s);
 bool jtb_is_overcommitted(const struct jtb_worker *w);
-bool jtb_may_forget(struct jtb_job *job, int64_t now_ms, int64_t keep_ms);
+bool jtb_may_forget(struct jtb_job *job, int64_t now_ms, int64_t retention_ms);
 int64_t jtb_turn_due(const struct jtb_job *job, uint32_t turn);
 
 /* Commands; each call appends one element of a batch. */
--- a/tests/system/cut_test.sh
+++ b/tests/system/cut_test.sh
@@ -115,7 +115,7 @@
 wait_for 15 ctl --timeout 2 voters
 fleet_apply >"$tmp/apply" 2>&1 || { cat "$tmp/apply"; exit 1; }
 fleet_ready || exit 1
-for i in 1 2 3 4 5 6; do wait_for 10 keepers $i 2 || exit 1; done
+for i in 1 2 3 4 5 6; do wait_for 10 key_replicas $i 2 || exit 1; done
 key_a=$(curl -s "http://$(entry_addr 1)/endive/key")
 key_c=$(curl -s "http://$(entry_addr 5)/endive/key")
 key_c2=$(curl -s "http://$(entry_addr 5)/endive/key")
--- a/tests/system/failure_test.sh
+++ b/tests/system/failure_test.sh
@@ -41,7 +41,7 @@
 
 fleet_start && fleet_apply && fleet_ready || exit 1
 for i in 1 2 3 4 5 6; do
-	wait_for 10 keepers $i 2 || exit 1
+	wait_for 10 key_replicas $i 2 || exit 1
 done
 
 # An entry VM is killed while it forwards requests. Callers whose connections
@@ -58,7 +58,7 @@
 # The killed entry daemon restarts without records and is synchronised again.
 start_entry 1
 wait_for 10 healthy 1 || bad=1
-wait_for 10 keepers 1 2 || bad=1
+wait_for 10 key_replicas 1 2 || bad=1
 prefix=$(curl -s "http://$(entry_addr 1)/endive/key" | cut -d . -f 1-3)
 
 # An entry daemon is suspended for longer than every timeout and resumes.
--- a/tests/system/fleet.sh
+++ b/tests/system/fleet.sh
@@ -136,8 +136,9 @@
 		grep -c 'state=serving')" -ge "$2" ]
 }
 
-# keepers ENTRY COUNT: whether its zone's idempotency store has COUNT replicas.
-keepers() {
+# key_replicas ENTRY COUNT: whether the idempotency store of its zone has COUNT
+# replicas.
+key_replicas() {
 	curl -s "http://$(admin_addr "$1")/status" | grep -q "key_keepers=$2"
 }
 
--- a/tests/unit/ent_test.c
+++ b/tests/unit/ent_test.c
@@ -58,11 +58,11 @@
 
 	assert_true(fcm_decode(&cmd, &in, bytes));
 	assert_int_equal(cmd.kind, FCM_KEY_REPLICAS);
-	if (!f->replicas && cmd.keepers.number == 1) {
-		f->replicas = fvw_key_replicas_new(cmd.keepers.zone,
-						   cmd.keepers.epoch, 1);
+	if (!f->replicas && cmd.key_replicas.number == 1) {
+		f->replicas = fvw_key_replicas_new(cmd.key_replicas.zone,
+						   cmd.key_replicas.epoch, 1);
 		g_ptr_array_add(f->replicas->names,
-				lstr_dup(cmd.keepers.names[0]));
+				lstr_dup(cmd.key_replicas.names[0]));
 	}
 	pk_in_done(&in);
 }
--- a/tests/unit/est_test.c
+++ b/tests/unit/est_test.c
@@ -20,11 +20,11 @@
 	return 0;
 }
 
-static void learn(struct est *e, const char *queue, uint32_t guess_ms,
+static void learn(struct est *e, const char *queue, uint32_t estimate_ms,
 		  int64_t took_ms, int n)
 {
 	while (n-- > 0)
-		est_learn(e, queue, guess_ms, took_ms);
+		est_learn(e, queue, estimate_ms, took_ms);
 }
 
 static void assert_near(double value, double want)
--- a/tests/unit/flo_test.c
+++ b/tests/unit/flo_test.c
@@ -510,12 +510,12 @@
  * Returns how many runs are stopped for a burst if each VM has one run of such
  * a step.
  */
-static int stops_for_a_burst(struct fixture *f, uint32_t guess_ms,
+static int stops_for_a_burst(struct fixture *f, uint32_t estimate_ms,
 			     uint32_t flags)
 {
 	struct jtb_step s = {.count = 1,
 			     .cpu = 1000,
-			     .estimate_ms = guess_ms,
+			     .estimate_ms = estimate_ms,
 			     .flags = flags};
 
 	add_other_vms(f, 6, &s);
@@ -649,10 +649,11 @@
 }
 
 /* Submits a job to "other" that was accepted 3 s ago. */
-static void submit_old_job(struct fixture *f, uint32_t count, uint32_t guess_ms)
+static void submit_old_job(struct fixture *f, uint32_t count,
+			   uint32_t estimate_ms)
 {
 	struct jtb_step s = {
-		.count = count, .cpu = 1000, .estimate_ms = guess_ms};
+		.count = count, .cpu = 1000, .estimate_ms = estimate_ms};
 	struct jtb_spec spec = {
 		.id = "old",
 		.queue = (char *)"other",
--- a/tests/unit/hld_test.c
+++ b/tests/unit/hld_test.c
@@ -75,7 +75,7 @@
 
 static void on_report(void *arg, const struct jtb_job *job,
 		      const struct jtb_name *n, enum hld_reason why,
-		      int64_t why_ms, int64_t owed_ms)
+		      int64_t reason_ms, int64_t pending_ms)
 {
 	struct fixture *f = arg;
 
--- a/tests/unit/sch_test.c
+++ b/tests/unit/sch_test.c
@@ -109,12 +109,12 @@
 }
 
 static void submit(struct fixture *f, const char *id, uint32_t count,
-		   uint32_t cpu, uint32_t guess_ms, uint32_t flags,
+		   uint32_t cpu, uint32_t estimate_ms, uint32_t flags,
 		   int64_t age_ms)
 {
 	struct jtb_step s = {.count = count,
 			     .cpu = cpu,
-			     .estimate_ms = guess_ms,
+			     .estimate_ms = estimate_ms,
 			     .flags = flags};
 
 	jobs_job(f->jtb, id, &s, 1, f->wall - age_ms);
