--- a/src/gat_int.h
+++ b/src/gat_int.h
@@ -34,8 +34,8 @@
 struct gat_call {
 	uint64_t id;
 	struct srv_req *req;
-	struct gat_replica
-		*replica; /* the call was sent to; NULL: waits for a leader */
+	/* the replica the call was sent to; NULL: it waits for a leader */
+	struct gat_replica *replica;
 	bool sent; /* the call may have been carried out */
 	int64_t received_ms;
 	int64_t routed_ms; /* time of the last change of replica */
--- a/src/hfd.h
+++ b/src/hfd.h
@@ -27,8 +27,8 @@
 
 struct hfd {
 	enum hfd_state state;
-	uint64_t
-		remaining; /* bytes of the body, or of the chunk and line end */
+	/* bytes left of the body, or of the chunk and its line end */
+	uint64_t remaining;
 };
 
 enum hfd_verdict {
--- a/src/hub_lost.c
+++ b/src/hub_lost.c
@@ -10,17 +10,17 @@
  */
 
 static void hub_log_left(const struct jtb_worker *w);
-static int64_t hub_run_seen_ms(void *arg, const struct jtb_run *run);
+static int64_t hub_run_observed_ms(void *arg, const struct jtb_run *run);
 static bool hub_rack_unreachable(void *arg, const struct jtb_worker *w);
-static bool hub_worker_vm_up(void *arg, const struct jtb_worker *w);
+static bool hub_worker_alive(void *arg, const struct jtb_worker *w);
 static bool hub_worker_vm_down(const struct hub *h, const struct jtb_worker *w);
 static void hub_log_suspects(const struct jtb_worker *w,
 			     const struct jtb_blame *b);
 
 const struct crs_ops hub_crs_ops = {
-	.observed_ms = hub_run_seen_ms,
+	.observed_ms = hub_run_observed_ms,
 	.rack_unreachable = hub_rack_unreachable,
-	.alive = hub_worker_vm_up,
+	.alive = hub_worker_alive,
 };
 
 /*
@@ -107,10 +107,10 @@
 }
 
 /*
- * Returns how long a run had been seen running when its worker last answered,
- * ms.
+ * Returns for how long a run had been observed running when its worker last
+ * answered, ms.
  */
-static int64_t hub_run_seen_ms(void *arg, const struct jtb_run *run)
+static int64_t hub_run_observed_ms(void *arg, const struct jtb_run *run)
 {
 	const struct hub *h = arg;
 
@@ -144,7 +144,7 @@
  * Whether a list of VMs requested after a worker became unreachable shows its
  * VM as up.
  */
-static bool hub_worker_vm_up(void *arg, const struct jtb_worker *w)
+static bool hub_worker_alive(void *arg, const struct jtb_worker *w)
 {
 	const struct hub *h = arg;
 	const struct vms_vm *vm = vms_of_worker(h->vms, w->info.id);
--- a/src/hub_plan.c
+++ b/src/hub_plan.c
@@ -41,16 +41,16 @@
 static void hub_log_run_end(const struct hub *h, const struct jtb_run *run,
 			    enum jtb_end how);
 static void hub_stop_gang(struct hub *h, const struct jtb_run *run);
-static void hub_on_worker_lost(void *arg, struct jtb_worker *w,
+static void hub_on_worker_gone(void *arg, struct jtb_worker *w,
 			       const struct evd *e);
-static void hub_on_worker_listed(void *arg, struct jtb_worker *w);
+static void hub_on_worker_seen(void *arg, struct jtb_worker *w);
 static void hub_set_pace(void *arg, struct jtb_run *run, int percent);
 static void hub_mark_pool(struct hub *h, const char *pool);
 static void hub_mark_job_pool(struct hub *h, const struct jtb_job *job);
 static void hub_on_plan_timer(void *arg, int64_t now);
 static void hub_plan_pools(struct hub *h);
 static bool hub_worker_usable(void *arg, const struct jtb_worker *w);
-static bool hub_worker_leaving(void *arg, const struct jtb_worker *w);
+static bool hub_worker_upkeep_due(void *arg, const struct jtb_worker *w);
 static bool hub_has_ticket(void *arg, const struct jtb_job *job, uint32_t turn,
 			   uint32_t step, const struct jtb_worker *w);
 static bool hub_get_ticket(void *arg, const struct jtb_run *run,
@@ -90,8 +90,8 @@
 const struct wkr_ops hub_wkr_ops = {
 	.ends = hub_on_worker_ends,
 	.lost = hub_on_run_lost,
-	.gone = hub_on_worker_lost,
-	.seen = hub_on_worker_listed,
+	.gone = hub_on_worker_gone,
+	.seen = hub_on_worker_seen,
 	.ticket = hub_get_ticket,
 	.ticket_refused = hub_on_ticket_refused,
 	.confirmed_ms = hub_lead_confirmed_ms,
@@ -446,7 +446,7 @@
 }
 
 /* A worker is over, or has been unreachable for longer than its leases. */
-static void hub_on_worker_lost(void *arg, struct jtb_worker *w,
+static void hub_on_worker_gone(void *arg, struct jtb_worker *w,
 			       const struct evd *e)
 {
 	struct hub *h = arg;
@@ -455,7 +455,7 @@
 }
 
 /* A worker has listed all its runs. */
-static void hub_on_worker_listed(void *arg, struct jtb_worker *w)
+static void hub_on_worker_seen(void *arg, struct jtb_worker *w)
 {
 	struct hub *h = arg;
 
@@ -569,7 +569,7 @@
 		.wall_ms = hub_wall_ms(),
 		.arg = h,
 		.usable = hub_worker_usable,
-		.upkeep_due = hub_worker_leaving,
+		.upkeep_due = hub_worker_upkeep_due,
 		.has_ticket = hub_has_ticket,
 		.start = hub_start_task,
 		.unschedulable = hub_on_unschedulable,
@@ -585,7 +585,7 @@
 }
 
 /* Whether a worker's VM is due for upkeep. */
-static bool hub_worker_leaving(void *arg, const struct jtb_worker *w)
+static bool hub_worker_upkeep_due(void *arg, const struct jtb_worker *w)
 {
 	const struct hub *h = arg;
 
--- a/src/hub_vm.c
+++ b/src/hub_vm.c
@@ -17,21 +17,21 @@
 #define HUB_VM_GRACE_MS 100
 
 static int64_t hub_vm_lead_confirmed_ms(void *arg);
-static void hub_vm_on_list(void *arg);
-static void hub_vm_on_answer(void *arg, enum vms_kind kind, const char *vm,
-			     enum vms_answer answer);
+static void hub_vm_listed(void *arg);
+static void hub_vm_answered(void *arg, enum vms_kind kind, const char *vm,
+			    enum vms_answer answer);
 static void hub_vm_order_upkeep(void *arg, struct jtb_wave *w,
 				struct jtb_wave_vm *vm);
 static void hub_vm_record_upkeep(void *arg, struct jtb_wave *w,
 				 struct jtb_wave_vm *vm,
 				 enum jtb_vm_state state,
 				 const char *worker_before);
-static bool hub_vm_worker_reachable(void *arg, const struct jtb_worker *w);
+static bool hub_vm_is_reachable(void *arg, const struct jtb_worker *w);
 static bool hub_vm_is_spare(void *arg, const char *vm);
-static bool hub_vm_moving(void *arg, const char *vm);
+static bool hub_vm_is_moving(void *arg, const char *vm);
 static void hub_vm_order_move(void *arg, const char *vm, const char *pool);
 static bool hub_vm_may_stop_run(void *arg, const struct jtb_run *run);
-static bool hub_vm_in_upkeep(void *arg, const char *vm);
+static bool hub_vm_is_pinned(void *arg, const char *vm);
 static void hub_vm_on_grace_over(void *arg, int64_t now);
 static void hub_vm_plan(struct hub *h, int64_t now);
 static void hub_vm_check_workers(struct hub *h);
@@ -40,8 +40,8 @@
 static void hub_vm_log_pools(struct hub *h, int64_t now);
 
 static const struct vms_ops hub_vms_ops = {
-	.listed = hub_vm_on_list,
-	.answered = hub_vm_on_answer,
+	.listed = hub_vm_listed,
+	.answered = hub_vm_answered,
 	.confirmed_ms = hub_vm_lead_confirmed_ms,
 };
 
@@ -49,16 +49,16 @@
 	.stop = hub_stop_run,
 	.order = hub_vm_order_upkeep,
 	.note = hub_vm_record_upkeep,
-	.is_moving = hub_vm_moving,
+	.is_moving = hub_vm_is_moving,
 	.is_spare = hub_vm_is_spare,
-	.is_reachable = hub_vm_worker_reachable,
+	.is_reachable = hub_vm_is_reachable,
 };
 
 static const struct flo_ops hub_flo_ops = {
 	.order = hub_vm_order_move,
 	.stop = hub_stop_run,
 	.may_stop = hub_vm_may_stop_run,
-	.is_pinned = hub_vm_in_upkeep,
+	.is_pinned = hub_vm_is_pinned,
 };
 
 static const char *const hub_vm_answer_names[] = {
@@ -201,7 +201,7 @@
 }
 
 /* The list of VMs is complete. */
-static void hub_vm_on_list(void *arg)
+static void hub_vm_listed(void *arg)
 {
 	struct hub *h = arg;
 	enum cpu_kind before = cpu_enter(CPU_UPKEEP);
@@ -255,8 +255,8 @@
 }
 
 /* The VM service answered an order. */
-static void hub_vm_on_answer(void *arg, enum vms_kind kind, const char *vm,
-			     enum vms_answer answer)
+static void hub_vm_answered(void *arg, enum vms_kind kind, const char *vm,
+			    enum vms_answer answer)
 {
 	struct hub *h = arg;
 	const char *worker = kind == VMS_DO_UPKEEP ? upk_worker(h->upk, vm)
@@ -313,7 +313,7 @@
 }
 
 /* Whether a worker is reachable. */
-static bool hub_vm_worker_reachable(void *arg, const struct jtb_worker *w)
+static bool hub_vm_is_reachable(void *arg, const struct jtb_worker *w)
 {
 	const struct hub *h = arg;
 
@@ -321,7 +321,7 @@
 }
 
 /* Whether a VM is being moved to another pool. */
-static bool hub_vm_moving(void *arg, const char *vm)
+static bool hub_vm_is_moving(void *arg, const char *vm)
 {
 	const struct hub *h = arg;
 
@@ -346,7 +346,7 @@
 }
 
 /* Whether a VM is in upkeep, or will be at once. */
-static bool hub_vm_in_upkeep(void *arg, const char *vm)
+static bool hub_vm_is_pinned(void *arg, const char *vm)
 {
 	const struct hub *h = arg;
 
--- a/src/idm_int.h
+++ b/src/idm_int.h
@@ -135,7 +135,8 @@
 	uint64_t next_seq;
 	int64_t started; /* ms; first tick, -1: none yet */
 	int64_t proposed; /* ms; last proposal of a view, 0: none */
-	int64_t no_replica_since; /* ms; 0: a replica is reachable, or this is one */
+	/* ms; 0: a replica is reachable, or this is one */
+	int64_t no_replica_since;
 	size_t bytes;
 	struct idm_stats stats;
 };
--- a/src/jtb.c
+++ b/src/jtb.c
@@ -250,10 +250,11 @@
 }
 
 /*
- * Whether a job ended more than retention_ms ago, by the leader's monotonic clock.
- * After a jump of the wall clock jobs would be forgotten too early, and callers
- * would be told that the job was never accepted. A new leader counts from its
- * first call for the job, so the job may be kept longer, never shorter.
+ * Whether a job ended more than retention_ms ago, by the leader's monotonic
+ * clock. After a jump of the wall clock jobs would be forgotten too early, and
+ * callers would be told that the job was never accepted. A new leader counts
+ * from its first call for the job, so the job may be kept longer, never
+ * shorter.
  */
 bool jtb_may_forget(struct jtb_job *job, int64_t now_ms, int64_t retention_ms)
 {
--- a/src/jtb_do.c
+++ b/src/jtb_do.c
@@ -207,7 +207,7 @@
 	const struct jtb_step *step = &job->spec.steps[n->step];
 	uint64_t after = step->after;
 
-	/* tasks of a gang start all together or not at all: see wkr_send_order */
+	/* a gang's tasks start together or not at all: wkr_send_order */
 	if (!(step->flags & JTB_GANG) && !jtb_fits(w, step))
 		return false;
 	if (jtb_job_ended(job) || task->done || task->run ||
--- a/src/srv.h
+++ b/src/srv.h
@@ -41,7 +41,8 @@
 	const char *addr; /* IP:PORT */
 	uint64_t max_body;
 	uint64_t max_bytes; /* of all unanswered bodies; 0: no limit */
-	int64_t io_timeout_ms; /* a sender that pauses for longer is disconnected */
+	/* a sender that pauses for longer is disconnected */
+	int64_t io_timeout_ms;
 	int max_conns; /* the last few of them are only answered 503 */
 };
 
--- a/src/tgt.h
+++ b/src/tgt.h
@@ -47,7 +47,8 @@
 	struct tgt_info info;
 	uint64_t id; /* unique for each name, never reused */
 	enum tgt_state state;
-	bool allowed; /* by the fleet view: not drained, and of the right pool */
+	/* by the fleet view: not drained, and of the right pool */
+	bool allowed;
 	char *home; /* entry daemon that holds the lease; NULL: this one */
 	int64_t lease_until; /* ms; INT64_MAX while another home is up */
 	uint64_t last_boot; /* boot of the previous start */
--- a/src/upk.c
+++ b/src/upk.c
@@ -542,9 +542,9 @@
 
 /*
  * Starts to drain at most `most` VMs, the cheapest first; returns how many were
- * started. spare_only: only VMs that can be down without being missed. The wave is
- * scanned once for all of them: a scan for each VM blocked the event loop when
- * a wave of hundreds of VMs began.
+ * started. spare_only: only VMs that can be down without being missed. The wave
+ * is scanned once for all of them: a scan for each VM blocked the event loop
+ * when a wave of hundreds of VMs began.
  */
 static uint32_t upk_start_drains(struct upk *u, struct jtb_wave *w,
 				 uint32_t most, bool spare_only, int64_t now)
--- a/src/ups.h
+++ b/src/ups.h
@@ -23,10 +23,10 @@
 enum ups_end {
 	UPS_WHOLE, /* the whole answer has arrived */
 	UPS_NOT_SENT, /* no byte of the request has left this process */
-	UPS_TRUNCATED, /* sent; the connection closed before the answer was whole */
+	UPS_TRUNCATED, /* sent; connection closed before the answer was whole */
 	UPS_MALFORMED, /* sent; the answer's framing is not reliable */
 	UPS_TIMEOUT, /* sent; no whole answer in time */
-	UPS_NO_CONNECTION, /* no connection available in this process; not tried */
+	UPS_NO_CONNECTION, /* no connection available here; not tried */
 	UPS_LOST, /* the relay that was to send it reported no end; see rly */
 	UPS_ENDS
 };
--- a/src/vms.c
+++ b/src/vms.c
@@ -49,7 +49,8 @@
 	GHashTable *by_worker; /* the list by worker id */
 	/* worker id: name of the VM that it was last listed on */
 	GHashTable *last_vm;
-	bool worker_unknown; /* a VM in the list is up, but its worker is not known */
+	/* a VM in the list is up, but its worker is not known */
+	bool worker_unknown;
 	GPtrArray *incoming; /* pages of the list being read */
 	bool listing;
 	int64_t list_requested_ms; /* when the list being read was requested */
--- a/src/wav.c
+++ b/src/wav.c
@@ -13,7 +13,7 @@
 	int drain_timeouts; /* number of drains that timed out */
 	int64_t since_ms; /* when the step began */
 	int64_t sent_ms; /* when the step's request was last sent; 0: not yet */
-	int64_t probation_end_ms; /* end of the probation; 0: over or not begun */
+	int64_t probation_end_ms; /* 0: the probation is over or not begun */
 };
 
 struct wav {
--- a/tests/unit/ent_test.c
+++ b/tests/unit/ent_test.c
@@ -41,8 +41,8 @@
 	uint64_t seq;
 	unsigned int moved_vms; /* bit i: VM i is in the other pool */
 	uint64_t message_version; /* sent in the message; 0: the view's */
-	struct fvw_key_replicas
-		*replicas; /* as proposed; sent with the next view */
+	/* as proposed; sent with the next view */
+	struct fvw_key_replicas *replicas;
 };
 
 static void voter_up(void *arg, struct wire_conn *c)
--- a/tests/unit/rly_test.c
+++ b/tests/unit/rly_test.c
@@ -19,7 +19,7 @@
 #define WAIT_MS 5000
 /* Length of a process pause, ms. */
 #define PAUSE_MS 12000
-#define RELAY "carrier:1"
+#define RELAY "relay:1"
 
 /*
  * A leader, a relay and a worker; the test controls the messages between leader
--- a/tests/unit/vms_test.c
+++ b/tests/unit/vms_test.c
@@ -38,7 +38,8 @@
 	int unanswered;
 	int lists;
 	size_t padding; /* bytes of an order's body */
-	int64_t confirmed_age_ms; /* age of the last confirmation of leadership */
+	/* age of the last confirmation of leadership */
+	int64_t confirmed_age_ms;
 };
 
 /* The codec's functions have no argument for the fixture. */
