--- a/src/cns_int.h
+++ b/src/cns_int.h
@@ -1,6 +1,8 @@
 #ifndef CNS_INT_H
 #define CNS_INT_H
 
+/* Declarations shared by the files of the Raft consensus library. */
+
 #include "cht.h"
 #include "cns.h"
 
--- a/src/ctl.h
+++ b/src/ctl.h
@@ -28,7 +28,7 @@
 	char **peers; /* NODE=IP:PORT of every voter, including this one */
 	char *data; /* folder */
 	gboolean initial; /* whether a new fleet may be created */
-	/* time after which a silent peer counts as dead */
+	/* time without data after which a peer counts as down */
 	long long silence_ms;
 };
 
--- a/src/ctl_int.h
+++ b/src/ctl_int.h
@@ -1,6 +1,8 @@
 #ifndef CTL_INT_H
 #define CTL_INT_H
 
+/* Declarations shared by the files of the control daemon of a fleet. */
+
 #include "cns.h"
 #include "ctl.h"
 #include "fst.h"
--- a/src/ent_peer.c
+++ b/src/ent_peer.c
@@ -367,7 +367,7 @@
 		char *name = lstr_dup(pk_get_str(&item));
 		const struct ent_pool *pool =
 			g_hash_table_lookup(e->pools, name);
-		struct adm_spare_capacity room = {
+		struct adm_spare_capacity spare = {
 			.slots = (uint32_t)pk_get_u(&item),
 			.free = (uint32_t)pk_get_u(&item),
 		};
@@ -375,7 +375,7 @@
 		g_free(name);
 		if (pool && pk_in_ok(&item))
 			adm_set_zone_capacity(e->adm, ent_now_us(e), pool->id,
-					      zone, room, 0);
+					      zone, spare, 0);
 	}
 }
 
@@ -468,13 +468,13 @@
 	pk_arr(&o, n);
 	g_hash_table_iter_init(&it, e->pools);
 	while (n && g_hash_table_iter_next(&it, &name, &pool)) {
-		struct adm_spare_capacity room = adm_spare_capacity(
+		struct adm_spare_capacity spare = adm_spare_capacity(
 			e->adm, ent_now_us(e), ((struct ent_pool *)pool)->id);
 
 		pk_arr(&o, 3);
 		pk_cstr(&o, name);
-		pk_u(&o, room.slots);
-		pk_u(&o, room.free);
+		pk_u(&o, spare.slots);
+		pk_u(&o, spare.free);
 	}
 	wire_send(c, pk_out_view(&o));
 	pk_out_done(&o);
--- a/src/evd.c
+++ b/src/evd.c
@@ -68,17 +68,17 @@
  * now; 0 if the worker's clock is not known. The lease never lasts longer than
  * lease_ms, as the worker's clock may be slow by 1 in 50.
  *
- * sure_ms is when this leader's leadership was last confirmed, and the lease is
- * counted from there. Otherwise a leader whose process paused while another one
- * took over could, after it resumes and before it learns of that, start work
- * that the new leader has assigned elsewhere. Wherever the pause occurs, what
+ * confirmed_ms is when this leader's leadership was last confirmed, and the
+ * lease is counted from there. Otherwise a leader whose process paused while
+ * another one took over could, after it resumes and before it learns of that,
+ * start work that the new leader has assigned elsewhere. Wherever the pause occurs, what
  * it sends has expired by the worker's clock; the next leader waits
  * EVD_OLD_LEADER_MS longer than the lease for what was sent before.
  */
-int64_t evd_lease_end(const struct evd_worker *w, int64_t sure_ms,
+int64_t evd_lease_end(const struct evd_worker *w, int64_t confirmed_ms,
 		      int64_t lease_ms)
 {
-	int64_t elapsed = sure_ms - w->clock_at;
+	int64_t elapsed = confirmed_ms - w->clock_at;
 
 	if (!w->clock_at)
 		return 0;
--- a/src/evd.h
+++ b/src/evd.h
@@ -73,7 +73,7 @@
 const char *evd_name(enum evd_why why);
 bool evd_is_permanent(const struct evd *e);
 void evd_record_answer(struct evd_worker *w, int64_t clock_ms, int64_t now_ms);
-int64_t evd_lease_end(const struct evd_worker *w, int64_t sure_ms,
+int64_t evd_lease_end(const struct evd_worker *w, int64_t confirmed_ms,
 		      int64_t lease_ms);
 bool evd_unsent(const struct jtb_run *run, const struct evd_moment *m,
 		struct evd *out);
--- a/src/rep_int.h
+++ b/src/rep_int.h
@@ -1,6 +1,8 @@
 #ifndef REP_INT_H
 #define REP_INT_H
 
+/* Declarations shared by the files of the Raft replica. */
+
 #include "rep.h"
 
 #include <inttypes.h>
--- a/src/rep_peer.c
+++ b/src/rep_peer.c
@@ -17,7 +17,7 @@
 /*
  * Adds new members and removes dead ones. If a node lost its folder, its old
  * member is removed as soon as the new one, with the same address, is a voter;
- * any other silent member is removed only after a new member has taken its
+ * any other unreachable member is removed only after a new member has taken its
  * place. A leader that lost its own folder is not one of its own peers, and its
  * old member is removed as well. If the membership is full, the old member of a
  * lost folder is removed before the new one is added: the two would otherwise
--- a/src/sto_int.h
+++ b/src/sto_int.h
@@ -1,6 +1,8 @@
 #ifndef STO_INT_H
 #define STO_INT_H
 
+/* Declarations shared by the files of the Raft voter's storage. */
+
 #include "pk.h"
 #include "sto.h"
 #include "sto_rec.h"
--- a/src/wkr_int.h
+++ b/src/wkr_int.h
@@ -1,6 +1,8 @@
 #ifndef WKR_INT_H
 #define WKR_INT_H
 
+/* Declarations shared by the files of the worker sessions. */
+
 #include "wkr.h"
 
 #include <inttypes.h>
--- a/tests/unit/flo_test.c
+++ b/tests/unit/flo_test.c
@@ -323,7 +323,7 @@
  * all VMs, and the next burst found none. With too little counted, VMs would
  * leave in its middle.
  */
-static void ending_runs_make_room_for_new_jobs(void **state)
+static void ending_runs_free_capacity_for_new_jobs(void **state)
 {
 	struct fixture *f = *state;
 	const struct flo_pool *p;
@@ -338,8 +338,9 @@
 
 /*
  * Guards against the same fault with large jobs: one every half second that
- * takes 6 s, so twelve run at once. Those that end before a VM arrives make
- * room for new ones; the pool neither asks for twice its use nor gives up VMs.
+ * takes 6 s, so twelve run at once. Those that end before a VM arrives free
+ * capacity for new ones; the pool neither asks for twice its use nor gives up
+ * VMs.
  */
 static void steady_long_jobs_need_what_they_use(void **state)
 {
@@ -368,10 +369,10 @@
 }
 
 /*
- * Guards against counting long-running work as if it ended and made room for
- * new jobs.
+ * Guards against counting long-running work as if it ended and freed
+ * capacity for new jobs.
  */
-static void long_running_work_makes_no_room(void **state)
+static void long_running_work_frees_no_capacity(void **state)
 {
 	struct jtb_step s = {.count = 10,
 			     .cpu = 1000,
@@ -1147,9 +1148,9 @@
 		T(waiting_and_expected_jobs_add_up),
 		T(late_work_has_a_lower_weight),
 		T(hopeless_work_has_no_weight),
-		T(ending_runs_make_room_for_new_jobs),
+		T(ending_runs_free_capacity_for_new_jobs),
 		T(steady_long_jobs_need_what_they_use),
-		T(long_running_work_makes_no_room),
+		T(long_running_work_frees_no_capacity),
 		T(vm_is_not_chosen_twice),
 		T(pool_with_growing_load_keeps_its_vms),
 		T(occasional_job_is_no_growth),
--- a/tests/unit/rep_test.c
+++ b/tests/unit/rep_test.c
@@ -11,7 +11,7 @@
 
 #define REPLICAS 3
 #define WAIT_MS 20000
-/* Longer than a member may be silent before it may be removed, ms. */
+/* Longer than a member must be unreachable before it may be removed, ms. */
 #define PAUSE_MS 4500
 /*
  * Number of interrupted repairs; each is interrupted this much later than the
@@ -546,7 +546,7 @@
 
 /* Adds a fake replica to the peers of all replicas. */
 static void add_fake_peer(struct fixture *b, int port, uint64_t id,
-			  int64_t silent_ms)
+			  int64_t unreachable_ms)
 {
 	char addr[32];
 	int i;
@@ -556,7 +556,7 @@
 		struct rep_peer *p = rep_peer_at(b->nodes[i].rep, addr);
 
 		p->id = id;
-		p->heard_ms = tmr_now(b->tmr) - silent_ms;
+		p->heard_ms = tmr_now(b->tmr) - unreachable_ms;
 	}
 }
 
