--- a/tests/unit/ent_test.c
+++ b/tests/unit/ent_test.c
@@ -41,8 +41,8 @@
 	uint64_t seq;
 	unsigned int moved_vms; /* bit i: VM i is in the other pool */
 	uint64_t message_version; /* sent in the message; 0: the view's */
-	struct fvw_key_replicas
-		*replicas; /* as proposed; sent with the next view */
+	/* as proposed; sent with the next view */
+	struct fvw_key_replicas *replicas;
 };
 
 static void voter_up(void *arg, struct wire_conn *c)
@@ -58,11 +58,11 @@
 
 	assert_true(fcm_decode(&cmd, &in, bytes));
 	assert_int_equal(cmd.kind, FCM_KEY_REPLICAS);
-	if (!f->replicas && cmd.keepers.number == 1) {
-		f->replicas = fvw_key_replicas_new(cmd.keepers.zone,
-						   cmd.keepers.epoch, 1);
+	if (!f->replicas && cmd.key_replicas.number == 1) {
+		f->replicas = fvw_key_replicas_new(cmd.key_replicas.zone,
+						   cmd.key_replicas.epoch, 1);
 		g_ptr_array_add(f->replicas->names,
-				lstr_dup(cmd.keepers.names[0]));
+				lstr_dup(cmd.key_replicas.names[0]));
 	}
 	pk_in_done(&in);
 }
